--- a/balancer/src/main/java/calicochute/admin/AdminConnection.java
+++ b/balancer/src/main/java/calicochute/admin/AdminConnection.java
@@ -22,11 +22,15 @@
 
 /** One caller's connection to the second address, for one call. All on that address's I/O thread. */
 final class AdminConnection {
-    private static final Http1Config LIMITS = Http1Config.custom().setBufferSize(Bounds.BUFFER)
-        .setMaxLineLength(Bounds.LINE).setMaxHeaderCount(Bounds.FIELDS).build();
+    private static final Http1Config LIMITS = Http1Config.custom()
+            .setBufferSize(Bounds.BUFFER)
+            .setMaxLineLength(Bounds.LINE)
+            .setMaxHeaderCount(Bounds.FIELDS)
+            .build();
     private static final HttpProcessor PROCESSOR = HttpProcessorBuilder.create().build();
     /** From the connection's start to the call's last byte, and from there to the end. */
     private static final long CALL_MS = 2000;
+
     private static final long ANSWER_MS = 5000;
     private final AdminServer server;
     private final ProtocolIOSession session;
@@ -41,10 +45,18 @@
     static ServerHttp1IOEventHandler on(ProtocolIOSession session, AdminServer server, Callback<Exception> onFault) {
         AdminConnection connection = new AdminConnection(server, session);
         session.setSocketTimeout(Timeout.ofMilliseconds(CALL_MS));
-        return new ServerHttp1IOEventHandler(new ServerHttp1StreamDuplexerFactory(PROCESSOR, (request, context) ->
-            new BasicAsyncServerExpectationDecorator(new CallHandler(connection), onFault), LIMITS,
-            CharCodingConfig.DEFAULT, null, () -> new WholeHeads<>(new DefaultHttpRequestParserFactory(LIMITS).create()),
-            null, null, onFault).create("http", session)) {
+        return new ServerHttp1IOEventHandler(new ServerHttp1StreamDuplexerFactory(
+                        PROCESSOR,
+                        (request, context) ->
+                                new BasicAsyncServerExpectationDecorator(new CallHandler(connection), onFault),
+                        LIMITS,
+                        CharCodingConfig.DEFAULT,
+                        null,
+                        () -> new WholeHeads<>(new DefaultHttpRequestParserFactory(LIMITS).create()),
+                        null,
+                        null,
+                        onFault)
+                .create("http", session)) {
             @Override
             public void connected(IOSession opened) throws IOException {
                 super.connected(opened);
--- a/balancer/src/main/java/calicochute/admin/AdminServer.java
+++ b/balancer/src/main/java/calicochute/admin/AdminServer.java
@@ -30,8 +30,14 @@
     /** Starts to listen and returns the address in use. */
     public InetSocketAddress start(InetSocketAddress address) throws IOException {
         Callback<Exception> onFault = e -> Log.info("admin-connection", String.valueOf(e.getMessage()));
-        Listening listening = Listening.at(address, BACKLOG, Bounds.ADMIN_CONNECTIONS + Bounds.AHEAD, "admin",
-            (session, attachment) -> AdminConnection.on(session, this, onFault), onFault, counters);
+        Listening listening = Listening.at(
+                address,
+                BACKLOG,
+                Bounds.ADMIN_CONNECTIONS + Bounds.AHEAD,
+                "admin",
+                (session, attachment) -> AdminConnection.on(session, this, onFault),
+                onFault,
+                counters);
         listening.whenLacking(lacking);
         return listening.start();
     }
@@ -45,13 +51,17 @@
     }
 
     /**
-     * Guards against callers who sit on connections: one too many costs the one that is oldest without a whole call, else
-     * the newcomer.
+     * Guards against callers who sit on connections: one too many costs the one that is oldest without a whole call,
+     * else the newcomer.
      */
     synchronized void opened(AdminConnection connection) {
         connections.add(connection);
         if (connections.size() > Bounds.ADMIN_CONNECTIONS) {
-            connections.stream().filter(c -> !c.isWhole()).findFirst().orElse(connection).close();
+            connections.stream()
+                    .filter(c -> !c.isWhole())
+                    .findFirst()
+                    .orElse(connection)
+                    .close();
         }
     }
 
--- a/balancer/src/main/java/calicochute/admin/Call.java
+++ b/balancer/src/main/java/calicochute/admin/Call.java
@@ -7,29 +7,43 @@
 
 /** One call of an operator, read from a request; without I/O. */
 sealed interface Call {
-    record Health() implements Call { }
+    record Health() implements Call {}
 
-    record Stats() implements Call { }
+    record Stats() implements Call {}
 
-    record Experiments() implements Call { }
+    record Experiments() implements Call {}
 
-    record Fleet() implements Call { }
+    record Fleet() implements Call {}
 
-    record Cordon(String host) implements Call { }
+    record Cordon(String host) implements Call {}
 
-    record Uncordon(String host) implements Call { }
+    record Uncordon(String host) implements Call {}
 
-    record Quiesce() implements Call { }
+    record Quiesce() implements Call {}
 
-    record Resume() implements Call { }
+    record Resume() implements Call {}
 
     /** No call of ours; the status and the words that say so. */
-    record Wrong(int status, String why) implements Call { }
+    record Wrong(int status, String why) implements Call {}
 
     String PREFIX = "/admin/";
-    Map<String, String> METHODS = Map.of("health", "GET", "stats", "GET", "experiments", "GET", "fleet", "GET",
-        "cordon", "POST", "uncordon", "POST",
-        "quiesce", "POST", "resume", "POST");
+    Map<String, String> METHODS = Map.of(
+            "health",
+            "GET",
+            "stats",
+            "GET",
+            "experiments",
+            "GET",
+            "fleet",
+            "GET",
+            "cordon",
+            "POST",
+            "uncordon",
+            "POST",
+            "quiesce",
+            "POST",
+            "resume",
+            "POST");
 
     static Call read(String method, String target, String body) {
         String path = target.replaceFirst("\\?.*", "");
@@ -55,7 +69,9 @@
     private static Call host(String name, String body) {
         try {
             JsonElement host = Document.parse(body).root().get("host");
-            if (host != null && host.isJsonPrimitive() && host.getAsJsonPrimitive().isString()) {
+            if (host != null
+                    && host.isJsonPrimitive()
+                    && host.getAsJsonPrimitive().isString()) {
                 return name.equals("cordon") ? new Cordon(host.getAsString()) : new Uncordon(host.getAsString());
             }
         } catch (SettingsException e) {
--- a/balancer/src/main/java/calicochute/admin/Operations.java
+++ b/balancer/src/main/java/calicochute/admin/Operations.java
@@ -3,12 +3,16 @@
 import java.util.function.Consumer;
 
 /**
- * What operators can ask of a balancer, whatever carries their calls. Any thread may call and nothing blocks; what can't be
- * known at once is told to {@code done}, from any thread, once.
+ * What operators can ask of a balancer, whatever carries their calls. Any thread may call and nothing blocks; what
+ * can't be known at once is told to {@code done}, from any thread, once.
  */
 public interface Operations {
     /** How a call ended. */
-    enum Result { DONE, NO_SUCH_SERVER, FAILED }
+    enum Result {
+        DONE,
+        NO_SUCH_SERVER,
+        FAILED
+    }
 
     /** True once this process can serve. */
     boolean serves();
--- a/balancer/src/main/java/calicochute/backend/BackendServer.java
+++ b/balancer/src/main/java/calicochute/backend/BackendServer.java
@@ -13,6 +13,7 @@
     final Pool<Connection> pool;
     /** Those that wait for a connection: the first takes the first that there is, whoever opened it. */
     final ArrayDeque<Errand> waiting = new ArrayDeque<>();
+
     final Set<Opening> openings = new LinkedHashSet<>();
     /** No longer listed, or listed at another address: nothing is kept for it any more. */
     boolean gone;
--- a/balancer/src/main/java/calicochute/backend/BackendServers.java
+++ b/balancer/src/main/java/calicochute/backend/BackendServers.java
@@ -1,6 +1,5 @@
 package calicochute.backend;
 
-import calicochute.connection.Connection;
 import calicochute.connection.Connector;
 import calicochute.connection.Reply;
 import calicochute.decision.Balancer.Outcome;
@@ -33,18 +32,22 @@
     private static final long SETTLE = 5_000;
     /** Where something came later or where none should: how long they rest then, and for how long. */
     private static final long LONG_SETTLE = 25_000;
+
     private static final long CAUTION = 60_000_000;
     /** Free connections to a server beyond which none is opened ahead, and how long none is after one that failed. */
     private static final int MOST_FREE = 16;
+
     private static final long SPARE_BAN = 20_000_000;
     /** An end this soon after an answer is no idle time; and how long idle times of servers are remembered. */
     private static final long WITH_ANSWER = 50_000;
+
     private static final long IDLE_MEMORY = 20_000_000;
     private static final Pool.Rules POOL =
-        new Pool.Rules(Errand.FRESH, SETTLE, MOST_FREE, SPARE_BAN, LONG_SETTLE, CAUTION, WITH_ANSWER, IDLE_MEMORY);
+            new Pool.Rules(Errand.FRESH, SETTLE, MOST_FREE, SPARE_BAN, LONG_SETTLE, CAUTION, WITH_ANSWER, IDLE_MEMORY);
     static final String TIME_LEFT = "X-Remaining-Ms";
     /** Idle connections are looked at no more often. */
     private static final long SWEEP = 10_000;
+
     private final DecisionQueue queue;
     private final Counters counters;
     private final int window;
@@ -54,8 +57,14 @@
     private final Map<Dispatch, Errand> out = new HashMap<>();
     private DecisionQueue.Alarm nextSweep;
 
-    public BackendServers(Connector connector, DecisionQueue queue, Counters counters, long connectTimeout,
-                          long connectionIdle, Bounds bounds, DispatchListener listener) {
+    public BackendServers(
+            Connector connector,
+            DecisionQueue queue,
+            Counters counters,
+            long connectTimeout,
+            long connectionIdle,
+            Bounds bounds,
+            DispatchListener listener) {
         this.queue = queue;
         this.counters = counters;
         connections = new Connections(connector, queue, counters, bounds.serverConnections(), servers::values);
@@ -65,7 +74,10 @@
         nextSweep = queue.after(sweepEvery(), this::sweep);
     }
 
-    /** New settings; what is under way goes on as it began. Connections free for longer than they allow are closed at once. */
+    /**
+     * New settings; what is under way goes on as it began. Connections free for longer than they allow are closed at
+     * once.
+     */
     public void retune(long connectTimeout, long connectionIdle) {
         connections.retune(connectTimeout, connectionIdle);
         nextSweep.cancel();
@@ -119,25 +131,32 @@
     public void send(Dispatch dispatch, long timeout) {
         counters.count(Counter.DISPATCHES_SENT);
         Message message = dispatch.exchange.message;
-        Errand errand = new Errand(connections, window, servers.get(dispatch.server), request(message, timeout), dispatch, timeout,
-            new Errand.Course() {
-            @Override
-            public void written() {
-                listener.dispatchWritten();
-            }
-
-            @Override
-            public void begun(HttpResponse head, Body.Streamed body) {
-                listener.dispatchBegun(dispatch, new Answer.Served(passed(head), body));
-            }
-
-            @Override
-            public void ended(Outcome outcome, Reply reply) {
-                out.remove(dispatch);
-                // One that had begun has had its answer.
-                listener.dispatchEnded(dispatch, outcome, dispatch.exchange.closed() ? null : answer(outcome, reply));
-            }
-        });
+        Errand errand = new Errand(
+                connections,
+                window,
+                servers.get(dispatch.server),
+                request(message, timeout),
+                dispatch,
+                timeout,
+                new Errand.Course() {
+                    @Override
+                    public void written() {
+                        listener.dispatchWritten();
+                    }
+
+                    @Override
+                    public void begun(HttpResponse head, Body.Streamed body) {
+                        listener.dispatchBegun(dispatch, new Answer.Served(passed(head), body));
+                    }
+
+                    @Override
+                    public void ended(Outcome outcome, Reply reply) {
+                        out.remove(dispatch);
+                        // One that had begun has had its answer.
+                        listener.dispatchEnded(
+                                dispatch, outcome, dispatch.exchange.closed() ? null : answer(outcome, reply));
+                    }
+                });
         out.put(dispatch, errand);
         errand.start();
     }
@@ -150,7 +169,9 @@
         }
     }
 
-    /** The dispatch's session is over: what has not begun must not begin, whatever the module knows and may withdraw. */
+    /**
+     * The dispatch's session is over: what has not begun must not begin, whatever the module knows and may withdraw.
+     */
     public void sessionOver(Dispatch dispatch) {
         Errand errand = out.get(dispatch);
         if (errand != null) {
@@ -184,9 +205,11 @@
         }
         request.addHeader(TIME_LEFT, Long.toString(Math.max(1, timeout / 1000)));
         if (message.body() instanceof Body.Streamed body) {
-            request.addHeader(body.length() < 0 ? "Transfer-Encoding" : "Content-Length",
-                body.length() < 0 ? "chunked" : Long.toString(body.length()));
-        } else if (message.body() instanceof Body.Whole body && (body.bytes().length > 0 || message.method().equals("POST"))) {
+            request.addHeader(
+                    body.length() < 0 ? "Transfer-Encoding" : "Content-Length",
+                    body.length() < 0 ? "chunked" : Long.toString(body.length()));
+        } else if (message.body() instanceof Body.Whole body
+                && (body.bytes().length > 0 || message.method().equals("POST"))) {
             request.addHeader("Content-Length", Integer.toString(body.bytes().length));
         }
         return request;
--- a/balancer/src/main/java/calicochute/backend/Connections.java
+++ b/balancer/src/main/java/calicochute/backend/Connections.java
@@ -18,6 +18,7 @@
     private static final double SPARE_ROOM = 0.5;
     /** So many that are late may still come up to one server: one that is silent gets no more. */
     static final int MOST_LATE = 2;
+
     final DecisionQueue queue;
     final Counters counters;
     private final Connector connector;
@@ -25,10 +26,16 @@
     private final Supplier<Collection<BackendServer>> servers;
     /** One for each connection that is open or being opened. */
     private final Set<Object> open = new HashSet<>();
+
     private long connectTimeout;
     private long idleTime;
 
-    Connections(Connector connector, DecisionQueue queue, Counters counters, int room, Supplier<Collection<BackendServer>> servers) {
+    Connections(
+            Connector connector,
+            DecisionQueue queue,
+            Counters counters,
+            int room,
+            Supplier<Collection<BackendServer>> servers) {
         this.connector = connector;
         this.queue = queue;
         this.counters = counters;
@@ -56,7 +63,10 @@
         return open.size() < room || giveUpLate() || closeIdlest();
     }
 
-    /** Opens a connection for those that wait at a server, if more wait than are on their way; false if there is no room. */
+    /**
+     * Opens a connection for those that wait at a server, if more wait than are on their way; false if there is no
+     * room.
+     */
     boolean openFor(BackendServer server) {
         if (server.wantsOpening()) {
             if (!makeRoom()) {
@@ -68,8 +78,8 @@
     }
 
     /**
-     * One has waited for half of its time: opens a second connection beside the first, where that may help. Nothing has been sent,
-     * so this is no second dispatch; whichever comes up first serves it, and the other one is kept.
+     * One has waited for half of its time: opens a second connection beside the first, where that may help. Nothing has
+     * been sent, so this is no second dispatch; whichever comes up first serves it, and the other one is kept.
      */
     void openSecond(BackendServer server) {
         if (server.lateOpenings() < MOST_LATE && open.size() < room * SPARE_ROOM) {
@@ -127,7 +137,11 @@
 
     /** Gives up a connection that is late, whichever server it goes to; false if none is. */
     private boolean giveUpLate() {
-        Opening late = servers.get().stream().flatMap(s -> s.openings.stream()).filter(Opening::late).findFirst().orElse(null);
+        Opening late = servers.get().stream()
+                .flatMap(s -> s.openings.stream())
+                .filter(Opening::late)
+                .findFirst()
+                .orElse(null);
         if (late != null) {
             late.giveUp();
         }
@@ -139,30 +153,36 @@
         Object one = new Object();
         open.add(one);
         counters.count(Counter.CONNECTIONS_OPENED);
-        return connector.open(server.address, timeout, c -> queue.post(() -> opened.accept(c)),
-            e -> queue.post(() -> {
-                open.remove(one);
-                failed.run();
-            }), c -> queue.post(() -> {
-                open.remove(one);
-                Pool.Ended ended = server.pool.ended(c, !c.spoilt(), queue.now());
-                if (c.spoilt()) {
-                    counters.count(Counter.CONNECTIONS_SPOILT);
-                    server.pool.outOfTurn(queue.now());
-                }
-                if (ended == Pool.Ended.KEPT && !c.spoilt()) {
-                    counters.count(Counter.CONNECTIONS_ENDED_EARLY);
-                    closeTooOld(server);
-                } else if (ended == Pool.Ended.SPARE) {
-                    counters.count(Counter.SPARES_FAILED);
-                }
-            }));
+        return connector.open(
+                server.address,
+                timeout,
+                c -> queue.post(() -> opened.accept(c)),
+                e -> queue.post(() -> {
+                    open.remove(one);
+                    failed.run();
+                }),
+                c -> queue.post(() -> {
+                    open.remove(one);
+                    Pool.Ended ended = server.pool.ended(c, !c.spoilt(), queue.now());
+                    if (c.spoilt()) {
+                        counters.count(Counter.CONNECTIONS_SPOILT);
+                        server.pool.outOfTurn(queue.now());
+                    }
+                    if (ended == Pool.Ended.KEPT && !c.spoilt()) {
+                        counters.count(Counter.CONNECTIONS_ENDED_EARLY);
+                        closeTooOld(server);
+                    } else if (ended == Pool.Ended.SPARE) {
+                        counters.count(Counter.SPARES_FAILED);
+                    }
+                }));
     }
 
     /** Opens a connection ahead if the server's pool wants one and none is on its way; nobody waits for it. */
     void openSpare(BackendServer server) {
-        if (!server.openings.isEmpty() || !server.keeps(queue.now()) || open.size() >= room * SPARE_ROOM
-            || !server.pool.claimSpare(queue.now())) {
+        if (!server.openings.isEmpty()
+                || !server.keeps(queue.now())
+                || open.size() >= room * SPARE_ROOM
+                || !server.pool.claimSpare(queue.now())) {
             return;
         }
         new Spare(this, server).begin();
@@ -172,8 +192,7 @@
     private boolean closeIdlest() {
         BackendServer idlest = null;
         for (BackendServer server : servers.get()) {
-            if (server.pool.free() > 0 && (idlest == null
-                || server.pool.idlestSince() < idlest.pool.idlestSince())) {
+            if (server.pool.free() > 0 && (idlest == null || server.pool.idlestSince() < idlest.pool.idlestSince())) {
                 idlest = server;
             }
         }
--- a/balancer/src/main/java/calicochute/backend/Errand.java
+++ b/balancer/src/main/java/calicochute/backend/Errand.java
@@ -22,6 +22,7 @@
     private static final long AT_ONCE = 20_000;
     /** Bodies in pieces: how often they are looked at, and how long a server may leave one unread. */
     private static final long WATCH = 500_000;
+
     private static final long UPLOAD_STILL = 10_000_000;
     private final Connections connections;
     private final DecisionQueue queue;
@@ -30,6 +31,7 @@
     private final BackendServer server;
     /** The server's start when it was picked. */
     private final long startedAt;
+
     private final HttpRequest request;
     private final Dispatch dispatch;
     private final Body body;
@@ -37,14 +39,17 @@
     private final Progress progress;
     /** The answer, once it has begun. */
     private Pipe answer;
+
     private Pace pace;
     private boolean wrote;
     private Connection connection;
     /** Its connection has served before, or has been free; and for how long it had been. */
     private boolean served;
+
     private long idle;
     /** Its connection was opened ahead, and this would be the first call on it. */
     private boolean spare;
+
     private boolean called;
     private DecisionQueue.Alarm timeout;
     private DecisionQueue.Alarm connecting;
@@ -52,8 +57,18 @@
     private final long patience;
     private boolean starting;
 
-    /** @param micros its time, which runs from the dispatch: preparing it must not push the time-out past the session's own end */
-    Errand(Connections connections, int window, BackendServer server, HttpRequest request, Dispatch dispatch, long micros, Course course) {
+    /**
+     * @param micros its time, which runs from the dispatch: preparing it must not push the time-out past the session's
+     *     own end
+     */
+    Errand(
+            Connections connections,
+            int window,
+            BackendServer server,
+            HttpRequest request,
+            Dispatch dispatch,
+            long micros,
+            Course course) {
         this.connections = connections;
         this.queue = connections.queue;
         this.counters = connections.counters;
@@ -97,7 +112,8 @@
         }
         if (answer == null && body instanceof Body.Streamed streamed && !wrote) {
             // Nothing held: it is the client's turn, which the frontend looks after.
-            if (streamed.pipe().held() > 0 && streamed.pipe().stillFor() >= (progress.waiting() ? patience : UPLOAD_STILL)) {
+            if (streamed.pipe().held() > 0
+                    && streamed.pipe().stillFor() >= (progress.waiting() ? patience : UPLOAD_STILL)) {
                 if (progress.waiting()) {
                     end(progress.unconnected(), null);
                     return;
@@ -163,7 +179,8 @@
     /** Its connection ended before a byte was sent. */
     private void another() {
         if (spare) {
-            // Guards against a spare that follows another into the same refusal, where this is heard of before the end itself.
+            // Guards against a spare that follows another into the same refusal, where this is heard of before the end
+            // itself.
             spare = false;
             counters.count(Counter.SPARES_FAILED);
             server.pool.spareEnded(queue.now());
@@ -219,7 +236,7 @@
                 }
                 end(Progress.Step.END, null);
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -287,10 +304,16 @@
         end(progress.withdrawn(), null);
     }
 
-    /** The session is over: it is never sent if it was not yet, and not kept up if its body can't come to its end any more. */
+    /**
+     * The session is over: it is never sent if it was not yet, and not kept up if its body can't come to its end any
+     * more.
+     */
     void sessionOver() {
         boolean waits = progress.waiting();
-        end(progress.sessionOver(body instanceof Body.Streamed streamed && streamed.pipe().broken()), null);
+        end(
+                progress.sessionOver(body instanceof Body.Streamed streamed
+                        && streamed.pipe().broken()),
+                null);
         if (waits) {
             counters.count(Counter.DISPATCHES_HELD_BACK);
         }
@@ -336,12 +359,10 @@
     /** Told how an errand goes; all but the first on the decision thread. */
     interface Course {
         /** The last byte has been written; on an I/O thread. */
-        default void written() {
-        }
+        default void written() {}
 
         /** The answer has begun and goes on in pieces. */
-        default void begun(HttpResponse head, Body.Streamed answer) {
-        }
+        default void begun(HttpResponse head, Body.Streamed answer) {}
 
         /** {@code reply} is null where none was waited for. */
         void ended(Outcome outcome, Reply reply);
--- a/balancer/src/main/java/calicochute/backend/Opening.java
+++ b/balancer/src/main/java/calicochute/backend/Opening.java
@@ -5,12 +5,14 @@
 import calicochute.metrics.Counter;
 
 /**
- * A connection on its way up, for whoever waits at its server then. It may come up later than a dispatch waits: it is kept
- * then, so that the handshake is not lost and the next dispatch finds it, but not for good and only so many to a server.
+ * A connection on its way up, for whoever waits at its server then. It may come up later than a dispatch waits: it is
+ * kept then, so that the handshake is not lost and the next dispatch finds it, but not for good and only so many to a
+ * server.
  */
 final class Opening {
     /** Nobody counts on one that is not up by then. */
     private static final long LONGEST = 2_000_000;
+
     private final Connections connections;
     private final BackendServer server;
     private Connection connection;
--- a/balancer/src/main/java/calicochute/backend/Progress.java
+++ b/balancer/src/main/java/calicochute/backend/Progress.java
@@ -3,15 +3,25 @@
 import calicochute.decision.Balancer.Outcome;
 
 /**
- * How far one request is on its way to a server: a state machine without I/O, with time passed in (microseconds). It waits for
- * a connection, is out once a call has begun on one, and ends once; what comes after its end changes nothing. Whether it may
- * be sent is decided when it is: a connection may come up long after the server was picked.
+ * How far one request is on its way to a server: a state machine without I/O, with time passed in (microseconds). It
+ * waits for a connection, is out once a call has begun on one, and ends once; what comes after its end changes nothing.
+ * Whether it may be sent is decided when it is: a connection may come up long after the server was picked.
  */
 final class Progress {
     /** What is to be done now. */
-    enum Step { NOTHING, CALL, FIND_CONNECTION, END }
+    enum Step {
+        NOTHING,
+        CALL,
+        FIND_CONNECTION,
+        END
+    }
 
-    private enum Stage { WAITING, OUT, BEGUN, ENDED }
+    private enum Stage {
+        WAITING,
+        OUT,
+        BEGUN,
+        ENDED
+    }
 
     private final long notAfter;
     private Stage stage = Stage.WAITING;
@@ -78,7 +88,10 @@
         };
     }
 
-    /** The session is over: what waits is never sent; nor can what was begun come to its last byte if {@code unfinished}. */
+    /**
+     * The session is over: what waits is never sent; nor can what was begun come to its last byte if
+     * {@code unfinished}.
+     */
     Step sessionOver(boolean unfinished) {
         return stage == Stage.WAITING ? end(Outcome.MOOT) : unfinished ? withdrawn() : Step.NOTHING;
     }
--- a/balancer/src/main/java/calicochute/cli/CheckCommand.java
+++ b/balancer/src/main/java/calicochute/cli/CheckCommand.java
@@ -21,15 +21,22 @@
     public void run() throws Exception {
         Configuration told = configuration.read();
         System.out.println(told.name() + ": tier " + told.settings().tier() + ", listens at " + told.listen()
-            + ", discovery at " + told.discovery() + ", " + told.settings().classes().size() + " classes, "
-            + told.settings().tenants().size() + " tenants");
+                + ", discovery at " + told.discovery() + ", "
+                + told.settings().classes().size() + " classes, "
+                + told.settings().tenants().size() + " tenants");
         String named = System.getenv(FleetStart.VARIABLE);
         if (named != null && !named.isEmpty()) {
-            List<Backend> servers = told.known().isEmpty() ? List.of() : ServerList.parse(told.known()).entries();
+            List<Backend> servers = told.known().isEmpty()
+                    ? List.of()
+                    : ServerList.parse(told.known()).entries();
             OperatorFile file = OperatorFileReader.read(Path.of(named), told.name(), told.settings(), servers);
-            System.out.println(named + ": cluster " + file.cluster() + ", " + file.me() + " of " + file.peers().size() + " peers at " + file.listen()
-                + ", outcomes " + (file.share() ? "shared" : "kept") + ", " + file.experiments().size() + " experiments"
-                + (told.settings().limits().peers() ? "" : "; off, since the settings forbid talk between balancers (caps.peers)"));
+            System.out.println(named + ": cluster " + file.cluster() + ", " + file.me() + " of "
+                    + file.peers().size() + " peers at " + file.listen()
+                    + ", outcomes " + (file.share() ? "shared" : "kept") + ", "
+                    + file.experiments().size() + " experiments"
+                    + (told.settings().limits().peers()
+                            ? ""
+                            : "; off, since the settings forbid talk between balancers (caps.peers)"));
         }
     }
 }
--- a/balancer/src/main/java/calicochute/cli/CommandLine.java
+++ b/balancer/src/main/java/calicochute/cli/CommandLine.java
@@ -16,6 +16,7 @@
 public final class CommandLine {
     /** The statuses a command line ends with. */
     public static final int DONE = 0;
+
     public static final int FAILED = 1;
     public static final int WRONG_USAGE = 2;
     private final String program;
@@ -28,7 +29,10 @@
 
     /** What every level understands beside its commands. */
     private static final class Help {
-        @Parameter(names = {"--help", "-h"}, help = true, description = "Say what there is to say, and end")
+        @Parameter(
+                names = {"--help", "-h"},
+                help = true,
+                description = "Say what there is to say, and end")
         private boolean wanted;
     }
 
@@ -77,7 +81,8 @@
     }
 
     private JCommander parser() {
-        JCommander.Builder builder = JCommander.newBuilder().programName(program).addObject(new Help());
+        JCommander.Builder builder =
+                JCommander.newBuilder().programName(program).addObject(new Help());
         commands.forEach(builder::addCommand);
         return builder.build();
     }
--- a/balancer/src/main/java/calicochute/cli/Hangup.java
+++ b/balancer/src/main/java/calicochute/cli/Hangup.java
@@ -5,15 +5,14 @@
 
 /** Hears SIGHUP. Without a handler of its own the virtual machine takes it for an order to end. */
 final class Hangup {
-    private Hangup() {
-    }
+    private Hangup() {}
 
     /**
      * Runs the task, on a thread of its own, at each SIGHUP from now on. The class that does it is one that the
      * compiler warns of and that has no replacement: hence by reflection, for a build without warnings.
      *
-     * @return false if the process was started with SIGHUP ignored, as nohup does: the virtual machine leaves it so, and the
-     *     task will never run
+     * @return false if the process was started with SIGHUP ignored, as nohup does: the virtual machine leaves it so,
+     *     and the task will never run
      */
     static boolean handle(Runnable task) {
         InvocationHandler handler = (proxy, method, arguments) -> {
@@ -34,9 +33,12 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> signalHandler = Class.forName("sun.misc.SignalHandler");
-            Object before = signal.getMethod("handle", signal, signalHandler).invoke(null,
-                signal.getConstructor(String.class).newInstance("HUP"),
-                Proxy.newProxyInstance(Hangup.class.getClassLoader(), new Class<?>[] {signalHandler}, handler));
+            Object before = signal.getMethod("handle", signal, signalHandler)
+                    .invoke(
+                            null,
+                            signal.getConstructor(String.class).newInstance("HUP"),
+                            Proxy.newProxyInstance(
+                                    Hangup.class.getClassLoader(), new Class<?>[] {signalHandler}, handler));
             return before != signalHandler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("this Java does not let SIGHUP be handled", e);
--- a/balancer/src/main/java/calicochute/cli/RehearseCommand.java
+++ b/balancer/src/main/java/calicochute/cli/RehearseCommand.java
@@ -16,8 +16,8 @@
 import org.apache.hc.core5.http.message.BasicHttpRequest;
 
 /**
- * Runs each part once, as a balancer whose only backend server and discovery are itself, and ends. The build uses
- * it to find out which classes a start needs, for the class archive.
+ * Runs each part once, as a balancer whose only backend server and discovery are itself, and ends. The build uses it to
+ * find out which classes a start needs, for the class archive.
  */
 @Parameters(commandDescription = "Run each part once against itself on loopback, and end (the build's class archive)")
 final class RehearseCommand implements CommandLine.Command {
@@ -46,7 +46,7 @@
             clients.start();
             for (int i = 0; i < SESSIONS; i++) {
                 int id = i;
-                clients.open(listening, 1_000_000, c -> ask(c, address, id, answers), e -> { }, c -> { });
+                clients.open(listening, 1_000_000, c -> ask(c, address, id, answers), e -> {}, c -> {});
             }
             if (!answers.await(PATIENCE_S, TimeUnit.SECONDS)) {
                 throw new IllegalStateException("the rehearsal got no answer");
--- a/balancer/src/main/java/calicochute/cli/ServeCommand.java
+++ b/balancer/src/main/java/calicochute/cli/ServeCommand.java
@@ -18,10 +18,12 @@
 @Parameters(commandDescription = "Run one balancer on real sockets")
 final class ServeCommand implements CommandLine.Command {
     private static final long LAST_WORDS_MS = 200;
+
     @ParametersDelegate
     private final ConfigurationOption configuration = new ConfigurationOption();
     /** The file's text as it was taken last. */
     private Configuration running;
+
     private final Object starting = new Object();
     private Startup startup = Startup.begun();
 
@@ -33,9 +35,12 @@
         // Before the start: without a handler SIGHUP ends a Java program, and /ready may say 200 as soon as it listens.
         running = told;
         if (!Hangup.handle(() -> reload(node))) {
-            Log.warn("hangup-ignored", "started with SIGHUP ignored (nohup?): new settings can't be taken over until a restart");
+            Log.warn(
+                    "hangup-ignored",
+                    "started with SIGHUP ignored (nohup?): new settings can't be taken over until a restart");
         }
-        // Before the start: from its listening on clients may come, and a SIGTERM that finds no hook ends the process with what it has taken.
+        // Before the start: from its listening on clients may come, and a SIGTERM that finds no hook ends the process
+        // with what it has taken.
         Thread starter = Thread.currentThread();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node, counters, starter), "drain"));
         InetSocketAddress address;
@@ -84,7 +89,10 @@
         }
     }
 
-    /** On SIGTERM: everything taken is answered, the counters are printed, and the exit status is 0. A start that failed ends with its own. */
+    /**
+     * On SIGTERM: everything taken is answered, the counters are printed, and the exit status is 0. A start that failed
+     * ends with its own.
+     */
     private void stop(Node node, Counters counters, Thread starter) {
         int status = CommandLine.DONE;
         try {
--- a/balancer/src/main/java/calicochute/cli/Startup.java
+++ b/balancer/src/main/java/calicochute/cli/Startup.java
@@ -1,17 +1,21 @@
 package calicochute.cli;
 
 /**
- * What a planned stop has to do, whenever it comes: an immutable state without I/O. From its listening on a process may hold
- * requests, which is a moment before its start is over.
+ * What a planned stop has to do, whenever it comes: an immutable state without I/O. From its listening on a process may
+ * hold requests, which is a moment before its start is over.
  *
- * <p>Guards against a stop that finds a process in its start: it would end with what it has taken unanswered, or drain what is not
- * there yet; and against a start that fails and ends with the status of a stop.
+ * <p>Guards against a stop that finds a process in its start: it would end with what it has taken unanswered, or drain
+ * what is not there yet; and against a start that fails and ends with the status of a stop.
  *
  * @param stopping the virtual machine runs its hooks
  * @param failedFirst the start had failed before that: hooks run since the program ends by itself
  */
 record Startup(Phase phase, boolean stopping, boolean failedFirst) {
-    enum Phase { STARTING, SERVING, FAILED }
+    enum Phase {
+        STARTING,
+        SERVING,
+        FAILED
+    }
 
     /** What the hook does next. */
     enum Step {
--- a/balancer/src/main/java/calicochute/connection/AnswerGuard.java
+++ b/balancer/src/main/java/calicochute/connection/AnswerGuard.java
@@ -13,7 +13,7 @@
 /** Reads the heads of answers on one connection; one that no call awaits, or that can be read in two ways, ends it. */
 final class AnswerGuard implements NHttpMessageParser<HttpResponse> {
     private final NHttpMessageParser<HttpResponse> parser =
-        new WholeHeads<>(new DefaultHttpResponseParserFactory(Connector.LIMITS).create());
+            new WholeHeads<>(new DefaultHttpResponseParserFactory(Connector.LIMITS).create());
     private final Connection connection;
 
     AnswerGuard(Connection connection) {
--- a/balancer/src/main/java/calicochute/connection/Call.java
+++ b/balancer/src/main/java/calicochute/connection/Call.java
@@ -42,9 +42,10 @@
     private volatile boolean produced;
     /** The body's bytes, and whether they are known before its end: then the last may leave before its end is told. */
     private final boolean told;
+
     private volatile long payload;
     private EndpointDetails endpoint;
-    private Runnable sending = () -> { };
+    private Runnable sending = () -> {};
     private long sentBefore;
     private HttpResponse response;
     private long length = -1;
@@ -59,7 +60,7 @@
      * @param body no longer body is taken
      * @param window from this many bytes on an answer is handed on in pieces; 0 if it never is
      */
-    record Limits(long body, int window) { }
+    record Limits(long body, int window) {}
 
     Call(HttpRequest request, Body body, Limits limits, CallListener listener) {
         this.request = request;
@@ -86,15 +87,19 @@
     @Override
     public void produceRequest(RequestChannel channel, HttpContext context) throws HttpException, IOException {
         sending.run();
-        channel.sendRequest(request, body instanceof Body.Streamed streamed
-            ? new BasicEntityDetails(streamed.length(), null)
-            : left.hasRemaining() ? new BasicEntityDetails(left.remaining(), null) : null, context);
+        channel.sendRequest(
+                request,
+                body instanceof Body.Streamed streamed
+                        ? new BasicEntityDetails(streamed.length(), null)
+                        : left.hasRemaining() ? new BasicEntityDetails(left.remaining(), null) : null,
+                context);
     }
 
     @Override
     public int available() {
         return body instanceof Body.Streamed streamed
-            ? produced ? 0 : streamed.pipe().drained() ? 1 : streamed.pipe().held() : left.remaining();
+                ? produced ? 0 : streamed.pipe().drained() ? 1 : streamed.pipe().held()
+                : left.remaining();
     }
 
     @Override
@@ -173,8 +178,9 @@
             throw new IOException("answer over " + most(response) + " bytes");
         }
         answer.put(data);
-        if (!begun && streams(response)
-            && (length > Bounds.BODY || length < 0 && total > Bounds.UNTOLD || total > Bounds.BODY)) {
+        if (!begun
+                && streams(response)
+                && (length > Bounds.BODY || length < 0 && total > Bounds.UNTOLD || total > Bounds.BODY)) {
             begun = true;
             answer.shrink(Bounds.WINDOW - limits.window);
             listener.begun(response, new Body.Streamed(answer, length));
@@ -209,10 +215,15 @@
         if (ended.compareAndSet(false, true)) {
             wrote();
             // Pieces that were taken are gone even if none of their bytes went out: a call made again would lack them.
-            boolean gone = body instanceof Body.Streamed streamed && streamed.pipe().taken();
+            boolean gone =
+                    body instanceof Body.Streamed streamed && streamed.pipe().taken();
             boolean sent = gone || endpoint.getSentBytesCount() > sentBefore;
-            listener.ended(new Reply(whole ? response : null, begun || !whole ? new byte[0] : answer.all(), sent,
-                writtenTold.get(), whole && reusable && produced));
+            listener.ended(new Reply(
+                    whole ? response : null,
+                    begun || !whole ? new byte[0] : answer.all(),
+                    sent,
+                    writtenTold.get(),
+                    whole && reusable && produced));
             if (!whole) {
                 // Only now: whoever passes the answer on hears of the cut after it is known that the server made it.
                 answer.breakOff();
@@ -222,8 +233,10 @@
 
     /** Some output has been written: tells once if the last byte of this was among it. */
     void wrote() {
-        if (!writtenTold.get() && (produced || told) && endpoint.getSentBytesCount() - sentBefore >= headLength() + payload
-            && writtenTold.compareAndSet(false, true)) {
+        if (!writtenTold.get()
+                && (produced || told)
+                && endpoint.getSentBytesCount() - sentBefore >= headLength() + payload
+                && writtenTold.compareAndSet(false, true)) {
             listener.written();
         }
     }
--- a/balancer/src/main/java/calicochute/connection/Connection.java
+++ b/balancer/src/main/java/calicochute/connection/Connection.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 import org.apache.hc.core5.http.HttpConnection;
 import org.apache.hc.core5.http.HttpRequest;
-import org.apache.hc.core5.http.protocol.HttpCoreContext;
 import org.apache.hc.core5.http.nio.command.RequestExecutionCommand;
+import org.apache.hc.core5.http.protocol.HttpCoreContext;
 import org.apache.hc.core5.io.CloseMode;
 import org.apache.hc.core5.reactor.Command;
 import org.apache.hc.core5.reactor.IOSession;
@@ -16,6 +16,7 @@
 public final class Connection {
     /** Told on an I/O thread when the connection has ended, by whichever side. */
     private final Consumer<Connection> onClosed;
+
     private volatile Future<IOSession> opening;
     private volatile IOSession session;
     private volatile boolean closed;
--- a/balancer/src/main/java/calicochute/connection/Reply.java
+++ b/balancer/src/main/java/calicochute/connection/Reply.java
@@ -13,7 +13,8 @@
 
     /** A header of the response, or null. */
     public String header(String name) {
-        return response == null || response.getFirstHeader(name) == null ? null
-            : response.getFirstHeader(name).getValue();
+        return response == null || response.getFirstHeader(name) == null
+                ? null
+                : response.getFirstHeader(name).getValue();
     }
 }
--- a/balancer/src/main/java/calicochute/discovery/Discovery.java
+++ b/balancer/src/main/java/calicochute/discovery/Discovery.java
@@ -16,11 +16,15 @@
 import java.util.Map;
 import org.apache.hc.core5.http.message.BasicHttpRequest;
 
-/** Keeps the watch on the list of backend servers; discovery sends all of it where changes would not do. All on the decision thread. */
+/**
+ * Keeps the watch on the list of backend servers; discovery sends all of it where changes would not do. All on the
+ * decision thread.
+ */
 public final class Discovery {
     private static final String PATH = "/v1/endpoints";
     /** Longer lists, in bytes, are read on a thread of their own. */
     private static final int LARGE = 1 << 16;
+
     private static final int BODY_LIMIT = 1 << 23;
     private final Connector connector;
     private final DecisionQueue queue;
@@ -32,6 +36,7 @@
     private final Map<WatchClock.Call, Query> out = new HashMap<>();
     /** On whose connection the last answer came. */
     private Query latest;
+
     private DecisionQueue.Alarm alarm;
     private long generation;
     private boolean told;
@@ -43,13 +48,24 @@
     }
 
     /** @param rules where discovery is asked, pauses after calls that fail are at most half of its asking time */
-    public Discovery(Connector connector, DecisionQueue queue, Counters counters, InetSocketAddress address,
-                     ListListener listener, Settings rules) {
+    public Discovery(
+            Connector connector,
+            DecisionQueue queue,
+            Counters counters,
+            InetSocketAddress address,
+            ListListener listener,
+            Settings rules) {
         this(connector, queue, counters, address, listener, rules, ServerList::parse);
     }
 
-    Discovery(Connector connector, DecisionQueue queue, Counters counters, InetSocketAddress address,
-              ListListener listener, Settings rules, Reader reader) {
+    Discovery(
+            Connector connector,
+            DecisionQueue queue,
+            Counters counters,
+            InetSocketAddress address,
+            ListListener listener,
+            Settings rules,
+            Reader reader) {
         this.connector = connector;
         this.queue = queue;
         this.counters = counters;
@@ -80,8 +96,8 @@
     }
 
     /**
-     * Begins the watch by itself, where lists are pushed: they come on a watch too, the module asks for none there, and from
-     * the first moment of a process it counts as told.
+     * Begins the watch by itself, where lists are pushed: they come on a watch too, the module asks for none there, and
+     * from the first moment of a process it counts as told.
      */
     public void begin() {
         if (!clock.active()) {
@@ -91,8 +107,8 @@
     }
 
     /**
-     * Begins the watch, or ends it; one that is under way goes on. Under way is also one that has failed: the clock owns the
-     * pauses, lest the module's come on top of them.
+     * Begins the watch, or ends it; one that is under way goes on. Under way is also one that has failed: the clock
+     * owns the pauses, lest the module's come on top of them.
      */
     public void subscribe(boolean on) {
         if (!on) {
@@ -105,8 +121,9 @@
     }
 
     /**
-     * Asks at another address from now on. The watch goes on there, from the version held: it is the same service, and what
-     * it has to tell counts as told 4 s after the move. All balancers are told to move at once, so they spread a little.
+     * Asks at another address from now on. The watch goes on there, from the version held: it is the same service, and
+     * what it has to tell counts as told 4 s after the move. All balancers are told to move at once, so they spread a
+     * little.
      */
     public void move(InetSocketAddress to) {
         if (!to.equals(address)) {
@@ -158,7 +175,10 @@
     private void begin(WatchClock.Call call) {
         counters.count(Counter.DISCOVERY_CALLS);
         // One whose connection is still coming up is no silent one: that it never does is told when it is given up.
-        List<Query> silent = out.entrySet().stream().filter(e -> e.getKey().isConnected()).map(Map.Entry::getValue).toList();
+        List<Query> silent = out.entrySet().stream()
+                .filter(e -> e.getKey().isConnected())
+                .map(Map.Entry::getValue)
+                .toList();
         if (!silent.isEmpty()) {
             counters.count(Counter.DISCOVERY_REOPENED);
             silent.forEach(q -> q.fault("no answer"));
@@ -186,7 +206,7 @@
     }
 
     /** What an answer's body says: a list, or else why it is none. */
-    private record Reading(ServerList list, String error) { }
+    private record Reading(ServerList list, String error) {}
 
     private Reading reading(Reply reply) {
         if (reply.status() != 200) {
@@ -209,17 +229,22 @@
                 send(call);
                 return;
             }
-            connection = connector.open(address, WatchClock.CONNECT, c -> queue.post(() -> {
-                if (out.get(call) == this) {
-                    call.connected();
-                    send(call);
-                }
-            }), e -> queue.post(() -> fail(call, String.valueOf(e.getMessage()))), c -> { });
+            connection = connector.open(
+                    address,
+                    WatchClock.CONNECT,
+                    c -> queue.post(() -> {
+                        if (out.get(call) == this) {
+                            call.connected();
+                            send(call);
+                        }
+                    }),
+                    e -> queue.post(() -> fail(call, String.valueOf(e.getMessage()))),
+                    c -> {});
         }
 
         private void send(WatchClock.Call call) {
-            BasicHttpRequest request = new BasicHttpRequest("GET",
-                PATH + "?since=" + generation + "&timeout_ms=" + call.waitMs);
+            BasicHttpRequest request =
+                    new BasicHttpRequest("GET", PATH + "?since=" + generation + "&timeout_ms=" + call.waitMs);
             request.addHeader("Host", address.getHostString() + ":" + address.getPort());
             connection.call(request, new byte[0], BODY_LIMIT, r -> read(call, r));
         }
@@ -230,17 +255,21 @@
                 queue.post(() -> replied(call, reply, reading(reply)));
                 return;
             }
-            // Guards against sessions that wait while a long list is read: 10,000 entries took 0.3 s in a young process.
-            Thread thread = new Thread(() -> {
-                Reading reading = new Reading(null, "could not be read");
-                try {
-                    reading = reading(reply);
-                } finally {
-                    // Guards against a watch that waits for good: while an answer is read, no other is asked for.
-                    Reading read = reading;
-                    queue.post(() -> replied(call, reply, read));
-                }
-            }, "list");
+            // Guards against sessions that wait while a long list is read: 10,000 entries took 0.3 s in a young
+            // process.
+            Thread thread = new Thread(
+                    () -> {
+                        Reading reading = new Reading(null, "could not be read");
+                        try {
+                            reading = reading(reply);
+                        } finally {
+                            // Guards against a watch that waits for good: while an answer is read, no other is asked
+                            // for.
+                            Reading read = reading;
+                            queue.post(() -> replied(call, reply, read));
+                        }
+                    },
+                    "list");
             thread.setDaemon(true);
             thread.start();
             // Only once it runs; where it is done before, this finds the call over.
--- a/balancer/src/main/java/calicochute/exchange/Dispatch.java
+++ b/balancer/src/main/java/calicochute/exchange/Dispatch.java
@@ -10,6 +10,7 @@
     public final long sentAt;
     /** It must not be sent from then on: what the rules allow now they may not once a connection has come up. */
     public final long notAfter;
+
     private Outcome outcome;
 
     Dispatch(Exchange exchange, int number, String server, long sentAt, long notAfter) {
--- a/balancer/src/main/java/calicochute/exchange/Exchange.java
+++ b/balancer/src/main/java/calicochute/exchange/Exchange.java
@@ -5,24 +5,27 @@
 import java.util.List;
 
 /**
- * One session: what the client sent, by when it wants its answer, which dispatches were made for it and whether it
- * has been answered. Client side and servers' side meet only here. What changes is the decision thread's own.
+ * One session: what the client sent, by when it wants its answer, which dispatches were made for it and whether it has
+ * been answered. Client side and servers' side meet only here. What changes is the decision thread's own.
  */
 public final class Exchange {
     /** The session's number, unique in this process. */
     public final long id;
     /** The client's own name for the session. */
     public final String clientId;
+
     public final Message message;
     public final int classIndex;
     public final int tenantIndex;
     /** What the site permitted when it began; holds to its end. */
     public final Limits limits;
+
     public final boolean retry;
     /** How long the client waits, in microseconds. */
     public final long patience;
     /** When the last byte came, or the session's begin until then: microseconds of the decision queue. */
     private long arrivedAt;
+
     private boolean whole;
     private boolean passing;
     private boolean cut;
@@ -32,8 +35,17 @@
     /** Known before the decision thread comes to it, which may be late. */
     private volatile boolean clientLeft;
 
-    public Exchange(long id, String clientId, Message message, int classIndex, int tenantIndex, Limits limits,
-                    boolean retry, long arrivedAt, long patience, Respondent respondent) {
+    public Exchange(
+            long id,
+            String clientId,
+            Message message,
+            int classIndex,
+            int tenantIndex,
+            Limits limits,
+            boolean retry,
+            long arrivedAt,
+            long patience,
+            Respondent respondent) {
         this.id = id;
         this.clientId = clientId;
         this.message = message;
--- a/balancer/src/main/java/calicochute/exchange/Pipe.java
+++ b/balancer/src/main/java/calicochute/exchange/Pipe.java
@@ -5,9 +5,9 @@
 import java.util.ArrayDeque;
 
 /**
- * A body on its way from one I/O thread to another. The source puts pieces; the sink takes them; what was taken goes back to
- * the source as credit, so that it never reads more than its window ahead. Any thread may call; listeners are called without
- * locks held, and must not block.
+ * A body on its way from one I/O thread to another. The source puts pieces; the sink takes them; what was taken goes
+ * back to the source as credit, so that it never reads more than its window ahead. Any thread may call; listeners are
+ * called without locks held, and must not block.
  */
 public final class Pipe {
     /** Where a sink writes: as many bytes as it has room for, like a channel. */
@@ -29,6 +29,7 @@
     private boolean taken;
     /** Credit not granted yet: for lack of a listener, or since the window is to shrink. */
     private int owed;
+
     private int withheld;
     private long movedAt = System.nanoTime();
     private Credit credit;
@@ -165,8 +166,8 @@
     }
 
     /**
-     * So many bytes were granted ahead of time: those taken next are not granted again. Where something was offered to a sink
-     * already there is no need to, and it answers false.
+     * So many bytes were granted ahead of time: those taken next are not granted again. Where something was offered to
+     * a sink already there is no need to, and it answers false.
      */
     public synchronized boolean advance(int bytes) {
         if (taken || abandoned) {
@@ -181,7 +182,9 @@
         return withheld;
     }
 
-    /** Called from now on whenever there is more to take, the body ends or is broken; to be set before the first take. */
+    /**
+     * Called from now on whenever there is more to take, the body ends or is broken; to be set before the first take.
+     */
     public synchronized void whenReady(Runnable listener) {
         ready = listener;
     }
--- a/balancer/src/main/java/calicochute/fleet/Adviser.java
+++ b/balancer/src/main/java/calicochute/fleet/Adviser.java
@@ -22,6 +22,7 @@
 final class Adviser {
     /** Microseconds from one advice to the next. */
     private static final long ADVISE = 250_000;
+
     private final Bandit bandit;
     private final Consumer<Event> module;
     private Set<String> trying = Set.of();
@@ -40,8 +41,10 @@
             return;
         }
         advisedAt = now;
-        List<Listed> listed = servers.stream().map(b -> new Listed(b.id(), b.startedAt(), b.kind(), b.zone(), b.weight(),
-            b.state() == BackendState.READY)).toList();
+        List<Listed> listed = servers.stream()
+                .map(b -> new Listed(
+                        b.id(), b.startedAt(), b.kind(), b.zone(), b.weight(), b.state() == BackendState.READY))
+                .toList();
         bandit.heard(now, picture.get(), live, listed);
         Advices advices = bandit.advise(now);
         Set<String> turns = new HashSet<>();
--- a/balancer/src/main/java/calicochute/fleet/Channels.java
+++ b/balancer/src/main/java/calicochute/fleet/Channels.java
@@ -19,7 +19,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What this balancer says to the others and hears of them: datagrams, what in them is for whom, and the carriers of outcomes and experiments. */
+/**
+ * What this balancer says to the others and hears of them: datagrams, what in them is for whom, and the carriers of
+ * outcomes and experiments.
+ */
 final class Channels {
     private static final int OUTCOMES = 1;
     private static final int COUNTS = 2;
@@ -44,8 +47,11 @@
         this.trials = trials;
         me = file.me();
         file.peers().forEach(p -> addresses.put(p.id(), p.address()));
-        List<Member> members = file.peers().stream().map(p -> new Member(p.id(), p.address().toString())).toList();
-        gossip = new Gossip(new Group(file.cluster(), me, members), start, Limits.usual(), seed, this::send, new Ears());
+        List<Member> members = file.peers().stream()
+                .map(p -> new Member(p.id(), p.address().toString()))
+                .toList();
+        gossip =
+                new Gossip(new Group(file.cluster(), me, members), start, Limits.usual(), seed, this::send, new Ears());
         sharing = file.share() ? new Sharing(new Origin(me, start), Windows.USUAL, new Rows()) : null;
         datagrams = new Datagrams(file.listen(), this::came);
     }
@@ -84,7 +90,8 @@
 
     /** Lines for staff. */
     String text() {
-        return "overflowed " + datagrams.overflowed() + "\nunsent " + datagrams.unsent() + "\n" + gossip.counts().text();
+        return "overflowed " + datagrams.overflowed() + "\nunsent " + datagrams.unsent() + "\n"
+                + gossip.counts().text();
     }
 
     /** An experiment's counts of a window, to one who may seal it. */
@@ -98,7 +105,10 @@
     }
 
     private static byte[] marked(String name, byte[] body) {
-        return ByteBuffer.allocate(MARK + body.length).putInt(name.hashCode()).put(body).array();
+        return ByteBuffer.allocate(MARK + body.length)
+                .putInt(name.hashCode())
+                .put(body)
+                .array();
     }
 
     private final class Ears implements Gossip.Hearer {
@@ -145,7 +155,13 @@
 
         @Override
         public void spread(String key, long version, byte[] body) {
-            gossip.spread(queue.now(), OUTCOMES, me + "/" + key, version, body, queue.now() + ROWS_KEPT * Windows.USUAL.length());
+            gossip.spread(
+                    queue.now(),
+                    OUTCOMES,
+                    me + "/" + key,
+                    version,
+                    body,
+                    queue.now() + ROWS_KEPT * Windows.USUAL.length());
         }
 
         @Override
--- a/balancer/src/main/java/calicochute/fleet/Datagrams.java
+++ b/balancer/src/main/java/calicochute/fleet/Datagrams.java
@@ -12,10 +12,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** One UDP socket and the thread that reads it. What comes is bounded here: the decision thread never has more than a few hundred waiting. */
+/**
+ * One UDP socket and the thread that reads it. What comes is bounded here: the decision thread never has more than a
+ * few hundred waiting.
+ */
 final class Datagrams implements AutoCloseable {
     /** Bytes; none is longer, one that is was cut by the system and will be refused as malformed. */
     private static final int LONGEST = 1_500;
+
     private static final int MOST_WAITING = 512;
     private final DatagramChannel channel;
     private final Selector selector;
@@ -40,7 +44,8 @@
                 throw e;
             }
         } catch (IOException e) {
-            throw new FleetException(Code.FLEET_ADDRESS, String.valueOf(listen), "no datagrams can be heard: " + e.getMessage());
+            throw new FleetException(
+                    Code.FLEET_ADDRESS, String.valueOf(listen), "no datagrams can be heard: " + e.getMessage());
         }
         thread = new Thread(this::read, "fleet");
         thread.setDaemon(true);
--- a/balancer/src/main/java/calicochute/fleet/Experiments.java
+++ b/balancer/src/main/java/calicochute/fleet/Experiments.java
@@ -11,7 +11,9 @@
 import java.util.function.LongSupplier;
 import java.util.stream.Collectors;
 
-/** The experiments of the operator's file as they are under way at this balancer, and what of them outlives the process. */
+/**
+ * The experiments of the operator's file as they are under way at this balancer, and what of them outlives the process.
+ */
 final class Experiments {
     private final OperatorFile file;
     private final DecisionQueue queue;
@@ -26,7 +28,13 @@
      * @param longest deadline of any class as they are now, microseconds
      * @param trials is kept up to date, in the file's order
      */
-    Experiments(OperatorFile file, DecisionQueue queue, long start, LongSupplier longest, Channels channels, List<Trial> trials) {
+    Experiments(
+            OperatorFile file,
+            DecisionQueue queue,
+            long start,
+            LongSupplier longest,
+            Channels channels,
+            List<Trial> trials) {
         this.file = file;
         this.queue = queue;
         this.start = start;
@@ -41,7 +49,10 @@
         Trial trial = trial(experiment, null);
         byte[] kept = states == null ? null : states.read(trial.name());
         trials.add(kept == null ? trial : trial(experiment, kept));
-        Log.info("experiment", "name=" + trial.name() + " remembered=" + (kept != null) + (states == null ? " (no state folder: it begins anew if all restart)" : ""));
+        Log.info(
+                "experiment",
+                "name=" + trial.name() + " remembered=" + (kept != null)
+                        + (states == null ? " (no state folder: it begins anew if all restart)" : ""));
     }
 
     private Trial trial(Experiment experiment, byte[] kept) {
@@ -53,13 +64,20 @@
         List<Trial> before = List.copyOf(trials);
         trials.clear();
         for (Experiment experiment : wanted) {
-            Trial same = before.stream().filter(t -> t.experiment().equals(experiment)).findFirst().orElse(null);
+            Trial same = before.stream()
+                    .filter(t -> t.experiment().equals(experiment))
+                    .findFirst()
+                    .orElse(null);
             if (same != null) {
                 trials.add(same);
                 continue;
             }
-            before.stream().filter(t -> t.experiment().name().equals(experiment.name())).forEach(t ->
-                Log.warn("experiment-changed", "name=" + t.name() + " ends with verdict " + t.verdict() + " and begins anew under another name"));
+            before.stream()
+                    .filter(t -> t.experiment().name().equals(experiment.name()))
+                    .forEach(t -> Log.warn(
+                            "experiment-changed",
+                            "name=" + t.name() + " ends with verdict " + t.verdict()
+                                    + " and begins anew under another name"));
             begin(experiment);
         }
         before.stream().filter(t -> !trials.contains(t)).forEach(t -> Log.info("experiment-ends", t.text()));
@@ -67,7 +85,9 @@
 
     /** Lines for staff. */
     String text() {
-        return trials.isEmpty() ? "none\n" : trials.stream().map(t -> t.text() + '\n').collect(Collectors.joining());
+        return trials.isEmpty()
+                ? "none\n"
+                : trials.stream().map(t -> t.text() + '\n').collect(Collectors.joining());
     }
 
     private final class Host implements Trial.Host {
--- a/balancer/src/main/java/calicochute/fleet/Fleet.java
+++ b/balancer/src/main/java/calicochute/fleet/Fleet.java
@@ -20,12 +20,13 @@
 import java.util.function.Supplier;
 
 /**
- * This balancer's part in the fleet: counts what becomes of sessions and dispatches, shares it by datagrams, and runs its part of the experiments. All on the
- * decision thread; the socket's thread only posts what came.
+ * This balancer's part in the fleet: counts what becomes of sessions and dispatches, shares it by datagrams, and runs
+ * its part of the experiments. All on the decision thread; the socket's thread only posts what came.
  */
 public final class Fleet implements FleetPart {
     /** Microseconds. */
     private static final long TICK = 100_000;
+
     private static final long TEXTS = 1_000_000;
 
     private final DecisionQueue queue;
@@ -33,6 +34,7 @@
     private final OperatorFile file;
     /** Those under way, in the file's order: one list, which {@link Experiments} changes and the others look into. */
     private final List<Trial> trials = new ArrayList<>();
+
     private final List<String> peers;
     private final Channels channels;
     private final Experiments experiments;
@@ -47,18 +49,26 @@
      * @param next reads the operator's file anew; null where it can't be used (and has been said)
      * @param classes of the settings as they are now
      */
-    public Fleet(OperatorFile file, DecisionQueue queue, long seed, Supplier<OperatorFile> next, Supplier<List<RequestClass>> classes,
-                 Supplier<List<Balancer.Tenant>> tenants, Consumer<Event> module) throws FleetException {
+    public Fleet(
+            OperatorFile file,
+            DecisionQueue queue,
+            long seed,
+            Supplier<OperatorFile> next,
+            Supplier<List<RequestClass>> classes,
+            Supplier<List<Balancer.Tenant>> tenants,
+            Consumer<Event> module)
+            throws FleetException {
         this.file = file;
         this.queue = queue;
         this.next = next;
         long start = queue.now();
-        LongSupplier longest = () -> classes.get().stream().mapToLong(RequestClass::deadline).max().orElse(1_000_000);
+        LongSupplier longest = () ->
+                classes.get().stream().mapToLong(RequestClass::deadline).max().orElse(1_000_000);
         peers = file.ids();
         channels = new Channels(file, queue, start, seed, trials);
         experiments = new Experiments(file, queue, start, longest, channels, trials);
         Sharing sharing = channels.sharing();
-        placing = new Placing(trials, classes, sharing == null ? subjects -> { } : sharing::known, module);
+        placing = new Placing(trials, classes, sharing == null ? subjects -> {} : sharing::known, module);
         sessions = new Sessions(queue, trials, placing, classes, tenants, longest.getAsLong());
         adviser = file.bandit() ? new Adviser(file.me(), seed, module) : null;
     }
@@ -87,8 +97,12 @@
             return;
         }
         queue.post(() -> {
-            if (!changed.peers().equals(file.peers()) || !changed.listen().equals(file.listen()) || !changed.cluster().equals(file.cluster())) {
-                Log.warn("fleet-not-moved", "cluster, listen and peers stay as they were at the start; restart to change them");
+            if (!changed.peers().equals(file.peers())
+                    || !changed.listen().equals(file.listen())
+                    || !changed.cluster().equals(file.cluster())) {
+                Log.warn(
+                        "fleet-not-moved",
+                        "cluster, listen and peers stay as they were at the start; restart to change them");
             }
             experiments.change(changed.experiments());
             placing.place();
@@ -120,11 +134,16 @@
 
     private String text(Set<String> live) {
         Sharing sharing = channels.sharing();
-        String shared = sharing == null ? "" : "rows " + sharing.picture().rows(queue.now()).size() + "\nsick " + (adviser == null ? 0 : adviser.sick())
-            + "\ntries " + (adviser == null ? 0 : adviser.tries()) + "\noutcomes_dropped " + sharing.counts().all()
-            + "\nclock_off " + sharing.counts().clockOff() + "\n";
+        String shared = sharing == null
+                ? ""
+                : "rows " + sharing.picture().rows(queue.now()).size() + "\nsick "
+                        + (adviser == null ? 0 : adviser.sick())
+                        + "\ntries " + (adviser == null ? 0 : adviser.tries()) + "\noutcomes_dropped "
+                        + sharing.counts().all()
+                        + "\nclock_off " + sharing.counts().clockOff() + "\n";
         return "me " + file.me() + "\ncluster " + file.cluster() + "\nlive " + live.size() + "\npeers " + peers.size()
-            + "\nmissing " + peers.stream().filter(p -> !live.contains(p)).toList() + "\n" + channels.text() + shared;
+                + "\nmissing " + peers.stream().filter(p -> !live.contains(p)).toList() + "\n" + channels.text()
+                + shared;
     }
 
     @Override
--- a/balancer/src/main/java/calicochute/fleet/OwnCounts.java
+++ b/balancer/src/main/java/calicochute/fleet/OwnCounts.java
@@ -5,10 +5,14 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** This balancer's own counts of windows not sealed yet: told to those who may seal, told once more, and told anew to whoever comes to seal. */
+/**
+ * This balancer's own counts of windows not sealed yet: told to those who may seal, told once more, and told anew to
+ * whoever comes to seal.
+ */
 final class OwnCounts {
     /** Microseconds after which they are told once more. */
     private static final long AGAIN = 300_000;
+
     private static final int MOST_WINDOWS = 64;
     private final String me;
     private final BiConsumer<String, byte[]> say;
@@ -26,7 +30,9 @@
     void sealers(List<String> now) {
         List<String> before = sealers;
         sealers = now;
-        sealers.stream().filter(s -> !before.contains(s) && !s.equals(me)).forEach(s -> own.values().forEach(c -> say.accept(s, c)));
+        sealers.stream()
+                .filter(s -> !before.contains(s) && !s.equals(me))
+                .forEach(s -> own.values().forEach(c -> say.accept(s, c)));
     }
 
     /** This balancer's turn to seal, from 0; below 0 where it may not. */
--- a/balancer/src/main/java/calicochute/fleet/Placing.java
+++ b/balancer/src/main/java/calicochute/fleet/Placing.java
@@ -16,7 +16,10 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** The listed servers, and which of them is in which arm. Arms are numbered over all experiments: 1 and 2 are the first one's control and treatment. */
+/**
+ * The listed servers, and which of them is in which arm. Arms are numbered over all experiments: 1 and 2 are the first
+ * one's control and treatment.
+ */
 final class Placing {
     private final List<Trial> trials;
     private final Supplier<List<RequestClass>> classes;
@@ -29,7 +32,11 @@
      * @param trials as they are now
      * @param known hears which subjects rows may name
      */
-    Placing(List<Trial> trials, Supplier<List<RequestClass>> classes, Consumer<List<Subject>> known, Consumer<Event> module) {
+    Placing(
+            List<Trial> trials,
+            Supplier<List<RequestClass>> classes,
+            Consumer<List<Subject>> known,
+            Consumer<Event> module) {
         this.trials = trials;
         this.classes = classes;
         this.known = known;
--- a/balancer/src/main/java/calicochute/fleet/Sessions.java
+++ b/balancer/src/main/java/calicochute/fleet/Sessions.java
@@ -28,7 +28,10 @@
     private final Ledger ledger;
     private final Map<Long, Placed> placed = new HashMap<>();
 
-    /** A session under way: its window, and where it is in an experiment its trial, ticket and the arm's name. A reload does not change them. */
+    /**
+     * A session under way: its window, and where it is in an experiment its trial, ticket and the arm's name. A reload
+     * does not change them.
+     */
     private static final class Placed {
         final long window;
         final Trial trial;
@@ -54,8 +57,13 @@
      * @param trials as they are now
      * @param longest deadline of any class, microseconds
      */
-    Sessions(DecisionQueue queue, List<Trial> trials, Placing placing, Supplier<List<RequestClass>> classes, Supplier<List<Balancer.Tenant>> tenants,
-             long longest) {
+    Sessions(
+            DecisionQueue queue,
+            List<Trial> trials,
+            Placing placing,
+            Supplier<List<RequestClass>> classes,
+            Supplier<List<Balancer.Tenant>> tenants,
+            long longest) {
         this.queue = queue;
         this.trials = trials;
         this.placing = placing;
@@ -73,7 +81,9 @@
     int begun(Exchange exchange) {
         long now = queue.now();
         String lane = classes.get().get(exchange.classIndex).name();
-        String tenant = exchange.tenantIndex < 0 ? "" : tenants.get().get(exchange.tenantIndex).name();
+        String tenant = exchange.tenantIndex < 0
+                ? ""
+                : tenants.get().get(exchange.tenantIndex).name();
         Trial trial = null;
         Ticket ticket = null;
         int arm = 0;
@@ -88,10 +98,16 @@
         return arm;
     }
 
-    /** What a client's tries of one call have in common: the key where there is one; its own name of the session otherwise. */
+    /**
+     * What a client's tries of one call have in common: the key where there is one; its own name of the session
+     * otherwise.
+     */
     private static String call(Exchange exchange) {
-        return exchange.message.fields().stream().filter(f -> f.name().equalsIgnoreCase("Idempotency-Key")).map(f -> f.value()).findFirst()
-            .orElse(exchange.clientId);
+        return exchange.message.fields().stream()
+                .filter(f -> f.name().equalsIgnoreCase("Idempotency-Key"))
+                .map(f -> f.value())
+                .findFirst()
+                .orElse(exchange.clientId);
     }
 
     void dispatched(Dispatch dispatch, Outcome outcome, long elapsed) {
@@ -105,7 +121,11 @@
         if (server != null && server.startedAt() <= dispatch.sentAt) {
             RequestClass c = classes.get().get(dispatch.exchange.classIndex);
             double logSpeed = outcome == Outcome.OK ? -Math.log(Math.max(elapsed, 1) / 1e6) : Double.NaN;
-            ledger.count(p.window, new Subject(server.id(), server.startedAt(), c.name(), p.arm), end(outcome, elapsed, c), logSpeed);
+            ledger.count(
+                    p.window,
+                    new Subject(server.id(), server.startedAt(), c.name(), p.arm),
+                    end(outcome, elapsed, c),
+                    logSpeed);
         }
     }
 
--- a/balancer/src/main/java/calicochute/fleet/StateFolder.java
+++ b/balancer/src/main/java/calicochute/fleet/StateFolder.java
@@ -17,21 +17,26 @@
 import org.apache.hc.core5.concurrent.DefaultThreadFactory;
 
 /**
- * What outlives a process, a small file for each name, written whole or not at all on a thread of its own: a new file is forced to
- * the disk and then takes the old one's name. Each begins with a mark, a version and a checksum, into which whose state it is goes as well; what
- * lacks them is left as it is.
+ * What outlives a process, a small file for each name, written whole or not at all on a thread of its own: a new file
+ * is forced to the disk and then takes the old one's name. Each begins with a mark, a version and a checksum, into
+ * which whose state it is goes as well; what lacks them is left as it is.
  */
 final class StateFolder {
     private static final int MARK = 0xCA11C0DE;
     private static final int VERSION = 2;
-    /** Its checksum did not hold the owner. Still read: a voter that forgot over an upgrade what it had promised could promise twice. */
+    /**
+     * Its checksum did not hold the owner. Still read: a voter that forgot over an upgrade what it had promised could
+     * promise twice.
+     */
     private static final int OWNERLESS = 1;
+
     private static final int HEAD = 16;
     private static final int LONGEST = 1 << 16;
     private final Path folder;
     private final String cluster;
     private final String owner;
-    private final ExecutorService writer = Executors.newSingleThreadExecutor(new DefaultThreadFactory("fleet-state", true));
+    private final ExecutorService writer =
+            Executors.newSingleThreadExecutor(new DefaultThreadFactory("fleet-state", true));
 
     /**
      * @param cluster the fleet's name: the state of one is nothing to another
@@ -53,7 +58,10 @@
         return plain.equals(name) ? plain : plain + "-" + Integer.toHexString(name.hashCode());
     }
 
-    /** What was kept last under the name; null if nothing was, or nothing that can be used. Only at the start: it reads the disk. */
+    /**
+     * What was kept last under the name; null if nothing was, or nothing that can be used. Only at the start: it reads
+     * the disk.
+     */
     byte[] read(String name) {
         Path file = file(name);
         try {
@@ -69,13 +77,16 @@
             byte[] state = new byte[all.remaining()];
             all.get(state);
             if (sum != sum(version, name, state)) {
-                throw new FleetException(Code.STATE_FOREIGN, file.toString(), "is torn, or of another name, balancer or cluster");
+                throw new FleetException(
+                        Code.STATE_FOREIGN, file.toString(), "is torn, or of another name, balancer or cluster");
             }
             return state;
         } catch (NoSuchFileException e) {
             return null;
         } catch (IOException e) {
-            Log.warn("state-not-used", new FleetException(Code.STATE_FOLDER, file.toString(), "cannot be read: " + e).text());
+            Log.warn(
+                    "state-not-used",
+                    new FleetException(Code.STATE_FOLDER, file.toString(), "cannot be read: " + e).text());
             return null;
         } catch (FleetException e) {
             Log.warn("state-not-used", e.text());
@@ -90,8 +101,17 @@
             Path fresh = file.resolveSibling(file.getFileName() + ".new");
             try {
                 Files.createDirectories(folder);
-                try (FileChannel out = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
-                    ByteBuffer all = ByteBuffer.allocate(HEAD + state.length).putInt(MARK).putInt(VERSION).putLong(sum(VERSION, name, state)).put(state).flip();
+                try (FileChannel out = FileChannel.open(
+                        fresh,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.TRUNCATE_EXISTING,
+                        StandardOpenOption.WRITE)) {
+                    ByteBuffer all = ByteBuffer.allocate(HEAD + state.length)
+                            .putInt(MARK)
+                            .putInt(VERSION)
+                            .putLong(sum(VERSION, name, state))
+                            .put(state)
+                            .flip();
                     while (all.hasRemaining()) {
                         out.write(all);
                     }
@@ -100,7 +120,9 @@
                 Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
                 kept.run();
             } catch (IOException e) {
-                Log.warn("state-not-written", new FleetException(Code.STATE_FOLDER, file.toString(), String.valueOf(e)).text());
+                Log.warn(
+                        "state-not-written",
+                        new FleetException(Code.STATE_FOLDER, file.toString(), String.valueOf(e)).text());
             }
         });
     }
--- a/balancer/src/main/java/calicochute/fleet/Trial.java
+++ b/balancer/src/main/java/calicochute/fleet/Trial.java
@@ -30,16 +30,24 @@
 import java.util.function.LongSupplier;
 
 /**
- * One experiment at one balancer: assigns and counts its sessions, tells the windows that are whole to those who may seal them, and seals them where it is its
- * turn. Verdicts come out of the register alone, so that all read the same. On the decision thread.
+ * One experiment at one balancer: assigns and counts its sessions, tells the windows that are whole to those who may
+ * seal them, and seals them where it is its turn. Verdicts come out of the register alone, so that all read the same.
+ * On the decision thread.
  */
 final class Trial {
-    /** Windows from the one in which an experiment is begun, or a share moved, to the first that counts: all have heard by then. */
+    /**
+     * Windows from the one in which an experiment is begun, or a share moved, to the first that counts: all have heard
+     * by then.
+     */
     private static final int LEAD = 5;
     /** Those who may seal: so many in the order of the name's hash. */
     private static final int SEALERS = 3;
-    /** Microseconds past the last deadline of a window: for the counts to arrive, and until those who have not told are left out. */
+    /**
+     * Microseconds past the last deadline of a window: for the counts to arrive, and until those who have not told are
+     * left out.
+     */
     private static final long SETTLE = 700_000;
+
     private static final long GRACE = 2_500_000;
     private static final int MOST_WINDOWS = 64;
 
@@ -73,11 +81,20 @@
     private Collection<String> seen = List.of();
 
     /**
-     * @param deadline the longest of any class as they are now, microseconds: a reload may lengthen it in the midst of a window
+     * @param deadline the longest of any class as they are now, microseconds: a reload may lengthen it in the midst of
+     *     a window
      * @param kept the register's state as last kept, null for none
      */
-    Trial(Experiment experiment, Windows windows, List<String> peers, String me, long start, LongSupplier deadline, boolean remembers,
-          byte[] kept, Host host) {
+    Trial(
+            Experiment experiment,
+            Windows windows,
+            List<String> peers,
+            String me,
+            long start,
+            LongSupplier deadline,
+            boolean remembers,
+            byte[] kept,
+            Host host) {
         this.experiment = experiment;
         this.windows = windows;
         this.peers = peers;
@@ -88,7 +105,8 @@
         stopper = new Stopper(experiment, windows.length(), LEAD);
         name = experiment.name() + "@" + Integer.toHexString(stopper.definition());
         own = new OwnCounts(me, (peer, counts) -> host.counts(name, peer, counts));
-        register = new Register(experiment.name(), stopper.definition(), peers, me, start, remembers, kept, Timing.USUAL);
+        register =
+                new Register(experiment.name(), stopper.definition(), peers, me, start, remembers, kept, Timing.USUAL);
         read(false);
     }
 
@@ -104,7 +122,9 @@
     /** The arm whose servers a server belongs to, or null. */
     Arm armOf(Backend b) {
         Server server = OperatorFileReader.server(b);
-        return experiment.control().takes(server) ? Arm.CONTROL : experiment.treatment().takes(server) ? Arm.TREATMENT : null;
+        return experiment.control().takes(server)
+                ? Arm.CONTROL
+                : experiment.treatment().takes(server) ? Arm.TREATMENT : null;
     }
 
     /** Null where the session is not in it, or it has not begun. */
@@ -128,10 +148,22 @@
 
     private void take(long now, String from, Counts counts) {
         long window = counts.window();
-        boolean wanted = state != null && window > state.window() && window <= windows.number(now) && window > windows.number(now) - MOST_WINDOWS;
+        boolean wanted = state != null
+                && window > state.window()
+                && window <= windows.number(now)
+                && window > windows.number(now) - MOST_WINDOWS;
         if (wanted) {
-            gathered.computeIfAbsent(window, w -> new HashMap<>()).merge(from, counts,
-                (a, b) -> a.equals(b) ? a : Gathered.NONE.with(from, a).with(from, b).of(window).get(from));
+            gathered.computeIfAbsent(window, w -> new HashMap<>())
+                    .merge(
+                            from,
+                            counts,
+                            (a, b) -> a.equals(b)
+                                    ? a
+                                    : Gathered.NONE
+                                            .with(from, a)
+                                            .with(from, b)
+                                            .of(window)
+                                            .get(from));
         }
     }
 
@@ -167,14 +199,18 @@
     private void propose(long now, Collection<String> live) {
         Place place = register.place();
         if (state == null) {
-            register.propose(now, place, stopper.begin(windows.number(now) + LEAD).bytes());
+            register.propose(
+                    now, place, stopper.begin(windows.number(now) + LEAD).bytes());
             return;
         }
         long window = state.window() + 1;
         Map<String, Counts> heard = gathered.getOrDefault(window, Map.of());
         long due = windows.end(window) + deadline.getAsLong() + SETTLE;
         boolean all = heard.keySet().containsAll(live);
-        if (state.over(experiment) || now < due || !all && now < due + GRACE || proposedFor == window && proposedWith == heard.size()) {
+        if (state.over(experiment)
+                || now < due
+                || !all && now < due + GRACE
+                || proposedFor == window && proposedWith == heard.size()) {
             return;
         }
         proposedFor = window;
@@ -199,7 +235,9 @@
                         act(now);
                     });
                 } else if (effect instanceof Effect.Begun begun) {
-                    Log.info("experiment-epoch", "name=" + name + " epoch=" + begun.place().epoch().number() + " lost=" + begun.lost());
+                    Log.info(
+                            "experiment-epoch",
+                            "name=" + name + " epoch=" + begun.place().epoch().number() + " lost=" + begun.lost());
                 } else if (effect instanceof Effect.Decided) {
                     read(true);
                 }
@@ -225,7 +263,14 @@
             gathered.headMap(state.window(), true).clear();
             own.sealed(state.window());
             if (teller == null) {
-                teller = new Teller(experiment, peers.indexOf(me), peers.size(), state.first(), windows.number(began), windows.length(), w -> state.share(w));
+                teller = new Teller(
+                        experiment,
+                        peers.indexOf(me),
+                        peers.size(),
+                        state.first(),
+                        windows.number(began),
+                        windows.length(),
+                        w -> state.share(w));
             }
             if (say) {
                 TrialText.log(name, before, state, text());
--- a/balancer/src/main/java/calicochute/fleet/TrialText.java
+++ b/balancer/src/main/java/calicochute/fleet/TrialText.java
@@ -7,26 +7,31 @@
 
 /** What staff read of one experiment: a line in its text, and a line in the log whenever a window of it is sealed. */
 final class TrialText {
-    private TrialText() {
-    }
+    private TrialText() {}
 
     /** @param state null where it has not begun */
     static String line(String name, State state, Register register, long unreadable) {
         if (state == null) {
             return "name=" + name + " verdict=NONE window=none votes=" + register.votes();
         }
-        return "name=" + name + " verdict=" + state.verdict() + " window=" + state.window() + " share=" + state.share(state.window() + 1)
-            + String.format(" effect=%.4f spread=%.4f", state.effect(), state.spread())
-            + " sessions=" + (long) state.sessions(Arm.CONTROL) + "/" + (long) state.sessions(Arm.TREATMENT)
-            + String.format(" crossed=%.4f/%.4f cut=%.4f", state.crossed(Arm.CONTROL), state.crossed(Arm.TREATMENT), state.cut())
-            + " notes=" + state.notes() + " slot=" + register.slot() + " votes=" + register.votes() + " left_out=" + state.leftOut()
-            + " unreadable=" + unreadable;
+        return "name=" + name + " verdict=" + state.verdict() + " window=" + state.window() + " share="
+                + state.share(state.window() + 1)
+                + String.format(" effect=%.4f spread=%.4f", state.effect(), state.spread())
+                + " sessions=" + (long) state.sessions(Arm.CONTROL) + "/" + (long) state.sessions(Arm.TREATMENT)
+                + String.format(
+                        " crossed=%.4f/%.4f cut=%.4f",
+                        state.crossed(Arm.CONTROL), state.crossed(Arm.TREATMENT), state.cut())
+                + " notes=" + state.notes() + " slot=" + register.slot() + " votes=" + register.votes() + " left_out="
+                + state.leftOut()
+                + " unreadable=" + unreadable;
     }
 
     /** Logs what a sealed window changed. */
     static void log(String name, State before, State state, String line) {
         if (before == null) {
-            Log.info("experiment-begins", "name=" + name + " window=" + state.window() + " share=" + state.share(state.window() + 1));
+            Log.info(
+                    "experiment-begins",
+                    "name=" + name + " window=" + state.window() + " share=" + state.share(state.window() + 1));
         } else if (before.verdict() != state.verdict()) {
             Log.info("experiment-verdict", line);
         } else if (before.share(Long.MAX_VALUE - 1) != state.share(Long.MAX_VALUE - 1)) {
--- a/balancer/src/main/java/calicochute/framing/UncutLines.java
+++ b/balancer/src/main/java/calicochute/framing/UncutLines.java
@@ -9,9 +9,9 @@
 import org.apache.hc.core5.util.CharArrayBuffer;
 
 /**
- * What has come on a connection, with its lines only where they have come whole. Guards against a message cut short that is
- * taken for a whole one: at the connection's end HttpCore takes what there is of a line for all of it, and a chunk's size
- * that was cut behind a leading zero for the last chunk.
+ * What has come on a connection, with its lines only where they have come whole. Guards against a message cut short
+ * that is taken for a whole one: at the connection's end HttpCore takes what there is of a line for all of it, and a
+ * chunk's size that was cut behind a leading zero for the last chunk.
  */
 public final class UncutLines implements SessionInputBuffer {
     private final SessionInputBuffer buffer;
--- a/balancer/src/main/java/calicochute/frontend/ClientConnection.java
+++ b/balancer/src/main/java/calicochute/frontend/ClientConnection.java
@@ -41,13 +41,17 @@
  * frontend's I/O thread.
  */
 final class ClientConnection extends ServerHttp1IOEventHandler {
-    static final Http1Config LIMITS = Http1Config.custom().setBufferSize(Bounds.BUFFER)
-        .setMaxLineLength(Bounds.LINE).setMaxHeaderCount(Bounds.FIELDS)
-        .setInitialWindowSize(Bounds.WINDOW).build();
+    static final Http1Config LIMITS = Http1Config.custom()
+            .setBufferSize(Bounds.BUFFER)
+            .setMaxLineLength(Bounds.LINE)
+            .setMaxHeaderCount(Bounds.FIELDS)
+            .setInitialWindowSize(Bounds.WINDOW)
+            .build();
     /** From a connection's start, or a later request's first byte, to the end of the request's head. */
     private static final long REQUEST_MS = 2400;
     /** A body may stand still for so long, and comes at so many bytes in a millisecond from then on. */
     private static final long STILL_MS = 2000;
+
     private static final long RATE = 16;
     /** A client may leave a long answer unread for so long. */
     private static final long UNREAD_MS = 15_000;
@@ -55,12 +59,15 @@
     private static final long IDLE_MS = 10_000;
     /** A client that has connected speaks at once; one that has had its answer may pause for a while. */
     private static final long SILENT_MS = 250;
+
     private static final long RESTING_MS = 2000;
     /** An answer just given is still on its way out. */
     private static final long SETTLE_MS = 50;
     /** What has had its last answer is ended this much later, if the client has not done so. */
     private static final long LINGER_MS = 250;
-    private static final HttpProcessor PROCESSOR = HttpProcessorBuilder.create().add(new RequestValidateHost()).build();
+
+    private static final HttpProcessor PROCESSOR =
+            HttpProcessorBuilder.create().add(new RequestValidateHost()).build();
 
     /** What handlers and the guard of one connection share with it; they are made before it is. */
     static final class State {
@@ -77,9 +84,11 @@
         private volatile boolean cut;
         /** When the last answer was given, or 0. */
         private volatile long lastGiven;
+
         long since = System.nanoTime();
         /** The body under way: when its head had come, its bytes, how long we did not read it, and since when. */
         private long bodySince;
+
         private long bodyMoved;
         private long bodyBytes;
         private long pausedNanos;
@@ -97,8 +106,8 @@
         }
 
         /**
-         * True while a request that has come whole has not had the last byte of its answer. Guards against the end of idle
-         * connections that crosses an answer on its way to the I/O thread: it was given, and would be lost.
+         * True while a request that has come whole has not had the last byte of its answer. Guards against the end of
+         * idle connections that crosses an answer on its way to the I/O thread: it was given, and would be lost.
          */
         boolean busy() {
             SessionHandler handler = latest;
@@ -120,8 +129,8 @@
         }
 
         /**
-         * Whether this side does not read, since what came before has nowhere to go; any thread may call. Asked under the
-         * lock: of two threads the later one would else have the word with the older answer.
+         * Whether this side does not read, since what came before has nowhere to go; any thread may call. Asked under
+         * the lock: of two threads the later one would else have the word with the older answer.
          */
         synchronized void paused(BooleanSupplier usedUp) {
             boolean now = usedUp.getAsBoolean();
@@ -146,15 +155,22 @@
             return Math.min(STILL_MS, STILL_MS + bodyBytes / RATE - took);
         }
 
-        /** How long a head that has begun to come may yet take, in milliseconds; not positive if none has or it took too long. */
+        /**
+         * How long a head that has begun to come may yet take, in milliseconds; not positive if none has or it took too
+         * long.
+         */
         private synchronized long headMs() {
             return receiving && heard && bodySince == 0 ? REQUEST_MS - ageMs() : 0;
         }
 
-        /** How long a body that comes may yet stand still, in milliseconds; not positive if none comes or it was too slow. */
+        /**
+         * How long a body that comes may yet stand still, in milliseconds; not positive if none comes or it was too
+         * slow.
+         */
         synchronized long bodyMs() {
-            return !receiving || bodySince == 0 || pausedSince != 0 ? 0
-                : Math.min(patienceMs(), STILL_MS - (System.nanoTime() - bodyMoved) / 1_000_000);
+            return !receiving || bodySince == 0 || pausedSince != 0
+                    ? 0
+                    : Math.min(patienceMs(), STILL_MS - (System.nanoTime() - bodyMoved) / 1_000_000);
         }
 
         /** A long answer goes out: the client's reading is awaited. */
@@ -227,19 +243,35 @@
     private boolean spoilt;
 
     private ClientConnection(State state, Callback<Exception> onFault) {
-        super(new ServerHttp1StreamDuplexer(state.session, PROCESSOR, (request, context) -> {
-            SessionHandler handler = new SessionHandler(state);
-            state.latest = handler;
-            return new BasicAsyncServerExpectationDecorator(handler, onFault);
-        }, "http", LIMITS, CharCodingConfig.DEFAULT, DefaultConnectionReuseStrategy.INSTANCE, new RequestGuard(state),
-            DefaultHttpResponseWriterFactory.INSTANCE.create(), DefaultContentLengthStrategy.INSTANCE,
-            DefaultContentLengthStrategy.INSTANCE, null, onFault) {
-            @Override
-            protected ContentDecoder createContentDecoder(long length, ReadableByteChannel from, SessionInputBuffer buffer,
-                                                          BasicHttpTransportMetrics metrics) throws HttpException {
-                return super.createContentDecoder(length, from, new UncutLines(buffer), metrics);
-            }
-        });
+        super(
+                new ServerHttp1StreamDuplexer(
+                        state.session,
+                        PROCESSOR,
+                        (request, context) -> {
+                            SessionHandler handler = new SessionHandler(state);
+                            state.latest = handler;
+                            return new BasicAsyncServerExpectationDecorator(handler, onFault);
+                        },
+                        "http",
+                        LIMITS,
+                        CharCodingConfig.DEFAULT,
+                        DefaultConnectionReuseStrategy.INSTANCE,
+                        new RequestGuard(state),
+                        DefaultHttpResponseWriterFactory.INSTANCE.create(),
+                        DefaultContentLengthStrategy.INSTANCE,
+                        DefaultContentLengthStrategy.INSTANCE,
+                        null,
+                        onFault) {
+                    @Override
+                    protected ContentDecoder createContentDecoder(
+                            long length,
+                            ReadableByteChannel from,
+                            SessionInputBuffer buffer,
+                            BasicHttpTransportMetrics metrics)
+                            throws HttpException {
+                        return super.createContentDecoder(length, from, new UncutLines(buffer), metrics);
+                    }
+                });
         this.state = state;
         state.session.setSocketTimeout(Timeout.ofMilliseconds(REQUEST_MS));
     }
@@ -256,8 +288,8 @@
     }
 
     /**
-     * Guards against work for a client that has gone: HttpCore takes the end of its input for a half-closed
-     * connection and waits for the answer to be written. Ending the connection tells the session's handler.
+     * Guards against work for a client that has gone: HttpCore takes the end of its input for a half-closed connection
+     * and waits for the answer to be written. Ending the connection tells the session's handler.
      */
     @Override
     public void inputReady(IOSession session, ByteBuffer source) throws IOException {
@@ -287,8 +319,8 @@
     }
 
     /**
-     * Reads on for the client's end, which nobody sees on a connection that is not read: a session it leaves behind would be
-     * sent on. What comes is no request and is dropped.
+     * Reads on for the client's end, which nobody sees on a connection that is not read: a session it leaves behind
+     * would be sent on. What comes is no request and is dropped.
      */
     private void drop(LingeringSession session) throws IOException {
         switch (session.drop(state.owesAnswer())) {
@@ -308,11 +340,17 @@
         }
     }
 
-    /** What can't be read behind a head has no answer to come in: the connection ends, with a count. A client that is gone is none. */
+    /**
+     * What can't be read behind a head has no answer to come in: the connection ends, with a count. A client that is
+     * gone is none.
+     */
     @Override
     public void exception(IOSession session, Exception cause) {
-        if (state.receiving && !spoilt && !(cause instanceof SocketException || cause instanceof ClosedChannelException
-            || cause instanceof ConnectionClosedException)) {
+        if (state.receiving
+                && !spoilt
+                && !(cause instanceof SocketException
+                        || cause instanceof ClosedChannelException
+                        || cause instanceof ConnectionClosedException)) {
             spoilt = true;
             state.frontend.counters().count(Counter.SESSIONS_BAD_INPUT);
         }
@@ -331,7 +369,8 @@
         }
         long left = Math.max(state.headMs(), state.bodyMs());
         if (left > 0) {
-            // Guards against the end of idle connections that crosses a request half of which has come: its own time runs.
+            // Guards against the end of idle connections that crosses a request half of which has come: its own time
+            // runs.
             session.setSocketTimeout(Timeout.ofMilliseconds(left));
             return;
         }
@@ -340,7 +379,8 @@
             return;
         }
         if (handler != null && handler.clientStalls() || state.receiving && state.owesAnswer()) {
-            // It does not read its answer, or has stopped in the middle of its body; ending the connection tells the session.
+            // It does not read its answer, or has stopped in the middle of its body; ending the connection tells the
+            // session.
             state.frontend.counters().count(Counter.CLIENTS_CLOSED_SLOW);
             session.close(CloseMode.IMMEDIATE);
         } else if (!state.busy()) {
@@ -351,7 +391,11 @@
     /** Guards against a request that crosses the connection's end: true if bytes have come that were not read yet. */
     boolean bytesWait() {
         try {
-            return ((SocketChannel) state.session.channel()).socket().getInputStream().available() > 0;
+            return ((SocketChannel) state.session.channel())
+                            .socket()
+                            .getInputStream()
+                            .available()
+                    > 0;
         } catch (IOException | IllegalBlockingModeException e) {
             return false;
         }
@@ -370,7 +414,10 @@
         }
     }
 
-    /** Asks the I/O thread to end an answer in pieces that is not out yet, and with it the connection; any thread may call. */
+    /**
+     * Asks the I/O thread to end an answer in pieces that is not out yet, and with it the connection; any thread may
+     * call.
+     */
     void cutAnswer() {
         SessionHandler handler = state.latest;
         if (handler != null && handler.passes()) {
--- a/balancer/src/main/java/calicochute/frontend/Frontend.java
+++ b/balancer/src/main/java/calicochute/frontend/Frontend.java
@@ -43,12 +43,23 @@
     private final ResetWatch resets;
     /** Clients' connections, the oldest first. */
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
+
     private volatile int connected;
     private final Supplier<Presence> presence;
 
-    /** @param inherited the socket that listens for clients already, or null to listen at the configuration's address */
-    public Frontend(Configuration configuration, ServerSocketChannel inherited, DecisionQueue clock, Sessions sessions,
-                    Counters counters, BooleanSupplier ready, Supplier<Presence> presence, Supplier<Succession> settings) throws IOException {
+    /**
+     * @param inherited the socket that listens for clients already, or null to listen at the configuration's address
+     */
+    public Frontend(
+            Configuration configuration,
+            ServerSocketChannel inherited,
+            DecisionQueue clock,
+            Sessions sessions,
+            Counters counters,
+            BooleanSupplier ready,
+            Supplier<Presence> presence,
+            Supplier<Succession> settings)
+            throws IOException {
         reader = new SessionReader(settings);
         this.clock = clock;
         this.sessions = sessions;
@@ -67,8 +78,9 @@
     /** Starts to listen and returns the address in use. */
     public InetSocketAddress start() throws IOException {
         IOEventHandlerFactory handlers = (session, attachment) -> ClientConnection.on(session, this, onFault);
-        listening = inherited == null ? Listening.at(address, BACKLOG, most + Bounds.AHEAD, "frontend", handlers, onFault, counters)
-            : Listening.on(inherited, most + Bounds.AHEAD, "frontend", handlers, onFault, counters);
+        listening = inherited == null
+                ? Listening.at(address, BACKLOG, most + Bounds.AHEAD, "frontend", handlers, onFault, counters)
+                : Listening.on(inherited, most + Bounds.AHEAD, "frontend", handlers, onFault, counters);
         listening.whenLacking(this::lacking);
         return listening.start();
     }
@@ -78,7 +90,9 @@
         listening.stopAccepting();
     }
 
-    /** Has each connection looked at on which nothing is asked or owed: its I/O thread ends it if nothing has come in. */
+    /**
+     * Has each connection looked at on which nothing is asked or owed: its I/O thread ends it if nothing has come in.
+     */
     public synchronized void endIdle() {
         connections.forEach(ClientConnection::endIfIdle);
     }
@@ -100,7 +114,9 @@
 
     /** The text of a page of our own; null while not ready. */
     String page(String path) {
-        return path.equals(COUNTERS) ? counters.text() : ready.getAsBoolean() && presence.get().ready() ? "ready\n" : null;
+        return path.equals(COUNTERS)
+                ? counters.text()
+                : ready.getAsBoolean() && presence.get().ready() ? "ready\n" : null;
     }
 
     /** How far ahead of its server a long request is read. */
@@ -135,8 +151,8 @@
     }
 
     /**
-     * Counts a client's connection in, and ends another one if there are too many; the newcomer itself only above what was promised:
-     * where descriptors are fewer it has its own already.
+     * Counts a client's connection in, and ends another one if there are too many; the newcomer itself only above what
+     * was promised: where descriptors are fewer it has its own already.
      */
     synchronized void opened(ClientConnection connection) {
         counters.count(Counter.CLIENTS_ACCEPTED);
@@ -153,8 +169,8 @@
     }
 
     /**
-     * Something could not be opened or accepted; any thread may say so. If it is for lack of descriptors the clients that are least
-     * needed end; true if one may soon be had.
+     * Something could not be opened or accepted; any thread may say so. If it is for lack of descriptors the clients
+     * that are least needed end; true if one may soon be had.
      */
     public boolean lacking() {
         return outOfDescriptors() && makeRoom();
@@ -194,8 +210,8 @@
     }
 
     /**
-     * Guards against descriptors running out: the one least needed, of equal ones the one that has been so the longest; never one
-     * that is owed an answer, nor one of those. Null if there is none.
+     * Guards against descriptors running out: the one least needed, of equal ones the one that has been so the longest;
+     * never one that is owed an answer, nor one of those. Null if there is none.
      */
     private ClientConnection leastNeeded(Set<ClientConnection> but) {
         ClientConnection least = null;
@@ -203,7 +219,8 @@
         for (ClientConnection connection : connections) {
             ClientConnection.Need other = but.contains(connection) ? ClientConnection.Need.OWED : connection.need();
             // Bytes that wait are half a request as well: looked for only where it matters.
-            boolean less = other == need ? least != null && connection.idleMs() > least.idleMs() : other.compareTo(need) < 0;
+            boolean less =
+                    other == need ? least != null && connection.idleMs() > least.idleMs() : other.compareTo(need) < 0;
             if (less && (other == ClientConnection.Need.SHUT || !connection.bytesWait())) {
                 least = connection;
                 need = other;
--- a/balancer/src/main/java/calicochute/frontend/ReadAhead.java
+++ b/balancer/src/main/java/calicochute/frontend/ReadAhead.java
@@ -3,17 +3,19 @@
 import java.util.function.IntPredicate;
 
 /**
- * How much of long bodies may be read beyond their windows, over all clients' connections, while nothing of them has been handed
- * on; without I/O. A client's end comes behind all that it has sent before, and nobody sees it on a connection that is not read.
+ * How much of long bodies may be read beyond their windows, over all clients' connections, while nothing of them has
+ * been handed on; without I/O. A client's end comes behind all that it has sent before, and nobody sees it on a
+ * connection that is not read.
  *
- * <p>Guards against a dispatch for a client that has gone, and against bodies that take the memory: what does not fit in is read
- * once there is someone to take it, as before.
+ * <p>Guards against a dispatch for a client that has gone, and against bodies that take the memory: what does not fit
+ * in is read once there is someone to take it, as before.
  */
 final class ReadAhead {
     /** One body may take this part of all of it. */
     private static final int PARTS = 8;
     /** At a time: what is lent is taken from the others, whether bytes come or not. */
     private static final int STEP = 1 << 14;
+
     private final int most;
     private int left;
 
@@ -45,10 +47,12 @@
         private int held;
         private boolean closed;
 
-        private Part() {
-        }
+        private Part() {}
 
-        /** So many bytes more may be read; 0 if there is no room, or if {@code advance}, told of them, does not want them. */
+        /**
+         * So many bytes more may be read; 0 if there is no room, or if {@code advance}, told of them, does not want
+         * them.
+         */
         synchronized int more(IntPredicate advance) {
             int lent = closed ? 0 : lend(Math.min(STEP, most - held));
             if (lent > 0 && !advance.test(lent)) {
--- a/balancer/src/main/java/calicochute/frontend/RequestGuard.java
+++ b/balancer/src/main/java/calicochute/frontend/RequestGuard.java
@@ -23,16 +23,21 @@
 final class RequestGuard implements NHttpMessageParser<HttpRequest> {
     private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
     private static final int HEAD_LIMIT = 2 * Bounds.LINE;
-    /** A path as it came: HttpCore's own factory takes the first part of one that begins with // for a host, and leaves it out. */
+    /**
+     * A path as it came: HttpCore's own factory takes the first part of one that begins with // for a host, and leaves
+     * it out.
+     */
     private static final HttpRequestFactory<HttpRequest> AS_IT_CAME = new DefaultHttpRequestFactory() {
         @Override
         public HttpRequest newHttpRequest(String method, String target) {
-            return target.startsWith("/") ? new BasicHttpRequest(method, null, null, target)
-                : super.newHttpRequest(method, target);
+            return target.startsWith("/")
+                    ? new BasicHttpRequest(method, null, null, target)
+                    : super.newHttpRequest(method, target);
         }
     };
+
     private final NHttpMessageParser<HttpRequest> parser =
-        new WholeHeads<>(new DefaultHttpRequestParserFactory(ClientConnection.LIMITS, AS_IT_CAME, null).create());
+            new WholeHeads<>(new DefaultHttpRequestParserFactory(ClientConnection.LIMITS, AS_IT_CAME, null).create());
     private final ClientConnection.State state;
     private int headBytes;
 
--- a/balancer/src/main/java/calicochute/frontend/ResetWatch.java
+++ b/balancer/src/main/java/calicochute/frontend/ResetWatch.java
@@ -10,12 +10,13 @@
 import java.util.List;
 
 /**
- * Sees resets on connections that are not read: on the selector that carries them the virtual machine takes a channel without
- * an interest out of the system's poll. Asked for its connect, which is long over, a channel of this one is ready only when the
- * system tells of an error or a hang-up. So it is looked at now and then and never waited at, as the system's own answer would
- * be that it can be written.
+ * Sees resets on connections that are not read: on the selector that carries them the virtual machine takes a channel
+ * without an interest out of the system's poll. Asked for its connect, which is long over, a channel of this one is
+ * ready only when the system tells of an error or a hang-up. So it is looked at now and then and never waited at, as
+ * the system's own answer would be that it can be written.
  *
- * <p>Guards against a dispatch for a client that has gone. A peer's end without a reset is not seen here: it comes behind its bytes.
+ * <p>Guards against a dispatch for a client that has gone. A peer's end without a reset is not seen here: it comes
+ * behind its bytes.
  */
 final class ResetWatch implements AutoCloseable {
     /** A dispatch may begin for 0.1 s after its client's end. */
--- a/balancer/src/main/java/calicochute/frontend/Room.java
+++ b/balancer/src/main/java/calicochute/frontend/Room.java
@@ -1,11 +1,11 @@
 package calicochute.frontend;
 
 /**
- * How many clients' connections there may be, without I/O and with time passed in (microseconds): as many as the settings promise,
- * until descriptors turn out to be fewer.
+ * How many clients' connections there may be, without I/O and with time passed in (microseconds): as many as the
+ * settings promise, until descriptors turn out to be fewer.
  *
- * <p>Guards against idle clients that hold the last descriptors, if the process's real limit is lower than what it was told: who
- * asks, discovery, servers and the second address then have none.
+ * <p>Guards against idle clients that hold the last descriptors, if the process's real limit is lower than what it was
+ * told: who asks, discovery, servers and the second address then have none.
  */
 final class Room {
     /** So many descriptors are made free at once: beside the one in need others soon are. */
@@ -16,6 +16,7 @@
     static final long REGAIN = 5_000_000;
     /** What was made free is closed by then. */
     static final long SETTLE = 200_000;
+
     private final int promised;
     private int limit;
     private long since;
--- a/balancer/src/main/java/calicochute/frontend/SessionHandler.java
+++ b/balancer/src/main/java/calicochute/frontend/SessionHandler.java
@@ -31,12 +31,13 @@
 import org.apache.hc.core5.io.CloseMode;
 
 /**
- * One request on a client's connection: hands it over as an exchange, whole if it is short and in pieces if not, and writes
- * the answer likewise.
+ * One request on a client's connection: hands it over as an exchange, whole if it is short and in pieces if not, and
+ * writes the answer likewise.
  */
 final class SessionHandler implements AsyncServerExchangeHandler, Respondent, ResetWatch.Watched {
     /** In seconds, as precise as it is written: rounded to 0 it would say to come back at once. */
     private static final double LEAST_AWAY = 0.001;
+
     private final ClientConnection.State connection;
     private final Frontend frontend;
     private final Pipe body = new Pipe();
@@ -53,6 +54,7 @@
     private boolean hooked;
     /** An answer in pieces has begun and its end has not been told. */
     private volatile boolean passing;
+
     private volatile boolean produced;
     private volatile boolean released;
     private int cutRounds;
@@ -102,8 +104,8 @@
     }
 
     /**
-     * Guards against a dispatch for a client that has gone: as long as none has begun its end has to be seen, and it comes behind
-     * what it had sent before. False if there is no room for more.
+     * Guards against a dispatch for a client that has gone: as long as none has begun its end has to be seen, and it
+     * comes behind what it had sent before. False if there is no room for more.
      */
     private boolean readAhead() {
         int more = beyond.more(body::advance);
@@ -192,8 +194,10 @@
     private void begin(Body from) throws HttpException, IOException {
         if (frontend.answersItself(request.getPath())) {
             String text = frontend.page(request.getPath());
-            respond(text == null ? 503 : 200, List.of(), (text == null ? "not ready\n" : text)
-                .getBytes(StandardCharsets.US_ASCII));
+            respond(
+                    text == null ? 503 : 200,
+                    List.of(),
+                    (text == null ? "not ready\n" : text).getBytes(StandardCharsets.US_ASCII));
             return;
         }
         try {
@@ -211,8 +215,15 @@
             if (given instanceof Answer.Served served) {
                 respond(200, served.fields(), served.body());
             } else if (given instanceof Answer.Denied denied) {
-                respond(503, denied.retryAfter() <= 0 ? List.of() : List.of(new Field("Retry-After",
-                    String.format(Locale.ROOT, "%.3f", Math.max(LEAST_AWAY, denied.retryAfter() / 1e6)))), new byte[0]);
+                respond(
+                        503,
+                        denied.retryAfter() <= 0
+                                ? List.of()
+                                : List.of(new Field(
+                                        "Retry-After",
+                                        String.format(
+                                                Locale.ROOT, "%.3f", Math.max(LEAST_AWAY, denied.retryAfter() / 1e6)))),
+                        new byte[0]);
             } else if (given instanceof Answer.Failed failed) {
                 respond(failed.late() ? 504 : 502, List.of(), new byte[0]);
             } else if (given instanceof Answer.Rejected rejected) {
@@ -255,7 +266,8 @@
             length = bytes.length;
         }
         answering = true;
-        // What is still held of a request that is answered before its end is not wanted any more; the rest is read and dropped.
+        // What is still held of a request that is answered before its end is not wanted any more; the rest is read and
+        // dropped.
         body.abandon();
         if (length >= 0) {
             response.addHeader("Content-Length", Long.toString(length));
@@ -284,7 +296,8 @@
         }
         answer.take(out::write);
         if (answer.cut()) {
-            // Guards against a client that takes a part for the whole: the connection ends with the message unfinished, but
+            // Guards against a client that takes a part for the whole: the connection ends with the message unfinished,
+            // but
             // only once what there was has left HttpCore's own buffer.
             if (++cutRounds > 2) {
                 connection.session.close(CloseMode.GRACEFUL);
@@ -330,7 +343,9 @@
         }
     }
 
-    /** True from the hand-over of a session, or an answer of our own, until HttpCore has written the answer's last byte. */
+    /**
+     * True from the hand-over of a session, or an answer of our own, until HttpCore has written the answer's last byte.
+     */
     boolean unwritten() {
         return (exchange != null || answering) && !released;
     }
--- a/balancer/src/main/java/calicochute/frontend/SessionReader.java
+++ b/balancer/src/main/java/calicochute/frontend/SessionReader.java
@@ -21,8 +21,18 @@
 /** Takes from a request's head the fields that decisions need, and refuses what is not a session. */
 final class SessionReader {
     /** Fields that belong to one connection, or that the dispatch words anew. */
-    private static final Set<String> NOT_PASSED = Set.of("connection", "keep-alive", "proxy-connection", "te",
-        "trailer", "transfer-encoding", "upgrade", "content-length", "expect", "x-remaining-ms");
+    private static final Set<String> NOT_PASSED = Set.of(
+            "connection",
+            "keep-alive",
+            "proxy-connection",
+            "te",
+            "trailer",
+            "transfer-encoding",
+            "upgrade",
+            "content-length",
+            "expect",
+            "x-remaining-ms");
+
     private static final Pattern ID = Pattern.compile("[0-9a-fA-F]{16}");
     private static final long LONGEST_WAIT_MS = 3_600_000;
     private final AtomicLong lastId = new AtomicLong();
@@ -65,8 +75,17 @@
             throw new BadInput(400, "Idempotency-Key is empty");
         }
         Message message = new Message(request.getMethod(), request.getPath(), passed(request), body);
-        return new Exchange(lastId.incrementAndGet(), clientId, message, classIndex, tenantIndex,
-            told.current().limits(), "1".equals(one(request, "X-Resent", false)), now, patience, respondent);
+        return new Exchange(
+                lastId.incrementAndGet(),
+                clientId,
+                message,
+                classIndex,
+                tenantIndex,
+                told.current().limits(),
+                "1".equals(one(request, "X-Resent", false)),
+                now,
+                patience,
+                respondent);
     }
 
     private static List<Field> passed(HttpRequest request) {
--- a/balancer/src/main/java/calicochute/listening/ConnectionEnd.java
+++ b/balancer/src/main/java/calicochute/listening/ConnectionEnd.java
@@ -1,9 +1,9 @@
 package calicochute.listening;
 
 /**
- * How a connection that was accepted ends, without I/O and with time (milliseconds) passed in: what is to be done with what
- * still comes on it. Open: requests are read. Deaf: no more are, but an answer may be owed. Shut: shut down for writing,
- * while the peer may still send. Closed.
+ * How a connection that was accepted ends, without I/O and with time (milliseconds) passed in: what is to be done with
+ * what still comes on it. Open: requests are read. Deaf: no more are, but an answer may be owed. Shut: shut down for
+ * writing, while the peer may still send. Closed.
  *
  * <p>Guards against a close over unread bytes, which resets the connection and takes what is on its way out with it;
  * against a request that is read behind the shutdown; and against a client whose end is not seen since nothing is read.
@@ -15,9 +15,20 @@
     static final long LINGER_MS = 500;
 
     /** What is to be done next. */
-    public enum Step { READ_ON, REST, RESET, SHUT_DOWN, CLOSE }
+    public enum Step {
+        READ_ON,
+        REST,
+        RESET,
+        SHUT_DOWN,
+        CLOSE
+    }
 
-    private enum State { OPEN, DEAF, SHUT, CLOSED }
+    private enum State {
+        OPEN,
+        DEAF,
+        SHUT,
+        CLOSED
+    }
 
     private State state = State.OPEN;
     private boolean peerEnded;
--- a/balancer/src/main/java/calicochute/listening/LingeringSession.java
+++ b/balancer/src/main/java/calicochute/listening/LingeringSession.java
@@ -15,12 +15,14 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * HttpCore's session of an accepted connection, with a graceful close that is one: HttpCore's own closes the socket right
- * behind its shutdown. For its handler it is closed at once, and is told of a second disconnect when the socket is.
+ * HttpCore's session of an accepted connection, with a graceful close that is one: HttpCore's own closes the socket
+ * right behind its shutdown. For its handler it is closed at once, and is told of a second disconnect when the socket
+ * is.
  */
 public final class LingeringSession implements IOSession {
     /** At one event so many buffers are dropped at most: other connections are served in between. */
     private static final int AT_ONCE = 16;
+
     private final IOSession session;
     private final ByteBuffer scratch;
     private final ConnectionEnd end = new ConnectionEnd();
@@ -99,8 +101,7 @@
         }
 
         @Override
-        public void connected(IOSession opened) {
-        }
+        public void connected(IOSession opened) {}
 
         @Override
         public void inputReady(IOSession from, ByteBuffer source) {
--- a/balancer/src/main/java/calicochute/listening/Listening.java
+++ b/balancer/src/main/java/calicochute/listening/Listening.java
@@ -27,45 +27,70 @@
 import org.apache.hc.core5.util.TimeValue;
 
 /**
- * One address that connections are taken in at, and one I/O thread that carries them. The socket is this process's own, or
- * one that was listening before it began and will be after it: that one is never closed or shut down here, and since other
- * processes accept at it too, a connection may be gone before this one gets to it.
+ * One address that connections are taken in at, and one I/O thread that carries them. The socket is this process's own,
+ * or one that was listening before it began and will be after it: that one is never closed or shut down here, and since
+ * other processes accept at it too, a connection may be gone before this one gets to it.
  *
- * <p>Not HttpCore's own acceptor: that one ends at the first connection there is no descriptor for, and with it the address.
+ * <p>Not HttpCore's own acceptor: that one ends at the first connection there is no descriptor for, and with it the
+ * address.
  */
 public final class Listening {
     private static final long PAUSE_MS = 50;
-    /** Behind a lack of descriptors one connection is taken in at a time, for so long: what is made free must not go to a crowd at once. */
+    /**
+     * Behind a lack of descriptors one connection is taken in at a time, for so long: what is made free must not go to
+     * a crowd at once.
+     */
     private static final long ONE_BY_ONE_NANOS = 1_000_000_000L;
+
     private static final long BETWEEN_MS = 2;
     private static final int SCRATCH = 4096;
     private static final long LONGEST_STOP_MS = 1000;
-    private static final IOReactorConfig REACTOR = IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true)
-        .setSelectInterval(TimeValue.ofMilliseconds(100)).build();
+    private static final IOReactorConfig REACTOR = IOReactorConfig.custom()
+            .setIoThreadCount(1)
+            .setTcpNoDelay(true)
+            .setSelectInterval(TimeValue.ofMilliseconds(100))
+            .build();
     private final ServerSocketChannel socket;
     private final boolean own;
     private final String name;
     private final Counters counters;
     private final DefaultConnectingIOReactor reactor;
     private final Selector selector;
-    /** For connections, until their socket is closed: accepting is faster than taking over, and would use up what is set aside. */
+    /**
+     * For connections, until their socket is closed: accepting is faster than taking over, and would use up what is set
+     * aside.
+     */
     private final Semaphore places;
+
     private Thread acceptor;
     private volatile boolean stopped;
     private BooleanSupplier lacking = () -> false;
     private long lackedAt;
     private boolean lacked;
 
-    private Listening(ServerSocketChannel socket, boolean own, int most, String name, IOEventHandlerFactory handlers,
-                      Callback<Exception> onFault, Counters counters) throws IOException {
+    private Listening(
+            ServerSocketChannel socket,
+            boolean own,
+            int most,
+            String name,
+            IOEventHandlerFactory handlers,
+            Callback<Exception> onFault,
+            Counters counters)
+            throws IOException {
         this.socket = socket;
         this.own = own;
         this.name = name;
         places = new Semaphore(most);
         this.counters = counters;
         ByteBuffer scratch = ByteBuffer.allocate(SCRATCH);
-        reactor = new DefaultConnectingIOReactor(handlers, REACTOR, new DefaultThreadFactory(name + "-io", true),
-            session -> new LingeringSession(session, scratch), onFault, new Ended(), ShutdownCommand.GRACEFUL_NORMAL_CALLBACK);
+        reactor = new DefaultConnectingIOReactor(
+                handlers,
+                REACTOR,
+                new DefaultThreadFactory(name + "-io", true),
+                session -> new LingeringSession(session, scratch),
+                onFault,
+                new Ended(),
+                ShutdownCommand.GRACEFUL_NORMAL_CALLBACK);
         selector = Selector.open();
     }
 
@@ -75,8 +100,15 @@
      * @param most connections that there may be at once, those included that the handlers have yet to hear of
      * @param name of the threads
      */
-    public static Listening at(InetSocketAddress address, int backlog, int most, String name,
-                               IOEventHandlerFactory handlers, Callback<Exception> onFault, Counters counters) throws IOException {
+    public static Listening at(
+            InetSocketAddress address,
+            int backlog,
+            int most,
+            String name,
+            IOEventHandlerFactory handlers,
+            Callback<Exception> onFault,
+            Counters counters)
+            throws IOException {
         ServerSocketChannel socket = ServerSocketChannel.open();
         try {
             socket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -89,8 +121,14 @@
     }
 
     /** Takes over a socket that listens already. */
-    public static Listening on(ServerSocketChannel inherited, int most, String name, IOEventHandlerFactory handlers,
-                               Callback<Exception> onFault, Counters counters) throws IOException {
+    public static Listening on(
+            ServerSocketChannel inherited,
+            int most,
+            String name,
+            IOEventHandlerFactory handlers,
+            Callback<Exception> onFault,
+            Counters counters)
+            throws IOException {
         return new Listening(inherited, false, most, name, handlers, onFault, counters);
     }
 
@@ -158,7 +196,8 @@
             // The selector first: a socket that is still registered would go on listening.
             selector.close();
             if (own) {
-                // Guards against the reset of what has come up but was not taken in yet, request and all: closing the socket
+                // Guards against the reset of what has come up but was not taken in yet, request and all: closing the
+                // socket
                 // ends it. At a socket that outlives this process it is left to the next one.
                 for (SocketChannel next = socket.accept(); next != null; next = socket.accept()) {
                     ChannelBridge.adopt(reactor, next);
@@ -193,28 +232,22 @@
         }
 
         @Override
-        public void connected(IOSession session) {
-        }
+        public void connected(IOSession session) {}
 
         @Override
-        public void startTls(IOSession session) {
-        }
+        public void startTls(IOSession session) {}
 
         @Override
-        public void inputReady(IOSession session) {
-        }
+        public void inputReady(IOSession session) {}
 
         @Override
-        public void outputReady(IOSession session) {
-        }
+        public void outputReady(IOSession session) {}
 
         @Override
-        public void timeout(IOSession session) {
-        }
+        public void timeout(IOSession session) {}
 
         @Override
-        public void exception(IOSession session, Exception cause) {
-        }
+        public void exception(IOSession session, Exception cause) {}
     }
 
     /** Ends all connections. */
--- a/balancer/src/main/java/calicochute/metrics/Counters.java
+++ b/balancer/src/main/java/calicochute/metrics/Counters.java
@@ -28,7 +28,10 @@
     public String text() {
         StringBuilder text = new StringBuilder();
         for (Counter counter : Counter.values()) {
-            text.append(counter.name().toLowerCase(Locale.ROOT)).append(' ').append(get(counter)).append('\n');
+            text.append(counter.name().toLowerCase(Locale.ROOT))
+                    .append(' ')
+                    .append(get(counter))
+                    .append('\n');
         }
         return text.toString();
     }
--- a/balancer/src/main/java/calicochute/metrics/Figures.java
+++ b/balancer/src/main/java/calicochute/metrics/Figures.java
@@ -7,12 +7,17 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * What operators' staff read at the second address. Whoever decides a thing counts it here, once; any thread may count and
- * read. A session taken ends in exactly one of completed, rejected, failed and gone; until then it is pending.
+ * What operators' staff read at the second address. Whoever decides a thing counts it here, once; any thread may count
+ * and read. A session taken ends in exactly one of completed, rejected, failed and gone; until then it is pending.
  */
 public final class Figures {
     /** How a session ended. */
-    public enum End { COMPLETED, REJECTED, FAILED, GONE }
+    public enum End {
+        COMPLETED,
+        REJECTED,
+        FAILED,
+        GONE
+    }
 
     private static final class Tally {
         private final LongAdder[] ends = {new LongAdder(), new LongAdder(), new LongAdder(), new LongAdder()};
@@ -20,6 +25,7 @@
 
     /** By class name; a class that is dropped keeps its counts, which go on if it comes back. */
     private final Map<String, Tally> classes = new ConcurrentSkipListMap<>();
+
     private final AtomicInteger pending = new AtomicInteger();
     private final AtomicLong written = new AtomicLong();
     private final AtomicLong reloads = new AtomicLong();
@@ -73,6 +79,12 @@
     }
 
     private static void line(StringBuilder to, String name, long value, char kind) {
-        to.append("app.").append(name).append(':').append(value).append('|').append(kind).append('\n');
+        to.append("app.")
+                .append(name)
+                .append(':')
+                .append(value)
+                .append('|')
+                .append(kind)
+                .append('\n');
     }
 }
--- a/balancer/src/main/java/calicochute/metrics/FloodGuard.java
+++ b/balancer/src/main/java/calicochute/metrics/FloodGuard.java
@@ -4,15 +4,19 @@
 import java.util.Map;
 
 /**
- * Lets at most ten lines a second of one event be written, and counts those left out until one is written again: writing a
- * line costs more than refusing the request that it tells of. Not safe for threads; time is passed in.
+ * Lets at most ten lines a second of one event be written, and counts those left out until one is written again:
+ * writing a line costs more than refusing the request that it tells of. Not safe for threads; time is passed in.
  */
 final class FloodGuard {
     static final int LINES_A_SECOND = 10;
-    /** The program names some thirty events. Those beyond share one rate, so that memory stays bounded whatever is named. */
+    /**
+     * The program names some thirty events. Those beyond share one rate, so that memory stays bounded whatever is
+     * named.
+     */
     static final int EVENTS = 64;
     /** What {@link #take} gives for a line that is not to be written. */
     static final long LEAVE_OUT = -1;
+
     private static final long MICROS_A_SECOND = 1_000_000;
     private final Map<String, Rate> rates = new HashMap<>();
     private final Rate beyond = new Rate();
--- a/balancer/src/main/java/calicochute/metrics/Log.java
+++ b/balancer/src/main/java/calicochute/metrics/Log.java
@@ -5,15 +5,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The log on standard output: time, level, the event's name, details. The on-call page lists the events. Lines are written by
- * SLF4J's backend, as {@code simplelogger.properties} says.
+ * The log on standard output: time, level, the event's name, details. The on-call page lists the events. Lines are
+ * written by SLF4J's backend, as {@code simplelogger.properties} says.
  */
 public final class Log {
     private static final Logger LOGGER = LoggerFactory.getLogger("calicochute");
     private static final FloodGuard GUARD = new FloodGuard();
 
-    private Log() {
-    }
+    private Log() {}
 
     public static void info(String event, String details) {
         long leftOut = take(event);
--- a/balancer/src/main/java/calicochute/node/DeadlineGuards.java
+++ b/balancer/src/main/java/calicochute/node/DeadlineGuards.java
@@ -9,8 +9,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * An alarm for each session that is owed its answer, due shortly before the session's time or the process's is over: guards the
- * rule that no session is lost, whatever the module does. On the decision thread.
+ * An alarm for each session that is owed its answer, due shortly before the session's time or the process's is over:
+ * guards the rule that no session is lost, whatever the module does. On the decision thread.
  */
 final class DeadlineGuards {
     private final DecisionQueue queue;
--- a/balancer/src/main/java/calicochute/node/Heritage.java
+++ b/balancer/src/main/java/calicochute/node/Heritage.java
@@ -29,8 +29,14 @@
      * @param files does work on files, off the decision thread
      * @param stays false once this process ends: it leaves noting to the next one
      */
-    Heritage(LearntFile learnt, Supplier<Origin> origin, Balancer balancer, DecisionQueue queue, Counters counters, Consumer<Runnable> files,
-             BooleanSupplier stays) {
+    Heritage(
+            LearntFile learnt,
+            Supplier<Origin> origin,
+            Balancer balancer,
+            DecisionQueue queue,
+            Counters counters,
+            Consumer<Runnable> files,
+            BooleanSupplier stays) {
         this.learnt = learnt;
         this.origin = origin;
         this.balancer = balancer;
@@ -51,7 +57,10 @@
             LearntFile.Note note = learnt.read(origin.get(), System.currentTimeMillis());
             if (note != null) {
                 long age = (System.currentTimeMillis() - note.atMs()) * 1000;
-                Log.info("recalled", "age_ms=" + age / 1000 + " servers=" + note.learnt().servers().size());
+                Log.info(
+                        "recalled",
+                        "age_ms=" + age / 1000 + " servers="
+                                + note.learnt().servers().size());
                 queue.post(() -> Handover.recall(balancer, note.learnt(), queue.now(), age));
             }
         } catch (IOException e) {
--- a/balancer/src/main/java/calicochute/node/Margins.java
+++ b/balancer/src/main/java/calicochute/node/Margins.java
@@ -7,8 +7,7 @@
     /** Of a time that is short already: what a quarter of it leaves out would be no time to serve in. */
     private static final int SHARE = 4;
 
-    private Margins() {
-    }
+    private Margins() {}
 
     /** An answer leaves this long before the client gives up. */
     static long answer(long patience) {
--- a/balancer/src/main/java/calicochute/node/Membership.java
+++ b/balancer/src/main/java/calicochute/node/Membership.java
@@ -25,12 +25,13 @@
 import org.apache.hc.core5.concurrent.DefaultThreadFactory;
 
 /**
- * What the module is told of backend servers: discovery's word with the operators' on top. The file that holds the latter is
- * read and written on a thread of its own; all else happens on the decision thread.
+ * What the module is told of backend servers: discovery's word with the operators' on top. The file that holds the
+ * latter is read and written on a thread of its own; all else happens on the decision thread.
  */
 final class Membership implements ListListener {
     /** How often the file is looked at: another process of this balancer may have changed it. */
     private static final long LOOK_MS = 100;
+
     private final BackendServers backend;
     private final Figures figures;
     private final DecisionQueue queue;
@@ -38,15 +39,22 @@
     private final OutageFile file;
     private final Overlay overlay = new Overlay();
     private final ScheduledExecutorService files =
-        Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("outage-file", true));
+            Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("outage-file", true));
     private FleetPart fleet = FleetPart.OFF;
     private Outages seen = Outages.NONE;
-    /** The module takes itself to be subscribed: it may be told of changes. Otherwise changes would make it think so. */
+    /**
+     * The module takes itself to be subscribed: it may be told of changes. Otherwise changes would make it think so.
+     */
     private boolean subscribed;
+
     private volatile boolean any;
 
-    Membership(BackendServers backend, Figures figures, DecisionQueue queue, OutageFile file,
-               Consumer<BackendList> module) {
+    Membership(
+            BackendServers backend,
+            Figures figures,
+            DecisionQueue queue,
+            OutageFile file,
+            Consumer<BackendList> module) {
         this.backend = backend;
         this.figures = figures;
         this.queue = queue;
@@ -72,8 +80,10 @@
 
     @Override
     public void listed(ServerList list) {
-        Log.info("list", "generation=" + list.generation() + " whole=" + list.whole() + " entries="
-            + list.entries().size());
+        Log.info(
+                "list",
+                "generation=" + list.generation() + " whole=" + list.whole() + " entries="
+                        + list.entries().size());
         list(list.whole() ? ListKind.FULL : ListKind.CHANGES, list);
     }
 
--- a/balancer/src/main/java/calicochute/node/ModuleActions.java
+++ b/balancer/src/main/java/calicochute/node/ModuleActions.java
@@ -17,12 +17,19 @@
     private final Node node;
     /** The node's own: sessions that are not answered yet or have a dispatch out. */
     private final Map<Long, Exchange> open;
+
     private final BackendServers backend;
     private final Discovery discovery;
     private final DecisionQueue queue;
     private final Counters counters;
 
-    ModuleActions(Node node, Map<Long, Exchange> open, BackendServers backend, Discovery discovery, DecisionQueue queue, Counters counters) {
+    ModuleActions(
+            Node node,
+            Map<Long, Exchange> open,
+            BackendServers backend,
+            Discovery discovery,
+            DecisionQueue queue,
+            Counters counters) {
         this.node = node;
         this.open = open;
         this.backend = backend;
@@ -40,8 +47,11 @@
         }
         long now = queue.now();
         long notAfter = node.repeatableUntil(exchange);
-        boolean legal = !exchange.closed() && backend.knows(server) && timeout > 0 && now < notAfter
-            && exchange.dispatches() < exchange.limits.maxAttempts();
+        boolean legal = !exchange.closed()
+                && backend.knows(server)
+                && timeout > 0
+                && now < notAfter
+                && exchange.dispatches() < exchange.limits.maxAttempts();
         counters.mustHold(exchange.limits.secondCopies() || !exchange.anyOut(), "a second copy of a session");
         Dispatch dispatch = exchange.dispatch(server, now, notAfter);
         if (legal) {
@@ -63,7 +73,9 @@
     public void fail(long request) {
         Exchange exchange = open.get(request);
         if (exchange != null) {
-            node.answer(exchange, new Answer.Failed(exchange.deadline() - Margins.answer(exchange.patience) <= queue.now()));
+            node.answer(
+                    exchange,
+                    new Answer.Failed(exchange.deadline() - Margins.answer(exchange.patience) <= queue.now()));
         }
     }
 
--- a/balancer/src/main/java/calicochute/node/Node.java
+++ b/balancer/src/main/java/calicochute/node/Node.java
@@ -41,14 +41,15 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * One real balancer: turns what the sockets bring into the module's events, and the module's actions into work for
- * the sockets. All but the start and the end happens on the decision thread.
+ * One real balancer: turns what the sockets bring into the module's events, and the module's actions into work for the
+ * sockets. All but the start and the end happens on the decision thread.
  */
 public final class Node implements Sessions, DispatchListener {
     /** A dispatch is written within this time. */
     private static final long WRITE_MARGIN = 10_000;
     /** At a stop a client that reads takes the rest of an answer within this time; a slow one would meet the kill. */
     private static final long TAKE_REST = 100_000;
+
     private static final long TAKEN_OVER_NANOS = 100_000_000L;
     private static final long LONGEST_END_NANOS = 10_000_000_000L;
     private final Configuration configuration;
@@ -73,6 +74,7 @@
     private final Set<String> clientIds = new HashSet<>();
     /** After SIGTERM: when answers in pieces are cut. */
     private DecisionQueue.Alarm cut;
+
     private volatile int unanswered;
 
     public Node(Configuration configuration, Counters counters) throws IOException {
@@ -91,24 +93,39 @@
         succession = Succession.of(settings);
         queue = new DecisionThread(counters);
         balancer = Balancer.create(settings);
-        backend = new BackendServers(connector, queue, counters, settings.limits().connectTimeout(),
-            configuration.connectionIdle(), configuration.bounds(), this);
+        backend = new BackendServers(
+                connector,
+                queue,
+                counters,
+                settings.limits().connectTimeout(),
+                configuration.connectionIdle(),
+                configuration.bounds(),
+                this);
         membership = new Membership(backend, figures, queue, new OutageFile(shared, settings.tier()), this::tell);
         discovery = new Discovery(connector, queue, counters, configuration.discovery(), membership, settings);
         fleet = FleetStart.of(configuration, queue, () -> succession, this::tell);
         actions = new ModuleActions(this, open, backend, discovery, queue, counters);
         membership.also(fleet);
         staff = new Staff(queue, membership, figures, fleet);
-        frontend = new Frontend(configuration, inherited, queue, this, counters, membership::any, staff::presence,
-            () -> succession);
+        frontend = new Frontend(
+                configuration, inherited, queue, this, counters, membership::any, staff::presence, () -> succession);
         staff.endsIdle(frontend::endIdle);
-        deadlines = new DeadlineGuards(queue, () -> staff.presence().answersBy(succession::longestDeadline), this::overdue);
+        deadlines =
+                new DeadlineGuards(queue, () -> staff.presence().answersBy(succession::longestDeadline), this::overdue);
         connector.whenLacking(frontend::lacking);
         admin = configuration.admin() == null ? null : new AdminServer(staff, counters, frontend::lacking);
         lives = new Lives(shared);
         // Where processes follow each other on one socket.
-        heritage = inherited == null || shared == null ? null
-            : new Heritage(new LearntFile(shared), () -> Origin.of(configuration.name(), succession.current()), balancer, queue, counters, membership::files, () -> staff.presence().state() != Presence.State.ENDING);
+        heritage = inherited == null || shared == null
+                ? null
+                : new Heritage(
+                        new LearntFile(shared),
+                        () -> Origin.of(configuration.name(), succession.current()),
+                        balancer,
+                        queue,
+                        counters,
+                        membership::files,
+                        () -> staff.presence().state() != Presence.State.ENDING);
         settings.classes().forEach(c -> figures.listClass(c.name()));
     }
 
@@ -132,8 +149,8 @@
     }
 
     /**
-     * Takes over what may change under load: the settings and discovery's address. Its own addresses, its name and its limits
-     * stay as they were at the start.
+     * Takes over what may change under load: the settings and discovery's address. Its own addresses, its name and its
+     * limits stay as they were at the start.
      */
     public void reload(Configuration changed) throws SettingsException {
         // Only here does it change, one reload at a time: a file that can't follow the running one changes nothing.
@@ -145,15 +162,20 @@
             tell(new Balancer.Retuned(next.forModule()));
             counters.count(Counter.RELOADS);
             figures.reloaded(true);
-            Log.info("reloaded", "discovery=" + changed.discovery() + " classes="
-                + changed.settings().classes().stream().map(Balancer.RequestClass::name).toList());
+            Log.info(
+                    "reloaded",
+                    "discovery=" + changed.discovery() + " classes="
+                            + changed.settings().classes().stream()
+                                    .map(Balancer.RequestClass::name)
+                                    .toList());
             discovery.move(changed.discovery());
             discovery.retune(changed.settings());
             if (staff.presence().state() == Presence.State.ENDING) {
                 // The platform ends this process by the deadlines it has just told.
                 endBy();
             }
-            // Only now: the operator's file is held against the settings in force, and may name a class that came with them. Off this thread: it reads.
+            // Only now: the operator's file is held against the settings in force, and may name a class that came with
+            // them. Off this thread: it reads.
             membership.files(fleet::reload);
         });
     }
@@ -212,24 +234,33 @@
         }
         open.put(exchange.id, exchange);
         unanswered = open.size();
-        long left = (exchange.whole() ? exchange.deadline() - queue.now() : exchange.patience) - Margins.answer(exchange.patience);
+        long left = (exchange.whole() ? exchange.deadline() - queue.now() : exchange.patience)
+                - Margins.answer(exchange.patience);
         if (exchange.whole()) {
             deadlines.guard(exchange);
         } else {
             counters.count(Counter.SESSIONS_IN_PIECES);
         }
-        tell(new Balancer.Arrival(exchange.id, exchange.classIndex, exchange.tenantIndex, null, Math.max(0, left),
-            exchange.retry, fleet.begun(exchange)));
+        tell(new Balancer.Arrival(
+                exchange.id,
+                exchange.classIndex,
+                exchange.tenantIndex,
+                null,
+                Math.max(0, left),
+                exchange.retry,
+                fleet.begun(exchange)));
     }
 
     /**
-     * Until when a further dispatch of the session may leave: servers drop a repeat only for a while from the first dispatch that
-     * may have run, and it takes a moment to be written.
+     * Until when a further dispatch of the session may leave: servers drop a repeat only for a while from the first
+     * dispatch that may have run, and it takes a moment to be written.
      */
     long repeatableUntil(Exchange exchange) {
         Dispatch first = exchange.firstThatMayHaveRun();
         Balancer.RequestClass kind = succession.classes().get(exchange.classIndex);
-        return first == null || kind.effect() != Balancer.Effect.KEYED ? Long.MAX_VALUE : first.sentAt + kind.window() - WRITE_MARGIN;
+        return first == null || kind.effect() != Balancer.Effect.KEYED
+                ? Long.MAX_VALUE
+                : first.sentAt + kind.window() - WRITE_MARGIN;
     }
 
     @Override
@@ -255,7 +286,11 @@
         }
         exchange.passing(false);
         // Where the server broke off the session has failed; where the client went away nothing is counted against it.
-        boolean cut = !whole && (exchange.cut() || exchange.latest() != null && !exchange.latest().out() && !exchange.latest().ok());
+        boolean cut = !whole
+                && (exchange.cut()
+                        || exchange.latest() != null
+                                && !exchange.latest().out()
+                                && !exchange.latest().ok());
         counters.count(whole ? Counter.SESSIONS_SERVED : cut ? Counter.SESSIONS_FAILED : Counter.SESSIONS_CLIENT_GONE);
         ended(exchange, whole ? Figures.End.COMPLETED : cut ? Figures.End.FAILED : Figures.End.GONE);
         fleet.answered(exchange, whole, cut);
@@ -278,8 +313,8 @@
     }
 
     /**
-     * Guards the rule that no session is lost: whatever the module does, an answer leaves in time; before the platform ends
-     * the process, if that comes first.
+     * Guards the rule that no session is lost: whatever the module does, an answer leaves in time; before the platform
+     * ends the process, if that comes first.
      */
     private void overdue(Exchange exchange) {
         if (exchange.closed()) {
@@ -287,13 +322,14 @@
         }
         boolean stop = queue.now() < exchange.deadline() - Margins.answer(exchange.patience);
         counters.count(stop ? Counter.SESSIONS_ENDED_BY_STOP : Counter.SESSIONS_ENDED_BY_DEADLINE);
-        answer(exchange, exchange.mayHaveRun() ? new Answer.Failed(!stop)
-            : new Answer.Denied(exchange.limits.away()));
+        answer(exchange, exchange.mayHaveRun() ? new Answer.Failed(!stop) : new Answer.Denied(exchange.limits.away()));
         sessionOver(exchange);
         retire(exchange);
     }
 
-    /** What has begun the module withdraws, where the settings let it; what has not must not begin any more in any case. */
+    /**
+     * What has begun the module withdraws, where the settings let it; what has not must not begin any more in any case.
+     */
     private void sessionOver(Exchange exchange) {
         tell(new Balancer.ClientGone(exchange.id));
         exchange.out().forEach(backend::sessionOver);
@@ -301,10 +337,15 @@
 
     void answer(Exchange exchange, Answer answer) {
         if (exchange.answer(answer)) {
-            counters.count(answer instanceof Answer.Served ? Counter.SESSIONS_SERVED
-                : answer instanceof Answer.Denied ? Counter.SESSIONS_DENIED : Counter.SESSIONS_FAILED);
-            ended(exchange, answer instanceof Answer.Served ? Figures.End.COMPLETED
-                : answer instanceof Answer.Denied ? Figures.End.REJECTED : Figures.End.FAILED);
+            counters.count(
+                    answer instanceof Answer.Served
+                            ? Counter.SESSIONS_SERVED
+                            : answer instanceof Answer.Denied ? Counter.SESSIONS_DENIED : Counter.SESSIONS_FAILED);
+            ended(
+                    exchange,
+                    answer instanceof Answer.Served
+                            ? Figures.End.COMPLETED
+                            : answer instanceof Answer.Denied ? Figures.End.REJECTED : Figures.End.FAILED);
             fleet.answered(exchange, answer instanceof Answer.Served, !(answer instanceof Answer.Served));
             deadlines.drop(exchange);
             retire(exchange);
@@ -345,8 +386,8 @@
             // What was handed on of its body can't be handed on again.
             tell(new Balancer.BodyState(exchange.id, true, false));
         }
-        tell(new Balancer.AttemptEnded(exchange.id, dispatch.number, dispatch.server, exchange.closed(), outcome,
-            elapsed(dispatch), null));
+        tell(new Balancer.AttemptEnded(
+                exchange.id, dispatch.number, dispatch.server, exchange.closed(), outcome, elapsed(dispatch), null));
         retire(exchange);
     }
 
@@ -385,14 +426,18 @@
     // ---- The end
 
     /**
-     * Guards against an answer in pieces that the platform's kill would find unfinished: a server that hangs in its midst ends it
-     * here. What its client has not taken a little later, whether its server is done or not, ends with the connection.
+     * Guards against an answer in pieces that the platform's kill would find unfinished: a server that hangs in its
+     * midst ends it here. What its client has not taken a little later, whether its server is done or not, ends with
+     * the connection.
      */
     private void cutAnswers() {
-        open.values().stream().filter(e -> e.passing() && e.latest().out()).toList().forEach(e -> {
-            cutByStop(e);
-            backend.cancel(e.latest());
-        });
+        open.values().stream()
+                .filter(e -> e.passing() && e.latest().out())
+                .toList()
+                .forEach(e -> {
+                    cutByStop(e);
+                    backend.cancel(e.latest());
+                });
         queue.after(TAKE_REST, () -> {
             open.values().stream().filter(e -> e.passing() && !e.cut()).forEach(this::cutByStop);
             frontend.cutAnswers();
@@ -410,7 +455,8 @@
         if (cut != null) {
             cut.cancel();
         }
-        cut = queue.after(Math.max(0, staff.presence().answersBy(succession::longestDeadline) - queue.now()), this::cutAnswers);
+        cut = queue.after(
+                Math.max(0, staff.presence().answersBy(succession::longestDeadline) - queue.now()), this::cutAnswers);
     }
 
     /** Accepts a little longer, unless another process does; answers everything taken, and returns. */
@@ -422,7 +468,9 @@
             begun.countDown();
         });
         begun.await();
-        Log.info("draining", "unanswered=" + unanswered + " accompanied=" + staff.presence().accompanied());
+        Log.info(
+                "draining",
+                "unanswered=" + unanswered + " accompanied=" + staff.presence().accompanied());
         while (staff.presence().accepts(queue.now())) {
             Thread.sleep(10);
         }
@@ -430,7 +478,7 @@
         long stopped = System.nanoTime();
         // What was accepted last counts as connected only once the I/O thread has it.
         while ((unanswered > 0 || frontend.connected() > 0 || System.nanoTime() - stopped < TAKEN_OVER_NANOS)
-            && System.nanoTime() - stopped < LONGEST_END_NANOS) {
+                && System.nanoTime() - stopped < LONGEST_END_NANOS) {
             Thread.sleep(10);
         }
         frontend.close();
--- a/balancer/src/main/java/calicochute/node/Staff.java
+++ b/balancer/src/main/java/calicochute/node/Staff.java
@@ -11,11 +11,12 @@
 final class Staff implements Operations {
     /** How often clients' connections are looked at while they are sent away. */
     private static final long LOOK_AGAIN = 100_000;
+
     private final DecisionQueue queue;
     private final Membership membership;
     private final Figures figures;
     private final FleetPart fleet;
-    private Runnable endIdle = () -> { };
+    private Runnable endIdle = () -> {};
     private volatile Presence presence = Presence.serving();
     private volatile boolean listening;
 
--- a/balancer/src/main/java/calicochute/operator/OperatorFile.java
+++ b/balancer/src/main/java/calicochute/operator/OperatorFile.java
@@ -16,15 +16,22 @@
  * @param experiments split experiments, in the file's order
  * @param state the folder in which experiments outlive the process; empty: none
  */
-public record OperatorFile(String cluster, String me, InetSocketAddress listen, List<Peer> peers, boolean share, boolean bandit,
-                           List<Experiment> experiments, String state) {
+public record OperatorFile(
+        String cluster,
+        String me,
+        InetSocketAddress listen,
+        List<Peer> peers,
+        boolean share,
+        boolean bandit,
+        List<Experiment> experiments,
+        String state) {
     public OperatorFile {
         peers = List.copyOf(peers);
         experiments = List.copyOf(experiments);
     }
 
     /** A balancer and where it is reached, as seen from this one. */
-    public record Peer(String id, InetSocketAddress address) { }
+    public record Peer(String id, InetSocketAddress address) {}
 
     /** The peers' names in order: the same at all balancers, however each file lists them. */
     public List<String> ids() {
--- a/balancer/src/main/java/calicochute/operator/OperatorFileReader.java
+++ b/balancer/src/main/java/calicochute/operator/OperatorFileReader.java
@@ -51,30 +51,44 @@
     }
 
     /** As it stands in the file, before any check; absent entries are null. */
-    record Raw(String cluster, String me, String listen, List<RawPeer> peers, Boolean share, Boolean bandit,
-               List<Experiment> experiments, String state) { }
+    record Raw(
+            String cluster,
+            String me,
+            String listen,
+            List<RawPeer> peers,
+            Boolean share,
+            Boolean bandit,
+            List<Experiment> experiments,
+            String state) {}
 
-    record RawPeer(String id, String address) { }
+    record RawPeer(String id, String address) {}
 
     /**
      * @param name this balancer's, where the file does not say it
      * @param servers against which arms are held; empty where they are not known yet
      */
-    public static OperatorFile read(Path file, String name, Settings settings, List<Backend> servers) throws OperatorFileException {
+    public static OperatorFile read(Path file, String name, Settings settings, List<Backend> servers)
+            throws OperatorFileException {
         return new OperatorFileReader(file).read(name, settings, servers);
     }
 
     private OperatorFile read(String name, Settings settings, List<Backend> servers) throws OperatorFileException {
         Raw raw = raw();
         String me = raw.me == null ? name : raw.me;
-        need(raw.cluster != null && !raw.cluster.isBlank() && raw.cluster.length() <= MOST_NAME, "cluster", "must be 1 to " + MOST_NAME + " characters");
+        need(
+                raw.cluster != null && !raw.cluster.isBlank() && raw.cluster.length() <= MOST_NAME,
+                "cluster",
+                "must be 1 to " + MOST_NAME + " characters");
         need(raw.listen != null, "listen", "is missing: the UDP address at which this balancer hears the others");
         List<Peer> peers = new ArrayList<>();
         Set<String> ids = new HashSet<>();
         Set<InetSocketAddress> addresses = new HashSet<>();
         for (RawPeer peer : raw.peers == null ? List.<RawPeer>of() : raw.peers) {
             String at = "peers[" + peers.size() + "]";
-            need(peer != null && peer.id != null && !peer.id.isBlank() && peer.id.length() <= MOST_NAME, at + ".id", "must be 1 to " + MOST_NAME + " characters");
+            need(
+                    peer != null && peer.id != null && !peer.id.isBlank() && peer.id.length() <= MOST_NAME,
+                    at + ".id",
+                    "must be 1 to " + MOST_NAME + " characters");
             need(peer.address != null, at + ".address", "is missing");
             InetSocketAddress address = address(at + ".address", peer.address);
             need(ids.add(peer.id), at + ".id", "is there twice: " + peer.id);
@@ -93,18 +107,28 @@
         List<Experiment> experiments = raw.experiments == null ? List.of() : raw.experiments;
         need(experiments.size() <= MOST_EXPERIMENTS, "experiments", "must be " + MOST_EXPERIMENTS + " at most");
         experiments(experiments, settings, servers);
-        return new OperatorFile(raw.cluster, me, listen, peers, share, bandit, experiments, raw.state == null ? "" : raw.state);
+        return new OperatorFile(
+                raw.cluster, me, listen, peers, share, bandit, experiments, raw.state == null ? "" : raw.state);
     }
 
-    private void experiments(List<Experiment> experiments, Settings settings, List<Backend> servers) throws OperatorFileException {
+    private void experiments(List<Experiment> experiments, Settings settings, List<Backend> servers)
+            throws OperatorFileException {
         need(experiments.stream().noneMatch(java.util.Objects::isNull), "experiments", "holds an empty entry");
-        List<Complaint> complaints = ExperimentCheck.of(experiments, new ExperimentCheck.Fleet(servers.stream().map(OperatorFileReader::server).toList(),
-            settings.classes().stream().map(RequestClass::name).collect(Collectors.toSet()),
-            settings.tenants().stream().map(Tenant::name).collect(Collectors.toSet()), 1));
+        List<Complaint> complaints = ExperimentCheck.of(
+                experiments,
+                new ExperimentCheck.Fleet(
+                        servers.stream().map(OperatorFileReader::server).toList(),
+                        settings.classes().stream().map(RequestClass::name).collect(Collectors.toSet()),
+                        settings.tenants().stream().map(Tenant::name).collect(Collectors.toSet()),
+                        1));
         if (!complaints.isEmpty()) {
             Complaint first = complaints.get(0);
-            throw new OperatorFileException(Code.EXPERIMENT, file + ": experiments: " + first.where(), first.code() + ": " + first.seen()
-                + (complaints.size() > 1 ? " (and " + (complaints.size() - 1) + " more)" : ""), first.todo());
+            throw new OperatorFileException(
+                    Code.EXPERIMENT,
+                    file + ": experiments: " + first.where(),
+                    first.code() + ": " + first.seen()
+                            + (complaints.size() > 1 ? " (and " + (complaints.size() - 1) + " more)" : ""),
+                    first.todo());
         }
     }
 
@@ -135,8 +159,10 @@
     }
 
     private static String path(JsonMappingException e) {
-        String path = e.getPath().stream().map(r -> r.getFieldName() == null ? "[" + r.getIndex() + "]" : "." + r.getFieldName())
-            .collect(Collectors.joining()).replaceFirst("^\\.", "");
+        String path = e.getPath().stream()
+                .map(r -> r.getFieldName() == null ? "[" + r.getIndex() + "]" : "." + r.getFieldName())
+                .collect(Collectors.joining())
+                .replaceFirst("^\\.", "");
         return path.isEmpty() ? "" : path + ": ";
     }
 
@@ -144,7 +170,9 @@
     private String place(List<JsonMappingException.Reference> path) {
         JsonPointer wanted = JsonPointer.empty();
         for (JsonMappingException.Reference r : path) {
-            wanted = r.getFieldName() == null ? wanted.appendIndex(r.getIndex()) : wanted.appendProperty(r.getFieldName());
+            wanted = r.getFieldName() == null
+                    ? wanted.appendIndex(r.getIndex())
+                    : wanted.appendProperty(r.getFieldName());
         }
         try (JsonParser parser = mapper().createParser(Files.readString(file))) {
             while (parser.nextToken() != null) {
@@ -169,8 +197,11 @@
     }
 
     private static ObjectMapper mapper() {
-        return YAMLMapper.builder().enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS).enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
-            .addModule(new SimpleModule().addDeserializer(Duration.class, new Times())).build();
+        return YAMLMapper.builder()
+                .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
+                .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
+                .addModule(new SimpleModule().addDeserializer(Duration.class, new Times()))
+                .build();
     }
 
     /** A number with its unit: 90s, 10m, 6h, 2d. */
@@ -188,7 +219,8 @@
                 return iso(parser);
             }
             if (!time.matches()) {
-                throw JsonMappingException.from(parser, "'" + parser.getText() + "' is no time such as 90s, 10m, 6h or 2d");
+                throw JsonMappingException.from(
+                        parser, "'" + parser.getText() + "' is no time such as 90s, 10m, 6h or 2d");
             }
             long many = Long.parseLong(time.group(1));
             return switch (time.group(2)) {
--- a/balancer/src/main/java/calicochute/outage/OutageFile.java
+++ b/balancer/src/main/java/calicochute/outage/OutageFile.java
@@ -13,8 +13,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The one place where the operators' word stands for all processes of a balancer: a file written beside and renamed, changed
- * under an OS file lock. Without a folder the word is kept in memory alone. All on one thread.
+ * The one place where the operators' word stands for all processes of a balancer: a file written beside and renamed,
+ * changed under an OS file lock. Without a folder the word is kept in memory alone. All on one thread.
  */
 public final class OutageFile {
     private final String balancer;
@@ -49,7 +49,10 @@
                 Outages read = Outages.parse(Files.readString(file), balancer, tier);
                 unusable = read == null;
                 if (unusable) {
-                    Log.warn("outages-not-used", file.getFileName() + " is torn, or not of " + balancer + " at tier " + tier + ": held are " + held.since().keySet());
+                    Log.warn(
+                            "outages-not-used",
+                            file.getFileName() + " is torn, or not of " + balancer + " at tier " + tier + ": held are "
+                                    + held.since().keySet());
                 }
                 held = read == null ? held : read;
                 seenKey = key;
@@ -67,7 +70,7 @@
             return held;
         }
         try (FileChannel channel = FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-             FileLock ours = channel.lock()) {
+                FileLock ours = channel.lock()) {
             assert ours.isValid();
             Outages next = how.apply(read());
             // Also where nothing changes but the file does not say so: the caller is about to be told that it does.
--- a/balancer/src/main/java/calicochute/outage/Outages.java
+++ b/balancer/src/main/java/calicochute/outage/Outages.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 
 /**
- * The servers that operators have taken out, each with the time of the first call (Unix milliseconds). Immutable; its text
- * is what outlives the process.
+ * The servers that operators have taken out, each with the time of the first call (Unix milliseconds). Immutable; its
+ * text is what outlives the process.
  */
 public record Outages(Map<String, Long> since) {
     public static final Outages NONE = new Outages(Map.of());
@@ -68,24 +68,31 @@
     }
 
     /**
-     * Reads {@link #text}; null for anything else: a torn or foreign file changes nothing. A file that names no owner is one of an earlier version,
-     * whose bans hold across the upgrade.
+     * Reads {@link #text}; null for anything else: a torn or foreign file changes nothing. A file that names no owner
+     * is one of an earlier version, whose bans hold across the upgrade.
      */
     public static Outages parse(String text, String balancer, int tier) {
         try {
             JsonObject root = JsonParser.parseString(text).getAsJsonObject();
-            if (root.get("version").getAsInt() != VERSION || root.has("balancer") && !root.get("balancer").getAsString().equals(balancer)
-                || root.has("tier") && root.get("tier").getAsInt() != tier) {
+            if (root.get("version").getAsInt() != VERSION
+                    || root.has("balancer")
+                            && !root.get("balancer").getAsString().equals(balancer)
+                    || root.has("tier") && root.get("tier").getAsInt() != tier) {
                 return null;
             }
             Map<String, Long> out = new TreeMap<>();
             for (JsonElement one : root.getAsJsonArray("out")) {
-                out.put(one.getAsJsonObject().get("id").getAsString(),
-                    one.getAsJsonObject().get("sinceMs").getAsLong());
+                out.put(
+                        one.getAsJsonObject().get("id").getAsString(),
+                        one.getAsJsonObject().get("sinceMs").getAsLong());
             }
             return new Outages(out);
-        } catch (JsonParseException | IllegalStateException | ClassCastException | NumberFormatException
-                 | UnsupportedOperationException | NullPointerException e) {
+        } catch (JsonParseException
+                | IllegalStateException
+                | ClassCastException
+                | NumberFormatException
+                | UnsupportedOperationException
+                | NullPointerException e) {
             return null;
         }
     }
--- a/balancer/src/main/java/calicochute/outage/Overlay.java
+++ b/balancer/src/main/java/calicochute/outage/Overlay.java
@@ -10,14 +10,15 @@
 import java.util.Set;
 
 /**
- * The operators' word on top of discovery's: a server that either of them wants out is told as draining. A whole list, a
- * restart under the same id, or a server gone and listed again lifts no ban. Without I/O; all on one thread.
+ * The operators' word on top of discovery's: a server that either of them wants out is told as draining. A whole list,
+ * a restart under the same id, or a server gone and listed again lifts no ban. Without I/O; all on one thread.
  */
 public final class Overlay {
     /** Ids that are remembered as having been listed, beyond those listed now. */
     private static final int MOST_FORMER = 10_000;
     /** Discovery's own word on each listed server. */
     private final Map<String, Backend> listed = new LinkedHashMap<>();
+
     private final Set<String> former = new LinkedHashSet<>();
     private Outages outages = Outages.NONE;
 
@@ -66,12 +67,22 @@
 
     /** The listed servers that discovery or an operator wants out. */
     public int unwanted() {
-        return (int) listed.values().stream().filter(e -> seen(e).state() != BackendState.READY).count();
+        return (int) listed.values().stream()
+                .filter(e -> seen(e).state() != BackendState.READY)
+                .count();
     }
 
     private Backend seen(Backend entry) {
-        return entry.state() == BackendState.READY && outages.has(entry.id()) ? new Backend(entry.id(), entry.zone(),
-            entry.cell(), entry.weight(), BackendState.DRAINING, entry.startedAt(), entry.kind()) : entry;
+        return entry.state() == BackendState.READY && outages.has(entry.id())
+                ? new Backend(
+                        entry.id(),
+                        entry.zone(),
+                        entry.cell(),
+                        entry.weight(),
+                        BackendState.DRAINING,
+                        entry.startedAt(),
+                        entry.kind())
+                : entry;
     }
 
     private void remember(String id) {
--- a/balancer/src/main/java/calicochute/pool/Pool.java
+++ b/balancer/src/main/java/calicochute/pool/Pool.java
@@ -10,39 +10,46 @@
 /**
  * The free connections to one backend server: a state machine without I/O, with time as an argument (microseconds).
  *
- * <p>A connection is free or lent. A free one <em>rests</em> first: {@code answerRest} after an answer, since what a server
- * sends behind an answer comes at once and ends the connection; {@code freshRest} after coming up, since a server that
- * will not have it resets it at once. A lent one belongs to one call, and comes back with {@link #give} or not at all.
+ * <p>A connection is free or lent. A free one <em>rests</em> first: {@code answerRest} after an answer, since what a
+ * server sends behind an answer comes at once and ends the connection; {@code freshRest} after coming up, since a
+ * server that will not have it resets it at once. A lent one belongs to one call, and comes back with {@link #give} or
+ * not at all.
  *
- * <p>Of the rested ones the youngest is lent, so that those not needed grow old and are closed. Where none is rested, the
- * one that rests shortest is lent with the time still to wait; and since a session then had to wait, a spare is wanted: a
- * connection opened ahead, for nobody yet. Waiting rather than opening one for the session itself: a handshake costs it
- * more than what is left of a rest. Spares are bounded, one is opened at a time, and a server that ended one gets none
- * for a while.
+ * <p>Of the rested ones the youngest is lent, so that those not needed grow old and are closed. Where none is rested,
+ * the one that rests shortest is lent with the time still to wait; and since a session then had to wait, a spare is
+ * wanted: a connection opened ahead, for nobody yet. Waiting rather than opening one for the session itself: a
+ * handshake costs it more than what is left of a rest. Spares are bounded, one is opened at a time, and a server that
+ * ended one gets none for a while.
  *
- * <p>A server that ends idle connections earlier than was told shows by that how long it keeps them: for a while none is lent that
- * has been free for two thirds of the shortest such time.
+ * <p>A server that ends idle connections earlier than was told shows by that how long it keeps them: for a while none
+ * is lent that has been free for two thirds of the shortest such time.
  *
  * @param <C> the connection
  */
 public final class Pool<C> {
-    /** What one connection's fate counts in the share of those ended at once, and the share from which on none is kept. */
+    /**
+     * What one connection's fate counts in the share of those ended at once, and the share from which on none is kept.
+     */
     private static final double EACH = 1.0 / 8, MOST_AT_ONCE = 0.5;
+
     private final Rules rules;
     private final Predicate<C> open;
     /** The youngest first. */
     private final ArrayDeque<Kept<C>> free = new ArrayDeque<>();
     /** Closed when they were to be lent; that they ended is heard of later. */
     private final List<Kept<C>> foundEnded = new ArrayList<>();
+
     private boolean spareWanted;
     private boolean spareOpening;
     private long noSparesUntil = Long.MIN_VALUE;
     private long cautiousUntil = Long.MIN_VALUE;
     /** Shortest idle time after which the server ended one lately, and until when that holds. */
     private long shortestIdle;
+
     private long learntUntil = Long.MIN_VALUE;
     /** Share of the free ones that it ended right behind an answer, and until when none is kept for that. */
     private double endedAtOnce;
+
     private long noneUntil = Long.MIN_VALUE;
 
     /**
@@ -55,13 +62,18 @@
      * @param atOnce an end within this of an answer comes with the answer and tells of no idle time, in microseconds
      * @param memory how long idle times are remembered, in microseconds
      */
-    public record Rules(long freshRest, long answerRest, int mostFree, long spareBan, long longRest, long caution, long atOnce,
-                        long memory) {
-    }
+    public record Rules(
+            long freshRest,
+            long answerRest,
+            int mostFree,
+            long spareBan,
+            long longRest,
+            long caution,
+            long atOnce,
+            long memory) {}
 
     /** A connection lent to a call that may begin in {@code rest} microseconds; it had been free for {@code idle}. */
-    public record Lent<C>(C connection, long rest, long idle) {
-    }
+    public record Lent<C>(C connection, long rest, long idle) {}
 
     /** What the end of a connection says. */
     public enum Ended {
@@ -73,8 +85,7 @@
         SPARE
     }
 
-    private record Kept<C>(C connection, long since, long restedAt, boolean used) {
-    }
+    private record Kept<C>(C connection, long since, long restedAt, boolean used) {}
 
     /** @param open whether a connection is open as far as this side knows; looked at before each use */
     public Pool(Rules rules, Predicate<C> open) {
@@ -85,10 +96,11 @@
     /** Lends a connection; null if there is none to be had. */
     public Lent<C> take(long now) {
         Kept<C> soonest = null;
-        for (Iterator<Kept<C>> i = free.iterator(); i.hasNext();) {
+        for (Iterator<Kept<C>> i = free.iterator(); i.hasNext(); ) {
             Kept<C> kept = i.next();
             if (!open.test(kept.connection)) {
-                // What its end says is said when it is heard of; only a spare's refusal counts at once, lest another follows it.
+                // What its end says is said when it is heard of; only a spare's refusal counts at once, lest another
+                // follows it.
                 i.remove();
                 foundEnded.add(kept);
                 if (!kept.used) {
@@ -115,8 +127,9 @@
     }
 
     /**
-     * The server ended one that had been free for so long, and that it had served on. From then on connections are kept for less, so
-     * that no call is written to one that ends just then; where most end right behind an answer none is kept for a while.
+     * The server ended one that had been free for so long, and that it had served on. From then on connections are kept
+     * for less, so that no call is written to one that ends just then; where most end right behind an answer none is
+     * kept for a while.
      */
     public void endedAfter(long idle, long now) {
         if (idle >= rules.atOnce) {
@@ -200,7 +213,7 @@
     }
 
     private static <C> Kept<C> remove(Collection<Kept<C>> from, C connection) {
-        for (Iterator<Kept<C>> i = from.iterator(); i.hasNext();) {
+        for (Iterator<Kept<C>> i = from.iterator(); i.hasNext(); ) {
             Kept<C> kept = i.next();
             if (kept.connection == connection) {
                 i.remove();
--- a/balancer/src/main/java/calicochute/presence/Presence.java
+++ b/balancer/src/main/java/calicochute/presence/Presence.java
@@ -3,12 +3,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whether this process wants clients: one immutable state for the operators' calls and for SIGTERM, without I/O and with
- * time as an argument (microseconds).
+ * Whether this process wants clients: one immutable state for the operators' calls and for SIGTERM, without I/O and
+ * with time as an argument (microseconds).
  *
- * <p>Serving: nothing special. Leaving: {@code /ready} says no, answers are the last on their connections, and what the front
- * still sends is served. Away: as before, and the clients' idle connections are ended; a new one is served and ended.
- * Ending: SIGTERM came, and there is no way back. Ended: nothing more is accepted.
+ * <p>Serving: nothing special. Leaving: {@code /ready} says no, answers are the last on their connections, and what the
+ * front still sends is served. Away: as before, and the clients' idle connections are ended; a new one is served and
+ * ended. Ending: SIGTERM came, and there is no way back. Ended: nothing more is accepted.
  *
  * @param state as told last; {@link #at} says what time has made of it
  * @param since when that was
@@ -24,11 +24,18 @@
     private static final long HAND_OVER = 1_000_000;
     /** SIGKILL follows SIGTERM after the longest deadline, taken for this where it is longer, and so much more. */
     private static final long LONGEST = 3_000_000;
+
     private static final long MORE = 700_000;
     /** A process beside one that starts was seen to stand still for a second; and an answer has to be written. */
     private static final long STOP_MARGIN = 1_000_000;
 
-    public enum State { SERVING, LEAVING, AWAY, ENDING, ENDED }
+    public enum State {
+        SERVING,
+        LEAVING,
+        AWAY,
+        ENDING,
+        ENDED
+    }
 
     public static Presence serving() {
         return new Presence(State.SERVING, 0, false);
@@ -72,10 +79,14 @@
         return accompanied ? now - since >= HAND_OVER : at(now) == State.AWAY || at(now) == State.ENDED;
     }
 
-    /** When all that was taken must have its answer: the platform ends the process soon after. Far away unless SIGTERM came. */
+    /**
+     * When all that was taken must have its answer: the platform ends the process soon after. Far away unless SIGTERM
+     * came.
+     */
     public long answersBy(LongSupplier longestDeadline) {
-        return state == State.ENDING ? since + MORE + Math.max(0, Math.min(longestDeadline.getAsLong(), LONGEST) - STOP_MARGIN)
-            : Long.MAX_VALUE;
+        return state == State.ENDING
+                ? since + MORE + Math.max(0, Math.min(longestDeadline.getAsLong(), LONGEST) - STOP_MARGIN)
+                : Long.MAX_VALUE;
     }
 
     /** New connections are taken in. */
--- a/balancer/src/main/java/calicochute/settings/Bounds.java
+++ b/balancer/src/main/java/calicochute/settings/Bounds.java
@@ -16,18 +16,24 @@
     public static final int UNTOLD = 1 << 14;
     /** A head's lines, and the fields it may have. */
     public static final int LINE = 8192;
+
     public static final int FIELDS = 64;
     /** What one connection reads at a time. */
     public static final int BUFFER = 4096;
     /** What is read ahead while it is not known yet whether a message is short. */
     public static final int WINDOW = BODY + BUFFER;
+
     private static final int LEAST_WINDOW = 8192;
     /** Connections to the second address, for its staff and those who only sit on them. */
     public static final int ADMIN_CONNECTIONS = 32;
-    /** Connections that either acceptor takes in beyond what there is room for, before another one is ended: of what is set aside. */
+    /**
+     * Connections that either acceptor takes in beyond what there is room for, before another one is ended: of what is
+     * set aside.
+     */
     public static final int AHEAD = 8;
     /** What the second address needs beside its connections: its selectors and its listener. */
     private static final int ADMIN_OWN = 8;
+
     private static final int MOST_AHEAD = 1 << 24;
     private static final int SET_ASIDE = 48;
     private static final int FEWEST = 16;
@@ -41,6 +47,7 @@
         int each = Math.max(FEWEST, (sockets - aside) / 2);
         // Each client's connection may have a body on its way in and one on its way out.
         long share = ((long) memoryMb << 20) / 6 / (2L * each);
-        return new Bounds(each, each, (int) Math.max(LEAST_WINDOW, Math.min(BODY, share)), (int) Math.min(MOST_AHEAD, ((long) memoryMb << 20) / 16));
+        return new Bounds(each, each, (int) Math.max(LEAST_WINDOW, Math.min(BODY, share)), (int)
+                Math.min(MOST_AHEAD, ((long) memoryMb << 20) / 16));
     }
 }
--- a/balancer/src/main/java/calicochute/settings/Configuration.java
+++ b/balancer/src/main/java/calicochute/settings/Configuration.java
@@ -17,13 +17,20 @@
 import java.util.Set;
 
 /**
- * All that one real balancer is told. {@code known} is the list as it last had it, in discovery's form;
- * {@code admin} is the second address, or null;
- * {@code connectionIdle} is the time in microseconds after which a backend server drops an idle connection.
+ * All that one real balancer is told. {@code known} is the list as it last had it, in discovery's form; {@code admin}
+ * is the second address, or null; {@code connectionIdle} is the time in microseconds after which a backend server drops
+ * an idle connection.
  */
-public record Configuration(String name, InetSocketAddress listen, InetSocketAddress admin,
-                            InetSocketAddress discovery, Bounds bounds, long connectionIdle, String known,
-                            Settings settings, Document document) {
+public record Configuration(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress admin,
+        InetSocketAddress discovery,
+        Bounds bounds,
+        long connectionIdle,
+        String known,
+        Settings settings,
+        Document document) {
     private static final String ADMIN_VARIABLE = "PROXY_ADMIN_ADDR";
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int DEFAULT_MEMORY_MB = 128;
@@ -40,8 +47,10 @@
             flatten("", object(root, "settings"), values);
             document.checkLimits();
             values.put("nonce64", seed(text(root, "seed")));
-            // Guards against a session held for want of a server that is looked at again every few microseconds, or not before its
-            // deadline, and against answer times that look all alike: the tick told is of a clock, and this host has its own.
+            // Guards against a session held for want of a server that is looked at again every few microseconds, or not
+            // before its
+            // deadline, and against answer times that look all alike: the tick told is of a clock, and this host has
+            // its own.
             long tick = SettingsParser.time(values, "tick", DEFAULT_TICK);
             values.put("tick", Long.toString(Math.max(LEAST_TICK, Math.min(MOST_TICK, tick))));
             Settings settings = SettingsParser.parse(values);
@@ -51,20 +60,28 @@
             JsonObject limits = root.has("limits") ? object(root, "limits") : new JsonObject();
             String told = root.has("admin_addr") ? text(root, "admin_addr") : System.getenv(ADMIN_VARIABLE);
             InetSocketAddress admin = told == null || told.isEmpty() ? null : address("admin_addr", told);
-            return new Configuration(text(root, "name"), address("listen", text(root, "listen")),
-                admin,
-                address("discovery", text(root, "discovery")),
-                Bounds.of(limits.has("sockets") ? limits.get("sockets").getAsInt() : DEFAULT_SOCKETS,
-                    admin != null,
-                    limits.has("memory_mb") ? limits.get("memory_mb").getAsInt() : DEFAULT_MEMORY_MB),
-                SettingsParser.time(values, "caps.conn_idle", DEFAULT_CONNECTION_IDLE),
-                root.has("known") ? root.get("known").toString() : "", settings, document);
+            return new Configuration(
+                    text(root, "name"),
+                    address("listen", text(root, "listen")),
+                    admin,
+                    address("discovery", text(root, "discovery")),
+                    Bounds.of(
+                            limits.has("sockets") ? limits.get("sockets").getAsInt() : DEFAULT_SOCKETS,
+                            admin != null,
+                            limits.has("memory_mb") ? limits.get("memory_mb").getAsInt() : DEFAULT_MEMORY_MB),
+                    SettingsParser.time(values, "caps.conn_idle", DEFAULT_CONNECTION_IDLE),
+                    root.has("known") ? root.get("known").toString() : "",
+                    settings,
+                    document);
         } catch (IOException e) {
             throw new SettingsException(Code.CONFIGURATION_UNREADABLE, "", "cannot read " + file);
         } catch (SettingsException e) {
             throw e.in(file.toString());
-        } catch (JsonParseException | IllegalStateException | ClassCastException | NumberFormatException
-                 | UnsupportedOperationException e) {
+        } catch (JsonParseException
+                | IllegalStateException
+                | ClassCastException
+                | NumberFormatException
+                | UnsupportedOperationException e) {
             throw new SettingsException(file + " is not a configuration: " + e.getMessage());
         }
     }
@@ -74,12 +91,16 @@
         Configuration next = read(file);
         // Its servers, and all that was learnt and put out by hand, are of the tier it began with.
         if (next.settings.tier() != settings.tier()) {
-            throw new SettingsException(Code.RELOAD, file.toString(), "settings.layer is " + next.settings.tier() + ", but the running balancer's tier is "
-                + settings.tier() + ": another tier needs a restart");
+            throw new SettingsException(
+                    Code.RELOAD,
+                    file.toString(),
+                    "settings.layer is " + next.settings.tier() + ", but the running balancer's tier is "
+                            + settings.tier() + ": another tier needs a restart");
         }
         Set<String> missing = next.document.missing(document);
         if (!missing.isEmpty()) {
-            throw new SettingsException(Code.RELOAD, file.toString(), "lacks what the running one has: " + String.join(", ", missing));
+            throw new SettingsException(
+                    Code.RELOAD, file.toString(), "lacks what the running one has: " + String.join(", ", missing));
         }
         return next;
     }
@@ -126,8 +147,9 @@
     /** Nested settings become the wire's pairs: plain lists joined by commas, lists of objects counted. */
     private static void flatten(String path, JsonElement value, Map<String, String> to) {
         if (value.isJsonObject()) {
-            value.getAsJsonObject().entrySet().forEach(e ->
-                flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), to));
+            value.getAsJsonObject()
+                    .entrySet()
+                    .forEach(e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), to));
         } else if (value.isJsonArray()) {
             JsonArray items = value.getAsJsonArray();
             List<String> plain = new ArrayList<>();
--- a/balancer/src/main/java/calicochute/settings/Document.java
+++ b/balancer/src/main/java/calicochute/settings/Document.java
@@ -18,6 +18,7 @@
 public record Document(JsonObject root) {
     /** Longer ones are mistakes: a day in microseconds. */
     private static final BigDecimal LONGEST = BigDecimal.valueOf(86_400_000_000L);
+
     private static final BigDecimal MOST_ATTEMPTS = BigDecimal.valueOf(1000);
 
     /** Reads strict JSON, to its end: a file cut short is refused wherever it was cut. */
@@ -74,7 +75,9 @@
         throw new SettingsException(path + " is no number above 0 and up to " + most + ": " + value);
     }
 
-    /** The paths of keys that the other document has and this one lacks; in lists, keys that all of its objects have. */
+    /**
+     * The paths of keys that the other document has and this one lacks; in lists, keys that all of its objects have.
+     */
     public Set<String> missing(Document other) {
         Set<String> missing = new TreeSet<>();
         missing("", other.root, root, missing);
--- a/balancer/src/main/java/calicochute/settings/SettingsException.java
+++ b/balancer/src/main/java/calicochute/settings/SettingsException.java
@@ -1,7 +1,7 @@
 package calicochute.settings;
 
-import calicochute.errors.Code;
 import calicochute.errors.CheckedFault;
+import calicochute.errors.Code;
 
 /** Settings, a configuration or a list that can't be used; the message says what is wrong with them. */
 public final class SettingsException extends CheckedFault {
