--- a/balancer/src/main/java/calicochute/settings/SettingsParser.java
+++ b/balancer/src/main/java/calicochute/settings/SettingsParser.java
@@ -1,9 +1,5 @@
 package calicochute.settings;
 
-import java.math.BigDecimal;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
 import calicochute.decision.Balancer.Effect;
 import calicochute.decision.Balancer.Goal;
 import calicochute.decision.Balancer.KeyScope;
@@ -12,6 +8,10 @@
 import calicochute.decision.Balancer.Rules;
 import calicochute.decision.Balancer.Settings;
 import calicochute.decision.Balancer.Tenant;
+import java.math.BigDecimal;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
 
 /** Turns flattened path=value pairs into {@link Settings}, for both hosts; unknown paths are ignored. */
 public final class SettingsParser {
@@ -31,22 +31,52 @@
     }
 
     private Settings settings() throws SettingsException {
-        Limits limits = new Limits(flag("caps.cancel"), flag("caps.second_copies"), flag("caps.probes"),
-            flag("caps.peers"), flag("caps.retry_after"), count("caps.max_attempts", 1, 1),
-            count("caps.max_open", Integer.MAX_VALUE, 0), count("caps.streams_per_conn", 1, 0),
-            time("caps.connect_timeout", 0, 0), time("caps.max_retry_after", 0, 0));
-        Rules rules = new Rules(time("obligations.answer_slack", 0, 0), time("obligations.ask_every", 0, 0),
-            // Guards against 0/0 where a server's start is ahead of this clock: no time to warm up is the least there is.
-            decimal("obligations.cold_from", 1), Math.max(1, time("obligations.warm_up", 0, 0)),
-            time("obligations.drain_grace", 0, 0), decimal("obligations.fall_multiple", 1),
-            time("obligations.fall", 0, 0));
-        Goal goal = new Goal(decimal("goal.whole", 1), decimal("goal.worst_window", 0),
-            decimal("goal.worst_class", 0), decimal("goal.worst_tenant", 0), decimal("prices.cross_zone", 0),
-            decimal("prices.waste", 0), decimal("prices.late_fail", 0));
-        return new Settings(seed(), count("me", 0, 0), Math.max(1, count("balancers", 1, 0)),
-            count("layer", 0, 0), flag("domain.passes_deadline"),
-            text("discovery", "pushed").equals("on_request"), flag("client_habits.marks_retry"), text("zone", ""),
-            time("tick", 1000, 1), decimal("over_share_worth", 1), reportFields(), classes(), tenants(), limits, rules, goal);
+        Limits limits = new Limits(
+                flag("caps.cancel"),
+                flag("caps.second_copies"),
+                flag("caps.probes"),
+                flag("caps.peers"),
+                flag("caps.retry_after"),
+                count("caps.max_attempts", 1, 1),
+                count("caps.max_open", Integer.MAX_VALUE, 0),
+                count("caps.streams_per_conn", 1, 0),
+                time("caps.connect_timeout", 0, 0),
+                time("caps.max_retry_after", 0, 0));
+        Rules rules = new Rules(
+                time("obligations.answer_slack", 0, 0),
+                time("obligations.ask_every", 0, 0),
+                // Guards against 0/0 where a server's start is ahead of this clock: no time to warm up is the least
+                // there is.
+                decimal("obligations.cold_from", 1),
+                Math.max(1, time("obligations.warm_up", 0, 0)),
+                time("obligations.drain_grace", 0, 0),
+                decimal("obligations.fall_multiple", 1),
+                time("obligations.fall", 0, 0));
+        Goal goal = new Goal(
+                decimal("goal.whole", 1),
+                decimal("goal.worst_window", 0),
+                decimal("goal.worst_class", 0),
+                decimal("goal.worst_tenant", 0),
+                decimal("prices.cross_zone", 0),
+                decimal("prices.waste", 0),
+                decimal("prices.late_fail", 0));
+        return new Settings(
+                seed(),
+                count("me", 0, 0),
+                Math.max(1, count("balancers", 1, 0)),
+                count("layer", 0, 0),
+                flag("domain.passes_deadline"),
+                text("discovery", "pushed").equals("on_request"),
+                flag("client_habits.marks_retry"),
+                text("zone", ""),
+                time("tick", 1000, 1),
+                decimal("over_share_worth", 1),
+                reportFields(),
+                classes(),
+                tenants(),
+                limits,
+                rules,
+                goal);
     }
 
     private long seed() throws SettingsException {
@@ -69,9 +99,16 @@
                 throw new SettingsException("born lacks " + at + "name");
             }
             long deadline = time(at + "deadline", 60_000_000, 1);
-            classes.add(new RequestClass(text(at + "name", ""), effect(text(at + "effect", "once")),
-                scope(text(at + "key_scope", "cell")), time(at + "window", 0, 0), time(at + "objective", deadline, 1),
-                deadline, decimal(at + "points", 1), decimal(at + "late_worth", 0), flag(at + "streaming")));
+            classes.add(new RequestClass(
+                    text(at + "name", ""),
+                    effect(text(at + "effect", "once")),
+                    scope(text(at + "key_scope", "cell")),
+                    time(at + "window", 0, 0),
+                    time(at + "objective", deadline, 1),
+                    deadline,
+                    decimal(at + "points", 1),
+                    decimal(at + "late_worth", 0),
+                    flag(at + "streaming")));
         }
         return classes;
     }
@@ -80,8 +117,10 @@
         List<Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < count("accounts.count", 0, 0); i++) {
             String at = "accounts." + i + ".";
-            tenants.add(new Tenant(text(at + "name", ""), decimal(at + "portion", 1),
-                decimal(at + "allowance_per_s", Double.MAX_VALUE)));
+            tenants.add(new Tenant(
+                    text(at + "name", ""),
+                    decimal(at + "portion", 1),
+                    decimal(at + "allowance_per_s", Double.MAX_VALUE)));
         }
         return tenants;
     }
--- a/balancer/src/main/java/calicochute/settings/Succession.java
+++ b/balancer/src/main/java/calicochute/settings/Succession.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 
 /**
- * The settings in force, and the classes and tenants that sessions begun earlier may still refer to. An index never comes to
- * mean another class: the table only grows, and the same rules under the same name get the same index again. Immutable; all
- * times are microseconds.
+ * The settings in force, and the classes and tenants that sessions begun earlier may still refer to. An index never
+ * comes to mean another class: the table only grows, and the same rules under the same name get the same index again.
+ * Immutable; all times are microseconds.
  *
  * @param current what the file says now
  * @param classes all classes there have been
@@ -20,14 +20,19 @@
  * @param dropped until when classes that the file no longer has are taken, by name
  * @param left until when tenants that the file no longer has are taken, by name
  */
-public record Succession(Settings current, List<RequestClass> classes, List<Tenant> tenants,
-                         Map<String, Dropped> dropped, Map<String, Dropped> left) {
+public record Succession(
+        Settings current,
+        List<RequestClass> classes,
+        List<Tenant> tenants,
+        Map<String, Dropped> dropped,
+        Map<String, Dropped> left) {
     /** Callers learn of a change later than the balancer does. */
     public static final long GRACE = 10_000_000;
+
     private static final int MOST_CLASSES = 512;
 
     /** A class or a tenant that is taken for a while yet. */
-    public record Dropped(int index, long until) { }
+    public record Dropped(int index, long until) {}
 
     public Succession {
         classes = List.copyOf(classes);
@@ -75,7 +80,10 @@
         return leaving != null && now < leaving.until ? leaving.index : -1;
     }
 
-    /** The index of a tenant that sessions may name now; -1 for none: one that was taken out is refused after a reload as it is after a restart. */
+    /**
+     * The index of a tenant that sessions may name now; -1 for none: one that was taken out is refused after a reload
+     * as it is after a restart.
+     */
     public int tenantIndex(String name, long now) {
         if (current.tenants().stream().anyMatch(t -> t.name().equals(name))) {
             return index(name);
@@ -94,18 +102,35 @@
     }
 
     /**
-     * The longest time that callers give now. Of the classes there have been it may be much less: the platform goes by its newest settings when it
-     * ends a process, and would not wait for one that was taken out.
+     * The longest time that callers give now. Of the classes there have been it may be much less: the platform goes by
+     * its newest settings when it ends a process, and would not wait for one that was taken out.
      */
     public long longestDeadline() {
-        return current.classes().stream().mapToLong(RequestClass::deadline).max().orElse(0);
+        return current.classes().stream()
+                .mapToLong(RequestClass::deadline)
+                .max()
+                .orElse(0);
     }
 
     /** What the module is told: the settings in force, with all classes and tenants at their indexes. */
     public Settings forModule() {
         Settings s = current;
-        return new Settings(s.seed(), s.me(), s.balancers(), s.tier(), s.passesDeadline(), s.subscribes(),
-            s.marksRetries(), s.zone(), s.tick(), s.overShareWorth(), s.reportFields(), classes, tenants, s.limits(),
-            s.rules(), s.goal());
+        return new Settings(
+                s.seed(),
+                s.me(),
+                s.balancers(),
+                s.tier(),
+                s.passesDeadline(),
+                s.subscribes(),
+                s.marksRetries(),
+                s.zone(),
+                s.tick(),
+                s.overShareWorth(),
+                s.reportFields(),
+                classes,
+                tenants,
+                s.limits(),
+                s.rules(),
+                s.goal());
     }
 }
--- a/balancer/src/main/java/calicochute/takeover/InheritedSocket.java
+++ b/balancer/src/main/java/calicochute/takeover/InheritedSocket.java
@@ -7,14 +7,13 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * The clients' listening socket where the platform holds it and every process inherits it. Java gives access to descriptor 0
- * alone ({@link System#inheritedChannel}); it is never shut down here, since others hold it too.
+ * The clients' listening socket where the platform holds it and every process inherits it. Java gives access to
+ * descriptor 0 alone ({@link System#inheritedChannel}); it is never shut down here, since others hold it too.
  */
 public final class InheritedSocket {
     private static final String VARIABLE = "PROXY_INHERITED_FD";
 
-    private InheritedSocket() {
-    }
+    private InheritedSocket() {}
 
     /** The socket, or null where the platform holds none. */
     public static ServerSocketChannel get() throws IOException {
@@ -23,7 +22,8 @@
             return null;
         }
         if (!descriptor.equals("0")) {
-            throw new InheritedSocketException(VARIABLE + " is '" + descriptor + "', but only descriptor 0 can be inherited");
+            throw new InheritedSocketException(
+                    VARIABLE + " is '" + descriptor + "', but only descriptor 0 can be inherited");
         }
         // Java points the standard streams at /dev/null once it hands out the channel: opened anew before, they go on.
         PrintStream out = again(1, System.out);
--- a/balancer/src/main/java/calicochute/takeover/LearntFile.java
+++ b/balancer/src/main/java/calicochute/takeover/LearntFile.java
@@ -14,11 +14,12 @@
     private static final int VERSION = 2;
     /** Older knowledge is worth no more than none. */
     private static final long OLDEST_MS = 10_000;
+
     private final Gson gson = new Gson();
     private final Path file;
 
     /** {@code learnt} as it was at that Unix time in milliseconds, and by whom. */
-    public record Note(int version, long atMs, Origin origin, Learnt learnt) { }
+    public record Note(int version, long atMs, Origin origin, Learnt learnt) {}
 
     public LearntFile(SharedFolder shared) {
         file = shared.file(".learnt");
@@ -32,8 +33,12 @@
     public Note read(Origin reader, long nowMs) throws IOException {
         try {
             Note note = gson.fromJson(Files.readString(file), Note.class);
-            if (note == null || note.version != VERSION || nowMs - note.atMs > OLDEST_MS || nowMs < note.atMs
-                || note.learnt == null || !note.learnt.sane()) {
+            if (note == null
+                    || note.version != VERSION
+                    || nowMs - note.atMs > OLDEST_MS
+                    || nowMs < note.atMs
+                    || note.learnt == null
+                    || !note.learnt.sane()) {
                 return null;
             }
             if (!reader.equals(note.origin)) {
--- a/balancer/src/main/java/calicochute/takeover/Lives.java
+++ b/balancer/src/main/java/calicochute/takeover/Lives.java
@@ -10,8 +10,9 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Tells whether another process of this balancer lives. Each holds an OS lock on a file of its own in the folder that they
- * share; the lock falls free with the process, however that ends, and the file is then removed by whoever finds it.
+ * Tells whether another process of this balancer lives. Each holds an OS lock on a file of its own in the folder that
+ * they share; the lock falls free with the process, however that ends, and the file is then removed by whoever finds
+ * it.
  */
 public final class Lives {
     private static final String LIFE = ".life.";
@@ -22,7 +23,9 @@
 
     /** @param shared the folder that the processes share, or null: then there is never another one */
     public Lives(SharedFolder shared) {
-        mine = shared == null ? null : shared.file(LIFE + ProcessHandle.current().pid());
+        mine = shared == null
+                ? null
+                : shared.file(LIFE + ProcessHandle.current().pid());
         pattern = shared == null ? null : shared.file(LIFE).getFileName() + "*";
         held = shared == null ? null : hold();
     }
@@ -56,7 +59,7 @@
 
     private static boolean locked(Path file) throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE);
-             FileLock free = channel.tryLock()) {
+                FileLock free = channel.tryLock()) {
             if (free == null) {
                 return true;
             }
--- a/balancer/src/main/java/calicochute/takeover/Origin.java
+++ b/balancer/src/main/java/calicochute/takeover/Origin.java
@@ -6,8 +6,9 @@
 import java.util.TreeSet;
 
 /**
- * Whose knowledge it is: the balancer, and what its settings say of that which the knowledge is about. Where any of it differs it was learnt of
- * other work, under another deployment's settings, even if names are alike. Aims, deadlines, limits and shares may change: they don't tell owners apart.
+ * Whose knowledge it is: the balancer, and what its settings say of that which the knowledge is about. Where any of it
+ * differs it was learnt of other work, under another deployment's settings, even if names are alike. Aims, deadlines,
+ * limits and shares may change: they don't tell owners apart.
  *
  * @param classes what repeats of each do, by name
  */
--- a/balancer/src/main/java/calicochute/wire/Host.java
+++ b/balancer/src/main/java/calicochute/wire/Host.java
@@ -1,14 +1,5 @@
 package calicochute.wire;
 
-import java.io.IOException;
-import java.io.InputStream;
-import java.io.OutputStream;
-import java.util.ArrayList;
-import java.util.Base64;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.function.Function;
 import calicochute.decision.Balancer;
 import calicochute.decision.Balancer.Backend;
 import calicochute.decision.Balancer.BackendState;
@@ -18,6 +9,15 @@
 import calicochute.decision.Balancer.Settings;
 import calicochute.settings.SettingsException;
 import calicochute.settings.SettingsParser;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.OutputStream;
+import java.util.ArrayList;
+import java.util.Base64;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
 
 /** Hosts many instances on the wire: translates batches to events and actions to replies, and decides nothing. */
 public final class Host {
@@ -30,7 +30,7 @@
     private final List<List<Backend>> directories = new ArrayList<>();
     private long now = Long.MIN_VALUE;
 
-    private record Instance(Balancer balancer, Map<String, Integer> classes, Map<String, Integer> tenants) { }
+    private record Instance(Balancer balancer, Map<String, Integer> classes, Map<String, Integer> tenants) {}
 
     public Host(InputStream in, OutputStream out, Function<Settings, Balancer> factory) {
         line = new LineReader(in);
@@ -81,14 +81,22 @@
             case "halt" -> instances.remove(line.text("i"));
             case "discovery" -> tell(discovery());
             case "arrival" -> tell(arrival());
-            case "outcome" -> tell(new Balancer.AttemptEnded(line.hex("xid"), attempt(), line.text("backend"),
-                line.flag("done_flag"), outcome(), line.number("wait_time", 0), load()));
-            case "streaming" -> tell(new Balancer.StreamStarted(line.hex("xid"), attempt(), line.text("backend"),
-                line.number("wait_time", 0)));
+            case "outcome" ->
+                tell(new Balancer.AttemptEnded(
+                        line.hex("xid"),
+                        attempt(),
+                        line.text("backend"),
+                        line.flag("done_flag"),
+                        outcome(),
+                        line.number("wait_time", 0),
+                        load()));
+            case "streaming" ->
+                tell(new Balancer.StreamStarted(
+                        line.hex("xid"), attempt(), line.text("backend"), line.number("wait_time", 0)));
             case "timed_out_client" -> tell(new Balancer.ClientGone(line.hex("xid")));
             case "ring" -> tell(timer());
-            case "probe_done" -> tell(new Balancer.Probed(line.text("backend"), outcome(),
-                line.number("wait_time", 0), load()));
+            case "probe_done" ->
+                tell(new Balancer.Probed(line.text("backend"), outcome(), line.number("wait_time", 0), load()));
             case "note_from" -> tell(new Balancer.PeerMessage((int) line.number("sender", 0), bytes()));
             default -> throw line.error("unknown event '" + word + "'");
         }
@@ -154,8 +162,14 @@
             if (!line.word().equals("row")) {
                 throw line.error("expected row " + (i + 1) + " of " + count + ", got '" + line.word() + "'");
             }
-            entries.add(new Backend(line.text("backend"), line.text("zone", ""), (int) line.number("cluster", 0),
-                line.decimal("capacity_hint", 1), state(), line.number("last_start", 0), line.text("machine", "")));
+            entries.add(new Backend(
+                    line.text("backend"),
+                    line.text("zone", ""),
+                    (int) line.number("cluster", 0),
+                    line.decimal("capacity_hint", 1),
+                    state(),
+                    line.number("last_start", 0),
+                    line.text("machine", "")));
         }
         directories.set((int) slot, List.copyOf(entries));
     }
@@ -204,8 +218,13 @@
             throw line.error("unknown band '" + line.text("band") + "'");
         }
         Integer tenant = instance.tenants.get(line.text("billing", ""));
-        return new Balancer.Arrival(line.hex("xid"), band, tenant == null ? -1 : tenant,
-            line.freshText("affinity", null), line.number("patience_left"), line.flag("resent"));
+        return new Balancer.Arrival(
+                line.hex("xid"),
+                band,
+                tenant == null ? -1 : tenant,
+                line.freshText("affinity", null),
+                line.number("patience_left"),
+                line.flag("resent"));
     }
 
     private int attempt() throws WireException {
@@ -224,8 +243,9 @@
         String label = line.freshText("label", "");
         int colon = label.indexOf(':');
         try {
-            return new Balancer.Timer(Integer.parseInt(label, 0, colon, 10),
-                Long.parseUnsignedLong(label, colon + 1, label.length(), 16));
+            return new Balancer.Timer(
+                    Integer.parseInt(label, 0, colon, 10),
+                    Long.parseUnsignedLong(label, colon + 1, label.length(), 16));
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
             throw line.error("label is none of ours: '" + label + "'");
         }
--- a/balancer/src/main/java/calicochute/wire/LineReader.java
+++ b/balancer/src/main/java/calicochute/wire/LineReader.java
@@ -6,8 +6,8 @@
 import java.util.Arrays;
 
 /**
- * Reads lines and cuts each into its leading word and name=value fields, all as byte ranges of one buffer.
- * A line's ranges hold until the next line is read.
+ * Reads lines and cuts each into its leading word and name=value fields, all as byte ranges of one buffer. A line's
+ * ranges hold until the next line is read.
  */
 final class LineReader {
     private final InputStream in;
@@ -24,6 +24,7 @@
     private int[] valueEnd = new int[32];
     /** Interned texts: names that recur are made into a String once. */
     private String[] texts = new String[1 << 10];
+
     private int textCount;
 
     LineReader(InputStream in) {
--- a/balancer/src/main/java/calicochute/wire/ReplyWriter.java
+++ b/balancer/src/main/java/calicochute/wire/ReplyWriter.java
@@ -1,11 +1,11 @@
 package calicochute.wire;
 
+import calicochute.decision.Balancer.Actions;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.Base64;
-import calicochute.decision.Balancer.Actions;
 
 /** Writes the actions of the instance at hand as reply lines. */
 final class ReplyWriter implements Actions {
--- a/balancer/src/main/java/calicochute/wire/WireException.java
+++ b/balancer/src/main/java/calicochute/wire/WireException.java
@@ -1,7 +1,7 @@
 package calicochute.wire;
 
-import calicochute.errors.Code;
 import calicochute.errors.CheckedFault;
+import calicochute.errors.Code;
 
 /** Malformed input; the message names the line and what is wrong with it. */
 public final class WireException extends CheckedFault {
--- a/balancer/src/main/java/org/apache/hc/core5/reactor/ChannelBridge.java
+++ b/balancer/src/main/java/org/apache/hc/core5/reactor/ChannelBridge.java
@@ -8,8 +8,7 @@
  * that package: its test fails if an upgrade of the library changes these two names.
  */
 public final class ChannelBridge {
-    private ChannelBridge() {
-    }
+    private ChannelBridge() {}
 
     /** The channel is made non-blocking by the worker; closing it is the worker's from here on. */
     public static void adopt(DefaultConnectingIOReactor reactor, SocketChannel channel) {
--- a/balancer/src/test/java/calicochute/backend/BackendServersTest.java
+++ b/balancer/src/test/java/calicochute/backend/BackendServersTest.java
@@ -41,9 +41,10 @@
         }
     }
 
-    private void checkHeldBack(long timeout, boolean kept, Consumer<BackendServers> takeOut) throws IOException, InterruptedException {
+    private void checkHeldBack(long timeout, boolean kept, Consumer<BackendServers> takeOut)
+            throws IOException, InterruptedException {
         try (Connector connector = new Connector();
-             ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+                ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             connector.start();
             listener.setSoTimeout(30_000);
             BackendServers servers = servers(connector, listener.getLocalPort());
@@ -56,8 +57,12 @@
             assertEquals(List.of(Outcome.MOOT), outcomes);
             if (kept) {
                 servers.send(dispatch("/next"), 100_000);
-                BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-                assertEquals("GET /next HTTP/1.1", in.readLine(), "nothing was sent before, and the connection serves the next");
+                BufferedReader in =
+                        new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+                assertEquals(
+                        "GET /next HTTP/1.1",
+                        in.readLine(),
+                        "nothing was sent before, and the connection serves the next");
             } else {
                 assertTrue(endedUnused(socket), "nothing was sent, and the connection ended");
             }
@@ -65,12 +70,27 @@
         }
     }
 
-    /** What waits for its connection is not begun once its server or its session is out, in each of the ways they can be. */
+    /**
+     * What waits for its connection is not begun once its server or its session is out, in each of the ways they can
+     * be.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {"out by hand or draining", "not on a whole list", "gone", "moved", "started anew", "client gone",
-        "session answered", "too late to be repeated", "out of time"})
+    @ValueSource(
+            strings = {
+                "out by hand or draining",
+                "not on a whole list",
+                "gone",
+                "moved",
+                "started anew",
+                "client gone",
+                "session answered",
+                "too late to be repeated",
+                "out of time"
+            })
     void aCallThatWaitedIsHeldBack(String how) throws Exception {
-        boolean kept = Set.of("client gone", "session answered", "too late to be repeated", "out of time", "started anew").contains(how);
+        boolean kept = Set.of(
+                        "client gone", "session answered", "too late to be repeated", "out of time", "started anew")
+                .contains(how);
         checkHeldBack(how.startsWith("too late") ? 10_000_000 : 100_000, kept, servers -> {
             switch (how) {
                 case "not on a whole list" -> servers.keepOnly(Set.of());
@@ -86,11 +106,14 @@
         });
     }
 
-    /** A handshake that is late is not lost: after half the time a second is tried beside it, and both serve what comes next. */
+    /**
+     * A handshake that is late is not lost: after half the time a second is tried beside it, and both serve what comes
+     * next.
+     */
     @Test
     void connectionsThatComeUpLateServeTheNext() throws Exception {
         try (Connector connector = new Connector();
-             ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+                ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             connector.start();
             listener.setSoTimeout(30_000);
             List<Socket> ahead = fill(listener);
@@ -106,25 +129,39 @@
                 listener.accept().close();
                 socket.close();
             }
-            try (Socket one = listener.accept(); Socket other = listener.accept()) {
+            try (Socket one = listener.accept();
+                    Socket other = listener.accept()) {
                 one.setSoTimeout(30_000);
                 other.setSoTimeout(30_000);
                 runPosted();
                 runPosted();
                 servers.send(dispatch(), 60_000_000);
                 servers.send(dispatch(), 60_000_000);
-                assertEquals("GG", "" + (char) one.getInputStream().read() + (char) other.getInputStream().read());
+                assertEquals(
+                        "GG",
+                        "" + (char) one.getInputStream().read()
+                                + (char) other.getInputStream().read());
             }
-            assertEquals(List.of(2L, 1L, 1L, 2L), Stream.of(Counter.CONNECTIONS_OPENED, Counter.CONNECTIONS_TRIED_AGAIN,
-                Counter.CONNECTIONS_LATE, Counter.CONNECTIONS_REUSED).map(counters::get).toList());
+            assertEquals(
+                    List.of(2L, 1L, 1L, 2L),
+                    Stream.of(
+                                    Counter.CONNECTIONS_OPENED,
+                                    Counter.CONNECTIONS_TRIED_AGAIN,
+                                    Counter.CONNECTIONS_LATE,
+                                    Counter.CONNECTIONS_REUSED)
+                            .map(counters::get)
+                            .toList());
         }
     }
 
-    /** A server ended an idle connection: the next call is not written to one that is nearly as old, but still to a younger one. */
+    /**
+     * A server ended an idle connection: the next call is not written to one that is nearly as old, but still to a
+     * younger one.
+     */
     @Test
     void noCallIsWrittenToAConnectionAboutToEnd() throws Exception {
         try (Connector connector = new Connector();
-             ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+                ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             connector.start();
             listener.setSoTimeout(30_000);
             BackendServers servers = servers(connector, listener.getLocalPort());
@@ -136,16 +173,22 @@
             Socket third = serve(servers, listener, null);
             queue.now += 150_000;
             serve(servers, listener, third);
-            assertEquals(List.of(3L, 1L, 1L), Stream.of(Counter.CONNECTIONS_OPENED, Counter.CONNECTIONS_REUSED,
-                Counter.CONNECTIONS_CLOSED_IDLE).map(counters::get).toList());
+            assertEquals(
+                    List.of(3L, 1L, 1L),
+                    Stream.of(Counter.CONNECTIONS_OPENED, Counter.CONNECTIONS_REUSED, Counter.CONNECTIONS_CLOSED_IDLE)
+                            .map(counters::get)
+                            .toList());
         }
     }
 
-    /** A reload with a shorter idle time counts at once: what has been free for longer is closed, and none is lent past it between two sweeps. */
+    /**
+     * A reload with a shorter idle time counts at once: what has been free for longer is closed, and none is lent past
+     * it between two sweeps.
+     */
     @Test
     void aShorterIdleTimeCountsAtOnce() throws Exception {
         try (Connector connector = new Connector();
-             ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+                ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             connector.start();
             listener.setSoTimeout(30_000);
             BackendServers servers = servers(connector, listener.getLocalPort());
@@ -173,7 +216,7 @@
     @Test
     void connectionsAreNotKeptForAServerThatEndsThemAtOnce() throws Exception {
         try (Connector connector = new Connector();
-             ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+                ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             connector.start();
             listener.setSoTimeout(30_000);
             BackendServers servers = servers(connector, listener.getLocalPort());
@@ -190,7 +233,7 @@
     @Test
     void aConnectionThatComesFreeServesWhatWaits() throws Exception {
         try (Connector connector = new Connector();
-             ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+                ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             connector.start();
             listener.setSoTimeout(30_000);
             BackendServers servers = servers(connector, listener.getLocalPort(), 30_000_000);
@@ -199,11 +242,13 @@
                 socket.setSoTimeout(30_000);
                 runPosted();
                 queue.alarms.get(queue.alarms.size() - 1).run();
-                BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+                BufferedReader in =
+                        new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
                 assertEquals("GET / HTTP/1.1", in.readLine());
                 List<Socket> ahead = fill(listener);
                 servers.send(dispatch(), 60_000_000);
-                socket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream()
+                        .write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                 while (outcomes.isEmpty()) {
                     runPosted();
                 }
@@ -218,17 +263,20 @@
         }
     }
 
-    /** Late connections don't take the room of a dispatch: they are given up for it, and second ones leave half of it. */
+    /**
+     * Late connections don't take the room of a dispatch: they are given up for it, and second ones leave half of it.
+     */
     @Test
     void lateConnectionsGiveWay() throws Exception {
         try (Connector connector = new Connector();
-             ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+                ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             connector.start();
             List<Socket> ahead = fill(listener);
             BackendServers servers = servers(connector, listener.getLocalPort(), 30_000_000);
             int room = Bounds.of(64, false, 64).serverConnections();
             for (int i = 0; i <= room; i++) {
-                servers.address("s" + i, new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort()));
+                servers.address(
+                        "s" + i, new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort()));
                 int first = queue.alarms.size();
                 dispatch();
                 servers.send(exchange.dispatch("s" + i, queue.now(), Long.MAX_VALUE), 60_000_000);
@@ -253,7 +301,7 @@
     @Test
     void endedConnectionsLeaveTheBound() throws Exception {
         try (Connector connector = new Connector();
-             ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+                ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             connector.start();
             listener.setSoTimeout(30_000);
             BackendServers servers = servers(connector, listener.getLocalPort());
@@ -270,7 +318,9 @@
         }
     }
 
-    /** Servers that drop idle connections almost at once must not keep the decision thread sweeping and nothing else. */
+    /**
+     * Servers that drop idle connections almost at once must not keep the decision thread sweeping and nothing else.
+     */
     @Test
     void sweepsAreSpacedHoweverShortTheIdleTime() {
         try (Connector connector = new Connector()) {
--- a/balancer/src/test/java/calicochute/backend/ByHand.java
+++ b/balancer/src/test/java/calicochute/backend/ByHand.java
@@ -32,11 +32,14 @@
 
 /** What tests of dispatches share in which the test itself is the decision thread, on real connections. */
 abstract class ByHand {
-    /** A clock that goes on by a step at each look, as on a machine short of processor time; tasks are run by the test. */
+    /**
+     * A clock that goes on by a step at each look, as on a machine short of processor time; tasks are run by the test.
+     */
     static final class HandQueue implements DecisionQueue {
         static final long STEP = 3_000;
         /** 0 for a clock that stands still unless the test moves it. */
         long step = STEP;
+
         final BlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
         final List<Long> dueAt = new ArrayList<>();
         final List<Runnable> alarms = new ArrayList<>();
@@ -56,12 +59,13 @@
         public Alarm after(long micros, Runnable task) {
             dueAt.add(now + micros);
             alarms.add(task);
-            return () -> { };
+            return () -> {};
         }
     }
 
     /** For how long a dispatch may be sent. */
     static final long WINDOW = 1_000_000;
+
     final HandQueue queue = new HandQueue();
     final List<Outcome> outcomes = new ArrayList<>();
 
@@ -72,8 +76,17 @@
     }
 
     Dispatch dispatch(String target) {
-        exchange = new Exchange(1, "1", new Message("GET", target, List.of(), new Body.Whole(new byte[0])), 0, -1,
-            new Limits(true, false, false, false, false, 3, 10, 1, 500_000, 0), false, queue.now(), 900_000, a -> { });
+        exchange = new Exchange(
+                1,
+                "1",
+                new Message("GET", target, List.of(), new Body.Whole(new byte[0])),
+                0,
+                -1,
+                new Limits(true, false, false, false, false, 3, 10, 1, 500_000, 0),
+                false,
+                queue.now(),
+                900_000,
+                a -> {});
         return exchange.dispatch("s", queue.now(), queue.now + WINDOW);
     }
 
@@ -84,21 +97,25 @@
     }
 
     BackendServers servers(Connector connector, int port, long connectTimeout) {
-        BackendServers servers = new BackendServers(connector, queue, counters, connectTimeout, 30_000_000,
-            Bounds.of(64, false, 64), new DispatchListener() {
-                @Override
-                public void dispatchBegun(Dispatch dispatch, Answer answer) {
-                }
-
-                @Override
-                public void dispatchEnded(Dispatch dispatch, Outcome outcome, Answer answer) {
-                    outcomes.add(outcome);
-                }
-
-                @Override
-                public void dispatchWritten() {
-                }
-            });
+        BackendServers servers = new BackendServers(
+                connector,
+                queue,
+                counters,
+                connectTimeout,
+                30_000_000,
+                Bounds.of(64, false, 64),
+                new DispatchListener() {
+                    @Override
+                    public void dispatchBegun(Dispatch dispatch, Answer answer) {}
+
+                    @Override
+                    public void dispatchEnded(Dispatch dispatch, Outcome outcome, Answer answer) {
+                        outcomes.add(outcome);
+                    }
+
+                    @Override
+                    public void dispatchWritten() {}
+                });
         servers.address("s", new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         return servers;
     }
@@ -113,15 +130,19 @@
 
     /** Connections to it don't come up until those before them are accepted. */
     static List<Socket> fill(ServerSocket listener) throws IOException {
-        return List.of(new Socket(listener.getInetAddress(), listener.getLocalPort()),
-            new Socket(listener.getInetAddress(), listener.getLocalPort()));
+        return List.of(
+                new Socket(listener.getInetAddress(), listener.getLocalPort()),
+                new Socket(listener.getInetAddress(), listener.getLocalPort()));
     }
 
     void runPosted() throws InterruptedException {
         queue.posted.poll(30, TimeUnit.SECONDS).run();
     }
 
-    /** Sends one more, over this connection or, if null, over a new one, which is returned; it is answered and the connection is free again. */
+    /**
+     * Sends one more, over this connection or, if null, over a new one, which is returned; it is answered and the
+     * connection is free again.
+     */
     Socket serve(BackendServers servers, ServerSocket listener, Socket kept) throws Exception {
         int before = outcomes.size();
         servers.send(dispatch(), 60_000_000);
@@ -141,7 +162,8 @@
 
     /** Reads a request up to the empty line behind its head. */
     static void readRequest(Socket socket) throws IOException {
-        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         assertEquals("GET / HTTP/1.1", in.readLine());
         assertTrue(in.readLine().startsWith("X-Remaining-Ms: "));
         assertEquals("", in.readLine());
@@ -150,7 +172,8 @@
     /** Answers what has been sent there, as the outcome of that number. */
     void answer(Socket socket, int before) throws Exception {
         readRequest(socket);
-        socket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream()
+                .write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         while (outcomes.size() == before) {
             runPosted();
         }
@@ -164,7 +187,8 @@
                 return queue.alarms.get(i);
             }
         }
-        throw new AssertionError("none is due in " + micros + " at " + queue.now + ": " + queue.dueAt.subList(since, queue.dueAt.size()));
+        throw new AssertionError("none is due in " + micros + " at " + queue.now + ": "
+                + queue.dueAt.subList(since, queue.dueAt.size()));
     }
 
     void endedBy(Socket socket, int early) throws Exception {
--- a/balancer/src/test/java/calicochute/backend/EndedAtOnceTest.java
+++ b/balancer/src/test/java/calicochute/backend/EndedAtOnceTest.java
@@ -19,10 +19,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Servers that end connections as they come up, in each order with the call that was to go there: on a clock that only the test moves. */
+/**
+ * Servers that end connections as they come up, in each order with the call that was to go there: on a clock that only
+ * the test moves.
+ */
 class EndedAtOnceTest extends ByHand {
-    /** How long a connection rests that has come up, and that has served; and the pause after a spare that its server ended. */
+    /**
+     * How long a connection rests that has come up, and that has served; and the pause after a spare that its server
+     * ended.
+     */
     private static final long FRESH = 2_000;
+
     private static final long SETTLE = 5_000;
     private static final long PAUSE = 20_000_000;
     private static final long LONG = 60_000_000;
@@ -89,7 +96,9 @@
             }
         }
         assertTrue(queue.posted.isEmpty());
-        assertEquals(List.of(1L, 0L, 0L), counted(Counter.CONNECTIONS_OPENED, Counter.CONNECTIONS_REUSED, Counter.CONNECTIONS_ENDED_EARLY));
+        assertEquals(
+                List.of(1L, 0L, 0L),
+                counted(Counter.CONNECTIONS_OPENED, Counter.CONNECTIONS_REUSED, Counter.CONNECTIONS_ENDED_EARLY));
     }
 
     /** The other order: the server had read it. */
@@ -112,7 +121,10 @@
         assertEquals(1, counters.get(Counter.CONNECTIONS_OPENED), "sent once");
     }
 
-    /** Sends one more right behind an answer, so that it meets that one's connection at rest; returns what begins its call. */
+    /**
+     * Sends one more right behind an answer, so that it meets that one's connection at rest; returns what begins its
+     * call.
+     */
     private Runnable sendOneThatWaits() {
         long waited = counters.get(Counter.CONNECTIONS_WAITED_FOR);
         int before = queue.alarms.size();
@@ -130,8 +142,8 @@
     }
 
     /**
-     * Guards against a server that takes one connection only: the end of a spare must not count as that of a kept connection
-     * (after which none is kept for 20 s), and no spare follows another into the same refusal.
+     * Guards against a server that takes one connection only: the end of a spare must not count as that of a kept
+     * connection (after which none is kept for 20 s), and no spare follows another into the same refusal.
      */
     @ParameterizedTest
     @ValueSource(strings = {"reset", "closed"})
@@ -146,15 +158,22 @@
                 close(spare);
             }
             runPosted();
-            assertEquals(List.of(1L, 1L, 0L), counted(Counter.SPARES_OPENED, Counter.SPARES_FAILED, Counter.CONNECTIONS_ENDED_EARLY));
+            assertEquals(
+                    List.of(1L, 1L, 0L),
+                    counted(Counter.SPARES_OPENED, Counter.SPARES_FAILED, Counter.CONNECTIONS_ENDED_EARLY));
             queue.now += SETTLE;
             rested.run();
             answer(kept, 1);
             for (int i = 0; i < 30; i++) {
                 serveOneThatWaits(kept);
             }
-            assertEquals(List.of(2L, 1L, 1L, 0L), counted(Counter.CONNECTIONS_OPENED, Counter.SPARES_OPENED, Counter.SPARES_FAILED,
-                Counter.CONNECTIONS_ENDED_EARLY));
+            assertEquals(
+                    List.of(2L, 1L, 1L, 0L),
+                    counted(
+                            Counter.CONNECTIONS_OPENED,
+                            Counter.SPARES_OPENED,
+                            Counter.SPARES_FAILED,
+                            Counter.CONNECTIONS_ENDED_EARLY));
             assertEquals(32, outcomes.size());
             // In steps: a connection free for a third of its server's idle time is not lent again.
             for (int i = 0; i < 4; i++) {
@@ -197,7 +216,9 @@
         assertEquals(1, counters.get(Counter.CONNECTIONS_ENDED_EARLY));
     }
 
-    /** The other order: its first call had been read by the server. That one may have run, and what is kept is kept on. */
+    /**
+     * The other order: its first call had been read by the server. That one may have run, and what is kept is kept on.
+     */
     @Test
     void aSpareThatEndsWithItsFirstCallMayHaveRunThat() throws Exception {
         try (Socket kept = serve(servers, listener, null)) {
--- a/balancer/src/test/java/calicochute/backend/ProgressTest.java
+++ b/balancer/src/test/java/calicochute/backend/ProgressTest.java
@@ -13,8 +13,18 @@
 /** All orders in which a handful of events can meet a request on its way, the impossible among them. */
 class ProgressTest {
     private enum Event {
-        CONNECTED, CONNECTED_AND_ENDED, REUSED_AND_ENDED, NOT_CONNECTED, TIMED_OUT, SESSION_OVER, SERVER_OUT, TOO_LATE, WITHDRAWN,
-        BEGUN, RESET, NOTHING_SENT
+        CONNECTED,
+        CONNECTED_AND_ENDED,
+        REUSED_AND_ENDED,
+        NOT_CONNECTED,
+        TIMED_OUT,
+        SESSION_OVER,
+        SERVER_OUT,
+        TOO_LATE,
+        WITHDRAWN,
+        BEGUN,
+        RESET,
+        NOTHING_SENT
     }
 
     private static final int LENGTH = 5;
@@ -61,8 +71,12 @@
                 ends++;
                 assertFalse(event == Event.SESSION_OVER && out, () -> "withdrawn unasked: " + told);
                 assertFalse(event == Event.TIMED_OUT && begun, () -> "an answer that has begun timed out: " + told);
-                assertFalse(out && event != Event.NOTHING_SENT && progress.outcome().provesNotRun(), () -> "may have run: " + told);
-                assertTrue(out || progress.outcome().provesNotRun() || event == Event.WITHDRAWN, () -> "has not run: " + told);
+                assertFalse(
+                        out && event != Event.NOTHING_SENT && progress.outcome().provesNotRun(),
+                        () -> "may have run: " + told);
+                assertTrue(
+                        out || progress.outcome().provesNotRun() || event == Event.WITHDRAWN,
+                        () -> "has not run: " + told);
                 out = false;
             }
             assertEquals(ends == 1, progress.ended(), told);
--- a/balancer/src/test/java/calicochute/cli/StartupTest.java
+++ b/balancer/src/test/java/calicochute/cli/StartupTest.java
@@ -14,13 +14,18 @@
 
     private static List<Step> steps(List<UnaryOperator<Startup>> events) {
         Startup[] now = {Startup.begun()};
-        return events.stream().map(event -> {
-            now[0] = event.apply(now[0]);
-            return now[0].step();
-        }).toList();
+        return events.stream()
+                .map(event -> {
+                    now[0] = event.apply(now[0]);
+                    return now[0].step();
+                })
+                .toList();
     }
 
-    /** A stop in the start waits for its end; what has started is drained; what has failed keeps the status of a failure. */
+    /**
+     * A stop in the start waits for its end; what has started is drained; what has failed keeps the status of a
+     * failure.
+     */
     @Test
     void everyOrderEndsWell() {
         assertEquals(List.of(Step.NOTHING, Step.DRAIN), steps(List.of(STARTED, STOP)));
@@ -32,9 +37,14 @@
     /** What comes twice or too late changes nothing. */
     @Test
     void theFirstEndOfTheStartCounts() {
-        assertEquals(List.of(Step.WAIT, Step.WAIT, Step.DRAIN, Step.DRAIN), steps(List.of(STOP, STOP, STARTED, FAILED)));
+        assertEquals(
+                List.of(Step.WAIT, Step.WAIT, Step.DRAIN, Step.DRAIN), steps(List.of(STOP, STOP, STARTED, FAILED)));
         assertEquals(List.of(Step.WAIT, Step.FAIL, Step.FAIL), steps(List.of(STOP, FAILED, STARTED)));
-        assertEquals(List.of(Step.NOTHING, Step.LEAVE, Step.LEAVE, Step.LEAVE), steps(List.of(FAILED, STOP, STARTED, FAILED)));
-        assertEquals(List.of(Step.NOTHING, Step.NOTHING, Step.DRAIN, Step.DRAIN), steps(List.of(STARTED, FAILED, STOP, STOP)));
+        assertEquals(
+                List.of(Step.NOTHING, Step.LEAVE, Step.LEAVE, Step.LEAVE),
+                steps(List.of(FAILED, STOP, STARTED, FAILED)));
+        assertEquals(
+                List.of(Step.NOTHING, Step.NOTHING, Step.DRAIN, Step.DRAIN),
+                steps(List.of(STARTED, FAILED, STOP, STOP)));
     }
 }
--- a/balancer/src/test/java/calicochute/connection/CallTest.java
+++ b/balancer/src/test/java/calicochute/connection/CallTest.java
@@ -69,8 +69,8 @@
     }
 
     /**
-     * All bytes of a body of known length had been taken and written, but its end was not told yet, as the connection broke. Held
-     * for not written, what may have run was taken for what has not.
+     * All bytes of a body of known length had been taken and written, but its end was not told yet, as the connection
+     * broke. Held for not written, what may have run was taken for what has not.
      */
     @Test
     public void aCallIsWrittenWithItsLastByteThoughItsEndIsNotToldYet() throws Exception {
@@ -79,8 +79,11 @@
             Pipe body = new Pipe();
             body.put(ByteBuffer.allocate(1000));
             List<Reply> ends = new ArrayList<>();
-            Call call = new Call(new BasicHttpRequest("POST", "/"), new Body.Streamed(body, 1000), new Call.Limits(1000, 8192),
-                ends::add);
+            Call call = new Call(
+                    new BasicHttpRequest("POST", "/"),
+                    new Body.Streamed(body, 1000),
+                    new Call.Limits(1000, 8192),
+                    ends::add);
             Stuck connection = new Stuck();
             call.on(connection);
             call.produce(connection);
@@ -91,16 +94,19 @@
     }
 
     /**
-     * The server ended a kept connection just as the first piece of a long body was taken for it: no byte went out, but the
-     * piece is gone. Told as not begun, the call was made again on another connection without its first piece.
+     * The server ended a kept connection just as the first piece of a long body was taken for it: no byte went out, but
+     * the piece is gone. Told as not begun, the call was made again on another connection without its first piece.
      */
     @Test
     public void aCallWhoseBodyWasTakenHasBegunThoughNoByteWentOut() throws Exception {
         Pipe body = new Pipe();
         body.put(ByteBuffer.allocate(100));
         List<Reply> ends = new ArrayList<>();
-        Call call = new Call(new BasicHttpRequest("POST", "/"), new Body.Streamed(body, 1000), new Call.Limits(1000, 8192),
-            ends::add);
+        Call call = new Call(
+                new BasicHttpRequest("POST", "/"),
+                new Body.Streamed(body, 1000),
+                new Call.Limits(1000, 8192),
+                ends::add);
         Stuck connection = new Stuck();
         call.on(connection);
         call.produce(connection);
--- a/balancer/src/test/java/calicochute/connection/ConnectorTest.java
+++ b/balancer/src/test/java/calicochute/connection/ConnectorTest.java
@@ -24,33 +24,45 @@
 
 public class ConnectorTest {
     /**
-     * Half a line that has come before a call's first byte belongs to no call, also if it is read only after the call was asked
-     * for: taken for the beginning of its answer it spoilt one that had been sent; now nothing is sent.
+     * Half a line that has come before a call's first byte belongs to no call, also if it is read only after the call
+     * was asked for: taken for the beginning of its answer it spoilt one that had been sent; now nothing is sent.
      */
     @Test
     public void whatCameBeforeACallsFirstByteIsNotItsAnswer() throws Exception {
         BlockingQueue<Reply> replies = new LinkedBlockingQueue<>();
-        try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress()); Connector connector = new Connector()) {
+        try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+                Connector connector = new Connector()) {
             connector.start();
-            Connection connection = connector.open((InetSocketAddress) server.getLocalSocketAddress(), 5_000_000, c -> c.call(
-                new BasicHttpRequest("GET", "/1"), new byte[0], 1000, replies::add), e -> { }, c -> { });
+            Connection connection = connector.open(
+                    (InetSocketAddress) server.getLocalSocketAddress(),
+                    5_000_000,
+                    c -> c.call(new BasicHttpRequest("GET", "/1"), new byte[0], 1000, replies::add),
+                    e -> {},
+                    c -> {});
             try (Socket socket = server.accept()) {
                 socket.setSoTimeout(20_000);
                 InputStream in = socket.getInputStream();
                 in.readNBytes("GET /1 HTTP/1.1\r\n\r\n".length());
                 CountDownLatch busy = new CountDownLatch(1);
                 CountDownLatch go = new CountDownLatch(1);
-                socket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream()
+                        .write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                 assertNotNull(replies.poll(20, TimeUnit.SECONDS));
-                // The I/O thread is held up, by a second connection's coming up, until both the half line and the call are there.
-                connector.open((InetSocketAddress) server.getLocalSocketAddress(), 5_000_000, c -> {
-                    busy.countDown();
-                    try {
-                        go.await();
-                    } catch (InterruptedException e) {
-                        throw new IllegalStateException(e);
-                    }
-                }, e -> { }, c -> { });
+                // The I/O thread is held up, by a second connection's coming up, until both the half line and the call
+                // are there.
+                connector.open(
+                        (InetSocketAddress) server.getLocalSocketAddress(),
+                        5_000_000,
+                        c -> {
+                            busy.countDown();
+                            try {
+                                go.await();
+                            } catch (InterruptedException e) {
+                                throw new IllegalStateException(e);
+                            }
+                        },
+                        e -> {},
+                        c -> {});
                 assertTrue(busy.await(20, TimeUnit.SECONDS));
                 socket.getOutputStream().write("HTTP/1.1 2".getBytes(StandardCharsets.US_ASCII));
                 connection.call(new BasicHttpRequest("GET", "/2"), new byte[0], 1000, replies::add);
@@ -70,11 +82,16 @@
     @Test
     public void noNameIsLookedUpForAnAddress() throws Exception {
         InetAddress address = InetAddress.getByAddress(new byte[] {127, 77, 33, 11});
-        try (ServerSocket server = new ServerSocket(0, 5, address); Connector connector = new Connector()) {
+        try (ServerSocket server = new ServerSocket(0, 5, address);
+                Connector connector = new Connector()) {
             connector.start();
             CountDownLatch opened = new CountDownLatch(1);
-            connector.open(new InetSocketAddress(address, server.getLocalPort()), 5_000_000, c -> opened.countDown(),
-                e -> { }, c -> { });
+            connector.open(
+                    new InetSocketAddress(address, server.getLocalPort()),
+                    5_000_000,
+                    c -> opened.countDown(),
+                    e -> {},
+                    c -> {});
             assertTrue(opened.await(20, TimeUnit.SECONDS));
             assertTrue(address.toString(), address.toString().startsWith("/"));
         }
@@ -107,7 +124,8 @@
                     return !order.equals("no lack");
                 });
                 connector.start();
-                opening.complete(connector.open(address, 5_000_000, c -> heard.add("opened"), e -> heard.add("failed"), c -> { }));
+                opening.complete(connector.open(
+                        address, 5_000_000, c -> heard.add("opened"), e -> heard.add("failed"), c -> {}));
                 assertEquals(order, order.equals("lack") ? "opened" : "failed", heard.poll(20, TimeUnit.SECONDS));
                 assertEquals(order, order.equals("lack for good") ? 3 : 1, asked.get());
                 assertTrue(order, heard.isEmpty());
--- a/balancer/src/test/java/calicochute/discovery/Crowd.java
+++ b/balancer/src/test/java/calicochute/discovery/Crowd.java
@@ -7,14 +7,20 @@
 import java.util.PriorityQueue;
 
 /**
- * Many clocks at one discovery, in virtual time: calls to it wait in one line, one that would wait too long ends with 503
- * after that wait, and a watch that goes on stands in no line. Callers who leave don't give their turn back.
+ * Many clocks at one discovery, in virtual time: calls to it wait in one line, one that would wait too long ends with
+ * 503 after that wait, and a watch that goes on stands in no line. Callers who leave don't give their turn back.
  */
 final class Crowd {
-    enum Way { UP, REFUSED, SILENT, NO_CONNECTION }
+    enum Way {
+        UP,
+        REFUSED,
+        SILENT,
+        NO_CONNECTION
+    }
 
     private static final long LINE = 3_000_000, NETWORK = 1_000;
-    private record Event(long at, long number, Runnable what) { }
+
+    private record Event(long at, long number, Runnable what) {}
 
     private final class Member {
         final WatchClock clock;
@@ -80,8 +86,8 @@
 
     final List<Long> begun = new ArrayList<>();
     private final List<Member> members = new ArrayList<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
-        a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
     private final long perCall;
     private final Map<WatchClock.Call, Member> watching = new HashMap<>();
     private Way way = Way.UP;
@@ -185,7 +191,10 @@
 
     /** The latest moment at which one of them took the newest list, or never. */
     long lastApplied() {
-        return members.stream().mapToLong(m -> m.held == generation ? m.appliedAt : WatchClock.NEVER).max().orElseThrow();
+        return members.stream()
+                .mapToLong(m -> m.held == generation ? m.appliedAt : WatchClock.NEVER)
+                .max()
+                .orElseThrow();
     }
 
     /** Most calls that began within one second, of those from then on. */
--- a/balancer/src/test/java/calicochute/discovery/DiscoveryTest.java
+++ b/balancer/src/test/java/calicochute/discovery/DiscoveryTest.java
@@ -38,7 +38,7 @@
     private static final long SECOND = 1_000_000;
 
     private static final class HandQueue implements DecisionQueue {
-        private record Due(long at, Runnable task) { }
+        private record Due(long at, Runnable task) {}
 
         final BlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
         private final List<Due> alarms = new ArrayList<>();
@@ -112,32 +112,42 @@
     }
 
     private Discovery discovery(Settings settings, Discovery.Reader reader) {
-        return new Discovery(connector, queue, counters, (InetSocketAddress) server.getLocalSocketAddress(), new ListListener() {
-            @Override
-            public void listed(ServerList list) {
-                heard.add(list);
-            }
+        return new Discovery(
+                connector,
+                queue,
+                counters,
+                (InetSocketAddress) server.getLocalSocketAddress(),
+                new ListListener() {
+                    @Override
+                    public void listed(ServerList list) {
+                        heard.add(list);
+                    }
 
-            @Override
-            public void unavailable() {
-            }
-        }, settings, reader);
+                    @Override
+                    public void unavailable() {}
+                },
+                settings,
+                reader);
     }
 
     /** Answers the first call with a body of so many bytes; others hang. */
     private void answerOne(int bytes) {
-        Thread thread = new Thread(() -> {
-            try (Socket socket = server.accept()) {
-                BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-                for (String line = in.readLine(); !line.isEmpty(); line = in.readLine()) { }
-                socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + bytes + "\r\n\r\n" + " ".repeat(bytes))
-                    .getBytes(StandardCharsets.US_ASCII));
-                read.await();
-                in.readLine();
-            } catch (IOException | InterruptedException e) {
-                // The test is over.
-            }
-        }, "answers");
+        Thread thread = new Thread(
+                () -> {
+                    try (Socket socket = server.accept()) {
+                        BufferedReader in = new BufferedReader(
+                                new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+                        for (String line = in.readLine(); !line.isEmpty(); line = in.readLine()) {}
+                        socket.getOutputStream()
+                                .write(("HTTP/1.1 200 OK\r\nContent-Length: " + bytes + "\r\n\r\n" + " ".repeat(bytes))
+                                        .getBytes(StandardCharsets.US_ASCII));
+                        read.await();
+                        in.readLine();
+                    } catch (IOException | InterruptedException e) {
+                        // The test is over.
+                    }
+                },
+                "answers");
         thread.setDaemon(true);
         thread.start();
     }
@@ -216,24 +226,30 @@
         }
         Socket[] socket = new Socket[1];
         CountDownLatch done = new CountDownLatch(1);
-        Thread accepts = new Thread(() -> {
-            try {
-                socket[0] = server.accept();
-                BufferedReader in = new BufferedReader(new InputStreamReader(socket[0].getInputStream(), StandardCharsets.US_ASCII));
-                for (String line = in.readLine(); !line.isEmpty(); line = in.readLine()) { }
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            } finally {
-                done.countDown();
-                queue.post(() -> { });
-            }
-        }, "accepts");
+        Thread accepts = new Thread(
+                () -> {
+                    try {
+                        socket[0] = server.accept();
+                        BufferedReader in = new BufferedReader(
+                                new InputStreamReader(socket[0].getInputStream(), StandardCharsets.US_ASCII));
+                        for (String line = in.readLine(); !line.isEmpty(); line = in.readLine()) {}
+                    } catch (IOException e) {
+                        throw new IllegalStateException(e);
+                    } finally {
+                        done.countDown();
+                        queue.post(() -> {});
+                    }
+                },
+                "accepts");
         accepts.start();
         queue.await("called", () -> done.getCount() == 0);
         return socket[0];
     }
 
-    /** SIGHUP, and the first two calls at the new address hang: a third goes out in time beside them, and neither has left the line. */
+    /**
+     * SIGHUP, and the first two calls at the new address hang: a third goes out in time beside them, and neither has
+     * left the line.
+     */
     @Test
     void aMoveAndTwoFirstCallsThatHang() throws Exception {
         Discovery discovery = discovery(settings(true, 10 * SECOND), ServerList::parse);
@@ -242,15 +258,22 @@
         discovery.startFrom(2);
         long moved = queue.now();
         discovery.move(there);
-        try (Socket first = called(1); Socket second = called(2); Socket third = called(3)) {
+        try (Socket first = called(1);
+                Socket second = called(2);
+                Socket third = called(3)) {
             assertTrue(queue.now() - moved <= 3_600_000, "" + (queue.now() - moved));
             for (Socket waits : List.of(first, second)) {
                 waits.setSoTimeout(50);
-                assertThrows(SocketTimeoutException.class, () -> waits.getInputStream().read(), "keeps its turn");
+                assertThrows(
+                        SocketTimeoutException.class,
+                        () -> waits.getInputStream().read(),
+                        "keeps its turn");
                 waits.setSoTimeout(30_000);
             }
             String list = "{\"generation\":9,\"reset\":true,\"instances\":[]}";
-            third.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list).getBytes(StandardCharsets.US_ASCII));
+            third.getOutputStream()
+                    .write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
+                            .getBytes(StandardCharsets.US_ASCII));
             queue.await("told", () -> !heard.isEmpty());
             assertTrue(ended(first) && ended(second), "let go");
         }
--- a/balancer/src/test/java/calicochute/discovery/WatchClockTest.java
+++ b/balancer/src/test/java/calicochute/discovery/WatchClockTest.java
@@ -23,8 +23,13 @@
 
     /** What becomes of a call: when its connection is up and when it fails, from its beginning on. */
     private enum Fate {
-        REFUSED(NEVER, 0), RESET(1000, 50_000), CUT_OR_SPOILT(1000, SECOND), TURNED_AWAY(1000, LINE),
-        NO_CONNECTION(NEVER, NEVER), LATE_THEN_SILENT(1_100_000, NEVER), SILENT(1000, NEVER);
+        REFUSED(NEVER, 0),
+        RESET(1000, 50_000),
+        CUT_OR_SPOILT(1000, SECOND),
+        TURNED_AWAY(1000, LINE),
+        NO_CONNECTION(NEVER, NEVER),
+        LATE_THEN_SILENT(1_100_000, NEVER),
+        SILENT(1000, NEVER);
 
         final long up;
         final long fails;
@@ -78,8 +83,11 @@
                 } else {
                     Call c = act.call();
                     assertTrue(out.remove(c));
-                    assertTrue(!c.isConnected() || c.waitMs != WatchClock.OPENING_WAIT_MS
-                        || now >= c.begunAt + c.waitMs * 1000 + LINE, "left the line before its turn");
+                    assertTrue(
+                            !c.isConnected()
+                                    || c.waitMs != WatchClock.OPENING_WAIT_MS
+                                    || now >= c.begunAt + c.waitMs * 1000 + LINE,
+                            "left the line before its turn");
                 }
             }
         }
@@ -113,8 +121,8 @@
     }
 
     /**
-     * Whatever became of the calls before, discovery may become able to answer just after one has begun, and the next begins in
-     * time: every sequence of five fates, of a watch that stood, of one that moves and of one that begins.
+     * Whatever became of the calls before, discovery may become able to answer just after one has begun, and the next
+     * begins in time: every sequence of five fates, of a watch that stood, of one that moves and of one that begins.
      */
     @Test
     void afterAnySequenceTheNextCallBeginsInTime() {
@@ -132,8 +140,12 @@
                 long moved = move.now;
                 List<Call> calls = move.through(fates);
                 inTime(fates, calls);
-                assertTrue(calls.get(1).begunAt + 1_200_000 <= moved + 4 * SECOND, "moved, and the first call ends as " + fates[0]);
-                assertTrue(calls.get(2).begunAt + 400_000 <= moved + 4 * SECOND, "moved, and the first calls end as " + fates[0] + ", " + fates[1]);
+                assertTrue(
+                        calls.get(1).begunAt + 1_200_000 <= moved + 4 * SECOND,
+                        "moved, and the first call ends as " + fates[0]);
+                assertTrue(
+                        calls.get(2).begunAt + 400_000 <= moved + 4 * SECOND,
+                        "moved, and the first calls end as " + fates[0] + ", " + fates[1]);
                 assertTrue(move.out.size() <= 2, "no third stays out for good");
                 Play young = new Play(seed, WatchClock.LONGEST);
                 young.clock.begin(0, WatchClock.BEGIN_WITHIN);
@@ -146,12 +158,16 @@
         for (int i = 1; i < calls.size(); i++) {
             long since = calls.get(i).begunAt - calls.get(i - 1).begunAt;
             int call = i;
-            assertTrue(since <= WatchClock.LONGEST && since >= WatchClock.LEAST_PAUSE,
-                () -> "after " + call + " of " + List.of(fates) + ": " + since);
+            assertTrue(
+                    since <= WatchClock.LONGEST && since >= WatchClock.LEAST_PAUSE,
+                    () -> "after " + call + " of " + List.of(fates) + ": " + since);
         }
     }
 
-    /** Silent from any moment on: found, and the next begun, with room; and so is the third where the second is silent too. */
+    /**
+     * Silent from any moment on: found, and the next begun, with room; and so is the third where the second is silent
+     * too.
+     */
     @Test
     void silenceIsFoundInTimeTwiceInARow() {
         for (int seed = 0; seed < 5000; seed++) {
@@ -160,12 +176,17 @@
                 Call first = calls.get(0);
                 assertTrue(calls.get(1).begunAt + ROOM <= first.begunAt + WatchClock.TOLD);
                 assertTrue(calls.get(2).begunAt + ROOM / 2 <= first.begunAt + WatchClock.TOLD, second.toString());
-                assertTrue(calls.get(1).begunAt >= first.begunAt + first.waitMs * 1000 + WatchClock.LATE, "no call that may wait is silent");
+                assertTrue(
+                        calls.get(1).begunAt >= first.begunAt + first.waitMs * 1000 + WatchClock.LATE,
+                        "no call that may wait is silent");
             }
         }
     }
 
-    /** One silence is followed by a second call while the first stays; only another one without an answer, or a failure, is told. */
+    /**
+     * One silence is followed by a second call while the first stays; only another one without an answer, or a failure,
+     * is told.
+     */
     @Test
     void whatIsLostIsTold() {
         Play one = new Play(7, 5 * SECOND).watching();
@@ -191,7 +212,10 @@
         assertTrue(moved.clock.lost());
     }
 
-    /** An answer that is here is neither given up nor asked for again, however long its list takes to read; a bad one is, and not at once. */
+    /**
+     * An answer that is here is neither given up nor asked for again, however long its list takes to read; a bad one
+     * is, and not at once.
+     */
     @Test
     void anAnswerThatIsReadForLongIsNotAskedForAgain() {
         for (boolean first : new boolean[] {true, false}) {
@@ -267,8 +291,8 @@
     }
 
     /**
-     * A hundred balancers and a discovery that handles 25 calls a second in turn: after an outage of any length and kind all
-     * have the news in time, each by about one call, and the calls come spread.
+     * A hundred balancers and a discovery that handles 25 calls a second in turn: after an outage of any length and
+     * kind all have the news in time, each by about one call, and the calls come spread.
      */
     @Test
     void aReturnIsNoStorm() {
@@ -285,7 +309,9 @@
                     int before = crowd.begun.size();
                     crowd.pass(back + WatchClock.TOLD);
                     String what = way + " for " + ms + " ms, seed " + seed + ": ";
-                    assertTrue(crowd.lastApplied() <= back + WatchClock.TOLD - 300_000, what + (crowd.lastApplied() - back));
+                    assertTrue(
+                            crowd.lastApplied() <= back + WatchClock.TOLD - 300_000,
+                            what + (crowd.lastApplied() - back));
                     assertTrue(crowd.begun.size() - before <= 140, what + (crowd.begun.size() - before) + " calls");
                     assertTrue(crowd.most(back) <= 90, what + crowd.most(back) + " in one second");
                 }
@@ -307,7 +333,8 @@
             assertTrue(crowd.lastApplied() <= 24 * SECOND - 300_000, "" + crowd.lastApplied());
             assertTrue(crowd.begun.size() - before <= 150, crowd.begun.size() - before + " calls");
             assertTrue(crowd.most(20 * SECOND) <= 95, crowd.most(20 * SECOND) + " in one second");
-            // Where their line alone takes longer than there is, second and third calls come behind all first ones: no first waits for them.
+            // Where their line alone takes longer than there is, second and third calls come behind all first ones: no
+            // first waits for them.
             Crowd slow = new Crowd(100, seed * 1000, 5 * SECOND, 25);
             slow.begin();
             slow.pass(20 * SECOND);
@@ -321,7 +348,9 @@
         }
     }
 
-    /** An answer that tells nothing and did not wait is not followed at once; any other is, lest the watch be a new one. */
+    /**
+     * An answer that tells nothing and did not wait is not followed at once; any other is, lest the watch be a new one.
+     */
     @Test
     void answersThatDoNotWaitMakeNoLoop() {
         for (long took : new long[] {0, 50_000, 150_000, 3 * SECOND}) {
--- a/balancer/src/test/java/calicochute/exchange/PipeTest.java
+++ b/balancer/src/test/java/calicochute/exchange/PipeTest.java
@@ -21,8 +21,10 @@
 
     /** However it is cut and however little room the sink has: the same bytes, and never more ahead than the window. */
     @Property
-    void whatGoesInComesOut(@ForAll @Size(max = 80) List<@IntRange(min = 0, max = 60) Integer> steps,
-                            @ForAll @IntRange(min = 0, max = 90) int less) throws IOException {
+    void whatGoesInComesOut(
+            @ForAll @Size(max = 80) List<@IntRange(min = 0, max = 60) Integer> steps,
+            @ForAll @IntRange(min = 0, max = 90) int less)
+            throws IOException {
         Pipe pipe = new Pipe();
         Random random = new Random(steps.size());
         ByteArrayOutputStream in = new ByteArrayOutputStream();
--- a/balancer/src/test/java/calicochute/fleet/DatagramsTest.java
+++ b/balancer/src/test/java/calicochute/fleet/DatagramsTest.java
@@ -93,7 +93,9 @@
     @Test
     void theThreadEndsWithTheSocket() throws Exception {
         BlockingQueue<Throwable> thrown = new LinkedBlockingQueue<>();
-        List<Thread> readers = Thread.getAllStackTraces().keySet().stream().filter(t -> t.getName().equals("fleet")).toList();
+        List<Thread> readers = Thread.getAllStackTraces().keySet().stream()
+                .filter(t -> t.getName().equals("fleet"))
+                .toList();
         readers.forEach(t -> t.setUncaughtExceptionHandler((thread, e) -> thrown.add(e)));
         close();
         for (Thread t : readers) {
--- a/balancer/src/test/java/calicochute/fleet/StateFolderTest.java
+++ b/balancer/src/test/java/calicochute/fleet/StateFolderTest.java
@@ -21,8 +21,10 @@
 
 class StateFolderTest {
     private static final int LONGEST = 1 << 16;
+
     @TempDir
     private Path root;
+
     private Path folder;
 
     @BeforeEach
@@ -58,7 +60,9 @@
         write("me", "n", bytes("second"));
         assertArrayEquals(bytes("second"), read("me", "n"));
         try (Stream<Path> files = Files.list(folder)) {
-            assertEquals(List.of("me.n.state"), files.map(f -> f.getFileName().toString()).toList());
+            assertEquals(
+                    List.of("me.n.state"),
+                    files.map(f -> f.getFileName().toString()).toList());
         }
         write("me", "n", new byte[LONGEST]);
         assertEquals(LONGEST, read("me", "n").length);
@@ -66,7 +70,8 @@
 
     @Test
     void eachOwnerAndNameHasItsFile() throws Exception {
-        List<List<String>> all = List.of(List.of("me", "a/b"), List.of("me", "a_b"), List.of("me", "a.b"), List.of("../me", "a/b"));
+        List<List<String>> all =
+                List.of(List.of("me", "a/b"), List.of("me", "a_b"), List.of("me", "a.b"), List.of("../me", "a/b"));
         for (List<String> one : all) {
             write(one.get(0), one.get(1), bytes(one.toString()));
         }
@@ -91,7 +96,10 @@
         leftAsItIs(Files.readAllBytes(folder.resolve("me.n.state")));
     }
 
-    /** Copied under this balancer's file name, or kept by one of the same name in another cluster: promises that it never made. */
+    /**
+     * Copied under this balancer's file name, or kept by one of the same name in another cluster: promises that it
+     * never made.
+     */
     @Test
     void anotherBalancersStateIsNotTaken() throws Exception {
         write("you", "n", bytes("state"));
@@ -107,8 +115,14 @@
         java.util.zip.CRC32C sum = new java.util.zip.CRC32C();
         sum.update(bytes("n" + "state"));
         Files.createDirectories(folder);
-        Files.write(folder.resolve("me.n.state"),
-            java.nio.ByteBuffer.allocate(21).putInt(0xCA11C0DE).putInt(1).putLong(sum.getValue()).put(bytes("state")).array());
+        Files.write(
+                folder.resolve("me.n.state"),
+                java.nio.ByteBuffer.allocate(21)
+                        .putInt(0xCA11C0DE)
+                        .putInt(1)
+                        .putLong(sum.getValue())
+                        .put(bytes("state"))
+                        .array());
         assertArrayEquals(bytes("state"), read("me", "n"));
     }
 
@@ -116,15 +130,18 @@
     void whatIsNotOnTheDiskIsNotSaidToBe() throws Exception {
         CompletableFuture<String> said = new CompletableFuture<>();
         PrintStream before = System.out;
-        System.setOut(new PrintStream(new ByteArrayOutputStream() {
-            @Override
-            public void flush() {
-                String text = toString(StandardCharsets.UTF_8);
-                if (text.contains("state-not-written")) {
-                    said.complete(text);
-                }
-            }
-        }, true, StandardCharsets.UTF_8));
+        System.setOut(new PrintStream(
+                new ByteArrayOutputStream() {
+                    @Override
+                    public void flush() {
+                        String text = toString(StandardCharsets.UTF_8);
+                        if (text.contains("state-not-written")) {
+                            said.complete(text);
+                        }
+                    }
+                },
+                true,
+                StandardCharsets.UTF_8));
         CompletableFuture<Boolean> kept = new CompletableFuture<>();
         try {
             folder = Files.writeString(root.resolve("file"), "no folder").resolve("below");
--- a/balancer/src/test/java/calicochute/fleet/TrialTest.java
+++ b/balancer/src/test/java/calicochute/fleet/TrialTest.java
@@ -20,12 +20,10 @@
     private static final long SECOND = 1_000_000, TICK = 100_000;
     private static final Trial.Host ALONE = new Trial.Host() {
         @Override
-        public void counts(String name, String peer, byte[] counts) {
-        }
+        public void counts(String name, String peer, byte[] counts) {}
 
         @Override
-        public void seal(String name, String peer, byte[] message) {
-        }
+        public void seal(String name, String peer, byte[] message) {}
 
         @Override
         public void keep(String name, byte[] state, long token, LongConsumer kept) {
@@ -33,14 +31,31 @@
         }
     };
 
-    /** A reload lengthens the deadlines: a window waits for the sessions that began with the longer ones, and none is left out. */
+    /**
+     * A reload lengthens the deadlines: a window waits for the sessions that began with the longer ones, and none is
+     * left out.
+     */
     @Test
     void aWindowWaitsForTheDeadlinesInForce() {
-        Experiment experiment = new Experiment("trial", "", null, new Selector("old", "", "", ""), new Selector("new", "", "", ""), 0.5,
-            Set.of("view"), null, null, 0.02, 0.05, List.of(new Guard("view", 0.02)), Duration.ofHours(1), null);
+        Experiment experiment = new Experiment(
+                "trial",
+                "",
+                null,
+                new Selector("old", "", "", ""),
+                new Selector("new", "", "", ""),
+                0.5,
+                Set.of("view"),
+                null,
+                null,
+                0.02,
+                0.05,
+                List.of(new Guard("view", 0.02)),
+                Duration.ofHours(1),
+                null);
         long[] longest = {SECOND};
         long now = 1_000_000 * SECOND;
-        Trial trial = new Trial(experiment, Windows.USUAL, List.of("me"), "me", now, () -> longest[0], false, null, ALONE);
+        Trial trial =
+                new Trial(experiment, Windows.USUAL, List.of("me"), "me", now, () -> longest[0], false, null, ALONE);
         for (int i = 0; i < 600; i++) {
             trial.tick(now += TICK, Set.of("me"));
         }
@@ -58,7 +73,8 @@
             trial.tick(now += TICK, Set.of("me"));
         }
         int counted = 0;
-        for (String part : trial.text().replaceAll(".* sessions=(\\d+/\\d+) .*", "$1").split("/")) {
+        for (String part :
+                trial.text().replaceAll(".* sessions=(\\d+/\\d+) .*", "$1").split("/")) {
             counted += Integer.parseInt(part);
         }
         assertEquals(tickets.size(), counted, trial.text());
--- a/balancer/src/test/java/calicochute/frontend/IdleEndTest.java
+++ b/balancer/src/test/java/calicochute/frontend/IdleEndTest.java
@@ -71,8 +71,15 @@
     };
 
     private static Frontend frontend(Counters counters) throws IOException {
-        return new Frontend(new Configuration("n0", ANY, null, ANY, Bounds.of(64, false, 64), 0, "", null, null),
-            null, QUEUE, NONE, counters, () -> true, Presence::serving, () -> null);
+        return new Frontend(
+                new Configuration("n0", ANY, null, ANY, Bounds.of(64, false, 64), 0, "", null, null),
+                null,
+                QUEUE,
+                NONE,
+                counters,
+                () -> true,
+                Presence::serving,
+                () -> null);
     }
 
     private static void await(BooleanSupplier condition) throws InterruptedException {
@@ -83,30 +90,43 @@
         }
     }
 
-    /** Asked for just before the body began, heard just behind it: the body keeps its own time, and its request is answered. */
+    /**
+     * Asked for just before the body began, heard just behind it: the body keeps its own time, and its request is
+     * answered.
+     */
     @Test
     void aBodyThatHasJustBegunIsNotEnded() throws Exception {
         Counters counters = new Counters();
         Frontend frontend = frontend(counters);
         CompletableFuture<ProtocolIOSession> session = new CompletableFuture<>();
         CompletableFuture<ClientConnection> connection = new CompletableFuture<>();
-        Listening listening = Listening.at(ANY, 5, 5, "test", (opened, attachment) -> {
-            ClientConnection made = ClientConnection.on(opened, frontend, e -> { });
-            session.complete(opened);
-            connection.complete(made);
-            return made;
-        }, e -> { }, counters);
+        Listening listening = Listening.at(
+                ANY,
+                5,
+                5,
+                "test",
+                (opened, attachment) -> {
+                    ClientConnection made = ClientConnection.on(opened, frontend, e -> {});
+                    session.complete(opened);
+                    connection.complete(made);
+                    return made;
+                },
+                e -> {},
+                counters);
         InetSocketAddress address = listening.start();
         try (Socket client = new Socket(address.getAddress(), address.getPort())) {
             client.setSoTimeout(30_000);
             OutputStream out = client.getOutputStream();
-            out.write("POST /counters HTTP/1.1\r\nHost: a\r\nContent-Length: 20000\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            out.write("POST /counters HTTP/1.1\r\nHost: a\r\nContent-Length: 20000\r\n\r\n"
+                    .getBytes(StandardCharsets.US_ASCII));
             out.write(new byte[10_000]);
             await(() -> connection.join().bodyComes());
-            // What endIfIdle does, behind its own look; more than once, so that one falls behind the I/O thread's own set for certain.
+            // What endIfIdle does, behind its own look; more than once, so that one falls behind the I/O thread's own
+            // set for certain.
             for (int i = 0; i < 3; i++) {
                 session.join().setSocketTimeout(Timeout.ONE_MILLISECOND);
-                await(() -> !session.join().isOpen() || session.join().getSocketTimeout().toMilliseconds() > 1);
+                await(() -> !session.join().isOpen()
+                        || session.join().getSocketTimeout().toMilliseconds() > 1);
             }
             out.write(new byte[10_000]);
             byte[] begun = client.getInputStream().readNBytes(15);
@@ -122,32 +142,45 @@
         assertEquals("HTTP/1.1 200 OK", new String(client.getInputStream().readNBytes(15), StandardCharsets.US_ASCII));
     }
 
-    /** Where descriptors lack idle ones end; none does on which a request comes, nor one that comes up then, though the room has shrunk. */
+    /**
+     * Where descriptors lack idle ones end; none does on which a request comes, nor one that comes up then, though the
+     * room has shrunk.
+     */
     @Test
     void whereDescriptorsLackOnlyIdleOnesEnd() throws Exception {
         Counters counters = new Counters();
         Frontend frontend = frontend(counters);
         List<ClientConnection> made = new CopyOnWriteArrayList<>();
         List<Socket> clients = new ArrayList<>();
-        Listening listening = Listening.at(ANY, 50, 50, "test", (opened, attachment) -> {
-            ClientConnection connection = ClientConnection.on(opened, frontend, e -> { });
-            made.add(connection);
-            return connection;
-        }, e -> { }, counters);
+        Listening listening = Listening.at(
+                ANY,
+                50,
+                50,
+                "test",
+                (opened, attachment) -> {
+                    ClientConnection connection = ClientConnection.on(opened, frontend, e -> {});
+                    made.add(connection);
+                    return connection;
+                },
+                e -> {},
+                counters);
         InetSocketAddress address = listening.start();
         try {
             for (int i = 0; i < 12; i++) {
                 Socket client = new Socket(address.getAddress(), address.getPort());
                 client.setSoTimeout(30_000);
                 clients.add(client);
-                client.getOutputStream().write("POST /ready HTTP/1.1\r\nHost: a\r\nContent-Length: 20000\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                client.getOutputStream()
+                        .write("POST /ready HTTP/1.1\r\nHost: a\r\nContent-Length: 20000\r\n\r\n"
+                                .getBytes(StandardCharsets.US_ASCII));
                 client.getOutputStream().write(new byte[10_000]);
             }
             await(() -> made.size() == clients.size() && made.stream().allMatch(ClientConnection::bodyComes));
             assertFalse(frontend.makeRoom());
             try (Socket newcomer = new Socket(address.getAddress(), address.getPort())) {
                 newcomer.setSoTimeout(30_000);
-                newcomer.getOutputStream().write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                newcomer.getOutputStream()
+                        .write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                 isAnswered(newcomer);
             }
             for (Socket client : clients) {
--- a/balancer/src/test/java/calicochute/frontend/ReadAheadTest.java
+++ b/balancer/src/test/java/calicochute/frontend/ReadAheadTest.java
@@ -18,7 +18,9 @@
 class ReadAheadTest {
     private static final int ALL = 800_000;
 
-    /** Whatever bodies do in whatever order: never more than there is, an eighth for one, and at the end all is back. */
+    /**
+     * Whatever bodies do in whatever order: never more than there is, an eighth for one, and at the end all is back.
+     */
     @Property(seed = "4711")
     void whatIsLentComesBack(@ForAll @Size(max = 400) List<@IntRange(min = 0, max = 59) Integer> steps) {
         ReadAhead ahead = new ReadAhead(ALL);
@@ -28,7 +30,9 @@
             int i = step / 3;
             switch (step % 3) {
                 case 0 -> {
-                    for (int more = parts.get(i).more(bytes -> true); more > 0; more = parts.get(i).more(bytes -> true)) {
+                    for (int more = parts.get(i).more(bytes -> true);
+                            more > 0;
+                            more = parts.get(i).more(bytes -> true)) {
                         held[i] += more;
                     }
                 }
@@ -51,7 +55,10 @@
         assertEquals(ALL, ahead.left());
     }
 
-    /** With the pipe it goes by: taken first, nothing is lent; lent first, what is taken is not granted again until all is back. */
+    /**
+     * With the pipe it goes by: taken first, nothing is lent; lent first, what is taken is not granted again until all
+     * is back.
+     */
     @Test
     void takingEndsIt() throws IOException {
         ReadAhead ahead = new ReadAhead(ALL);
--- a/balancer/src/test/java/calicochute/frontend/RoomTest.java
+++ b/balancer/src/test/java/calicochute/frontend/RoomTest.java
@@ -29,7 +29,9 @@
         assertEquals(PROMISED, room.at(1000 * Room.REGAIN));
     }
 
-    /** Whatever comes when: never more than promised, never too few, and a lack that counts leaves less than there were. */
+    /**
+     * Whatever comes when: never more than promised, never too few, and a lack that counts leaves less than there were.
+     */
     @Property(seed = "4711")
     void itStaysBetween(@ForAll @Size(max = 100) List<@IntRange(min = 0, max = 300) Integer> steps) {
         Room room = new Room(PROMISED);
--- a/balancer/src/test/java/calicochute/listening/ConnectionEndTest.java
+++ b/balancer/src/test/java/calicochute/listening/ConnectionEndTest.java
@@ -12,7 +12,14 @@
 
 /** All orders of what can happen at a connection's end. */
 class ConnectionEndTest {
-    private enum Event { DEAFEN, BYTES, FLOOD, PEER_ENDS, END, TIME }
+    private enum Event {
+        DEAFEN,
+        BYTES,
+        FLOOD,
+        PEER_ENDS,
+        END,
+        TIME
+    }
 
     private static final int LENGTH = 6;
     private long now;
@@ -36,8 +43,8 @@
     }
 
     /**
-     * In whatever order: shut down once and closed once; closed only behind the peer's end, the linger or a flood, not in the step of
-     * the shutdown; reset only while an answer is owed; nothing taken for a request behind the shutdown.
+     * In whatever order: shut down once and closed once; closed only behind the peer's end, the linger or a flood, not
+     * in the step of the shutdown; reset only while an answer is owed; nothing taken for a request behind the shutdown.
      */
     @Test
     void everyOrderEndsWell() {
@@ -62,11 +69,18 @@
                     shut++;
                 } else if (step == Step.CLOSE) {
                     boolean peerEnded = played.contains(Event.PEER_ENDS);
-                    assertTrue(peerEnded || shut == 1 && (event == Event.TIME || event == Event.FLOOD || played.contains(Event.FLOOD)),
-                        () -> "closed too early: " + played);
+                    assertTrue(
+                            peerEnded
+                                    || shut == 1
+                                            && (event == Event.TIME
+                                                    || event == Event.FLOOD
+                                                    || played.contains(Event.FLOOD)),
+                            () -> "closed too early: " + played);
                     closed++;
                 } else if (step == Step.RESET) {
-                    assertTrue(owed && shut + closed == 0 && (event == Event.PEER_ENDS || end.flooded()), () -> "reset: " + played);
+                    assertTrue(
+                            owed && shut + closed == 0 && (event == Event.PEER_ENDS || end.flooded()),
+                            () -> "reset: " + played);
                 }
                 assertTrue(shut <= 1 && closed <= 1, () -> "twice: " + played);
             }
@@ -74,7 +88,10 @@
             Step ending = end.end(now);
             now += ConnectionEnd.LINGER_MS;
             Step late = end.lingered(now);
-            assertEquals(1, closed + (ending == Step.CLOSE ? 1 : 0) + (late == Step.CLOSE ? 1 : 0), () -> "left open: " + played);
+            assertEquals(
+                    1,
+                    closed + (ending == Step.CLOSE ? 1 : 0) + (late == Step.CLOSE ? 1 : 0),
+                    () -> "left open: " + played);
         }
     }
 
--- a/balancer/src/test/java/calicochute/listening/LingeringSessionTest.java
+++ b/balancer/src/test/java/calicochute/listening/LingeringSessionTest.java
@@ -32,8 +32,14 @@
 
     @Before
     public void connect() throws Exception {
-        listening = Listening.at(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10, 10, "test",
-            (opened, attachment) -> deaf, e -> { }, new Counters());
+        listening = Listening.at(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                10,
+                10,
+                "test",
+                (opened, attachment) -> deaf,
+                e -> {},
+                new Counters());
         client = SocketChannel.open(listening.start());
         session = deaf.opened.get(5, TimeUnit.SECONDS);
     }
@@ -49,7 +55,10 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** With bytes unread the answer arrives, then the end and no reset; what comes behind is dropped until the client ends its side. */
+    /**
+     * With bytes unread the answer arrives, then the end and no reset; what comes behind is dropped until the client
+     * ends its side.
+     */
     @Test
     public void noCloseOverUnreadBytes() throws Exception {
         client.write(bytes("a request that crosses the end"));
@@ -83,6 +92,7 @@
         final CountDownLatch heard = new CountDownLatch(1);
         /** Told of the end, and of the socket's close. */
         final CountDownLatch closed = new CountDownLatch(2);
+
         final AtomicInteger inputs = new AtomicInteger();
         final CountDownLatch told = new CountDownLatch(1);
 
@@ -104,12 +114,10 @@
         }
 
         @Override
-        public void timeout(IOSession session, Timeout timeout) {
-        }
+        public void timeout(IOSession session, Timeout timeout) {}
 
         @Override
-        public void exception(IOSession session, Exception cause) {
-        }
+        public void exception(IOSession session, Exception cause) {}
 
         @Override
         public void disconnected(IOSession session) {
--- a/balancer/src/test/java/calicochute/listening/ListeningEndTest.java
+++ b/balancer/src/test/java/calicochute/listening/ListeningEndTest.java
@@ -29,8 +29,14 @@
     public void theEndTakesInWhatWaits() throws Exception {
         for (int round = 0; round < ROUNDS; round++) {
             CountDownLatch taken = new CountDownLatch(CROWD);
-            Listening listening = Listening.at(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100, 100, "test",
-                (session, attachment) -> new Counting(taken), e -> { }, new Counters());
+            Listening listening = Listening.at(
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                    100,
+                    100,
+                    "test",
+                    (session, attachment) -> new Counting(taken),
+                    e -> {},
+                    new Counters());
             InetSocketAddress address = listening.start();
             List<Socket> crowd = new ArrayList<>();
             for (int i = 0; i < CROWD; i++) {
@@ -53,23 +59,29 @@
         AtomicInteger open = new AtomicInteger();
         AtomicInteger most = new AtomicInteger();
         CountDownLatch taken = new CountDownLatch(CROWD);
-        Listening listening = Listening.at(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100, PLACES, "test",
-            (session, attachment) -> {
-                most.accumulateAndGet(open.incrementAndGet(), Math::max);
-                return new Counting(taken) {
-                    @Override
-                    public void inputReady(IOSession from, ByteBuffer source) {
-                        from.close();
-                    }
+        Listening listening = Listening.at(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                100,
+                PLACES,
+                "test",
+                (session, attachment) -> {
+                    most.accumulateAndGet(open.incrementAndGet(), Math::max);
+                    return new Counting(taken) {
+                        @Override
+                        public void inputReady(IOSession from, ByteBuffer source) {
+                            from.close();
+                        }
 
-                    @Override
-                    public void disconnected(IOSession from) {
-                        if (!((LingeringSession) from).lingers()) {
-                            open.decrementAndGet();
+                        @Override
+                        public void disconnected(IOSession from) {
+                            if (!((LingeringSession) from).lingers()) {
+                                open.decrementAndGet();
+                            }
                         }
-                    }
-                };
-            }, e -> { }, new Counters());
+                    };
+                },
+                e -> {},
+                new Counters());
         InetSocketAddress address = listening.start();
         List<Socket> crowd = new ArrayList<>();
         for (int i = 0; i < CROWD; i++) {
@@ -97,23 +109,18 @@
         }
 
         @Override
-        public void inputReady(IOSession session, ByteBuffer source) {
-        }
+        public void inputReady(IOSession session, ByteBuffer source) {}
 
         @Override
-        public void outputReady(IOSession session) {
-        }
+        public void outputReady(IOSession session) {}
 
         @Override
-        public void timeout(IOSession session, Timeout timeout) {
-        }
+        public void timeout(IOSession session, Timeout timeout) {}
 
         @Override
-        public void exception(IOSession session, Exception cause) {
-        }
+        public void exception(IOSession session, Exception cause) {}
 
         @Override
-        public void disconnected(IOSession session) {
-        }
+        public void disconnected(IOSession session) {}
     }
 }
--- a/balancer/src/test/java/calicochute/metrics/FloodGuardTest.java
+++ b/balancer/src/test/java/calicochute/metrics/FloodGuardTest.java
@@ -9,6 +9,7 @@
     private static final long SECOND = 1_000_000;
     /** A time within a second of the clock, not at its start. */
     private static final long NOW = 1_700_000_000L * SECOND + 400_000;
+
     private final FloodGuard guard = new FloodGuard();
 
     private long written(String event, int lines, long nowMicros) {
--- a/balancer/src/test/java/calicochute/node/DecisionThreadTest.java
+++ b/balancer/src/test/java/calicochute/node/DecisionThreadTest.java
@@ -11,9 +11,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class DecisionThreadTest {
-    /** Guards against an executor that swallows failures: whatever a task ends in is counted, and the tasks behind it are run. */
+    /**
+     * Guards against an executor that swallows failures: whatever a task ends in is counted, and the tasks behind it
+     * are run.
+     */
     @ParameterizedTest
-    @ValueSource(classes = {IllegalStateException.class, AssertionError.class, NoClassDefFoundError.class, OutOfMemoryError.class})
+    @ValueSource(
+            classes = {
+                IllegalStateException.class,
+                AssertionError.class,
+                NoClassDefFoundError.class,
+                OutOfMemoryError.class
+            })
     void whateverATaskEndsInIsCounted(Class<? extends Throwable> how) throws Exception {
         Counters counters = new Counters();
         DecisionThread thread = new DecisionThread(counters);
--- a/balancer/src/test/java/calicochute/node/MarginsTest.java
+++ b/balancer/src/test/java/calicochute/node/MarginsTest.java
@@ -6,7 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 class MarginsTest {
-    /** Of however little time most is left to serve in, and the guard comes between the module's end and the client's. */
+    /**
+     * Of however little time most is left to serve in, and the guard comes between the module's end and the client's.
+     */
     @Test
     void mostOfTheTimeIsLeft() {
         assertEquals(15_000, Margins.answer(9_000_000));
--- a/balancer/src/test/java/calicochute/operator/OperatorFileReaderTest.java
+++ b/balancer/src/test/java/calicochute/operator/OperatorFileReaderTest.java
@@ -26,14 +26,20 @@
 class OperatorFileReaderTest {
     private static final String HEAD = "cluster: shelf\nlisten: 127.0.0.1:7001\n";
     private static final String GOOD = HEAD + "peers:\n  - { id: b, address: '127.0.0.1:7002' }\n";
-    private static final String EXPERIMENT = GOOD + "experiments:\n  - { name: e, unit: session, control: { kind: old }, treatment: { kind: new },"
-        + " share: 0.1, lanes: [%s], least: 0.02, error: 0.05, longest: %s }\n";
+    private static final String EXPERIMENT =
+            GOOD + "experiments:\n  - { name: e, unit: session, control: { kind: old }, treatment: { kind: new },"
+                    + " share: 0.1, lanes: [%s], least: 0.02, error: 0.05, longest: %s }\n";
+
     @TempDir
     private Path folder;
 
     private OperatorFile read(String text) throws Exception {
-        return OperatorFileReader.read(Files.writeString(folder.resolve("fleet.yaml"), text), "a", SettingsParser.parse(Map.of("nonce64", "1",
-            "classes.count", "1", "classes.0.name", "c", "accounts.count", "1")), List.of());
+        return OperatorFileReader.read(
+                Files.writeString(folder.resolve("fleet.yaml"), text),
+                "a",
+                SettingsParser.parse(
+                        Map.of("nonce64", "1", "classes.count", "1", "classes.0.name", "c", "accounts.count", "1")),
+                List.of());
     }
 
     /** @param where behind the file's name */
@@ -49,16 +55,22 @@
     }
 
     private static String peers(int count) {
-        return HEAD + "peers:\n" + IntStream.range(0, count).mapToObj(i -> "  - { id: p" + i + ", address: '127.0.0.1:" + (8_000 + i) + "' }\n")
-            .collect(Collectors.joining());
+        return HEAD + "peers:\n"
+                + IntStream.range(0, count)
+                        .mapToObj(i -> "  - { id: p" + i + ", address: '127.0.0.1:" + (8_000 + i) + "' }\n")
+                        .collect(Collectors.joining());
     }
 
     @Test
     void whatIsLeftOutHasItsDefault() throws Exception {
         Peer b = new Peer("b", new InetSocketAddress("127.0.0.1", 7002));
         InetSocketAddress listen = new InetSocketAddress("127.0.0.1", 7001);
-        assertEquals(new OperatorFile("shelf", "a", listen, List.of(b, new Peer("a", listen)), true, true, List.of(), ""), read(GOOD));
-        assertEquals(new OperatorFile("shelf", "b", listen, List.of(b), false, false, List.of(), "kept"), read(GOOD + "me: b\nshare: false\nstate: kept\n"));
+        assertEquals(
+                new OperatorFile("shelf", "a", listen, List.of(b, new Peer("a", listen)), true, true, List.of(), ""),
+                read(GOOD));
+        assertEquals(
+                new OperatorFile("shelf", "b", listen, List.of(b), false, false, List.of(), "kept"),
+                read(GOOD + "me: b\nshare: false\nstate: kept\n"));
         assertFalse(read(GOOD + "share: false\n").talks());
         assertFalse(read(GOOD + "bandit: false\n").bandit());
         assertEquals(401, read(peers(400)).peers().size());
@@ -71,7 +83,10 @@
         refused(HEAD, ": peers", "1 to 400");
         refused(peers(401), ": peers", "1 to 400");
         refused(GOOD + "  - { id: b, address: '127.0.0.1:7003' }\n", ": peers[1].id", "is there twice: b");
-        refused(GOOD + "  - { id: c, address: '127.0.0.1:7002' }\n", ": peers[1].address", "is there twice: 127.0.0.1:7002");
+        refused(
+                GOOD + "  - { id: c, address: '127.0.0.1:7002' }\n",
+                ": peers[1].address",
+                "is there twice: 127.0.0.1:7002");
         refused(GOOD + "  - { id: c }\n", ": peers[1].address", "is missing");
         refused(GOOD.replace("127.0.0.1:7002", "127.0.0.1"), "", "peers[0].address is not host:port: '127.0.0.1'");
         refused(GOOD.replace("127.0.0.1:7001", "127.0.0.1:70000"), "", "listen is not host:port");
@@ -85,7 +100,10 @@
         refused(GOOD + "colour: red\n", ":5", "colour: Unrecognized field");
         refused(GOOD + "cluster: again\n", ":5", "Duplicate field 'cluster'");
         refused("colour: red\n" + GOOD, ":1", "colour: Unrecognized field");
-        refused(GOOD + "  - id: c\n    port: 1\n    address: x\nshare: true\n", ":6", "peers[1].port: Unrecognized field");
+        refused(
+                GOOD + "  - id: c\n    port: 1\n    address: x\nshare: true\n",
+                ":6",
+                "peers[1].port: Unrecognized field");
         refused(GOOD + "share:\n  maybe\n", ":6", "share: Cannot deserialize");
         refused("cluster: shelf\n@listen\n", ":2", "is not YAML");
         refused("", ":1", "No content");
@@ -95,16 +113,21 @@
 
     @Test
     void anExperimentThatCannotRunIsComplainedOfWithWhatToDo() {
-        OperatorFileException e = complaint(String.format(EXPERIMENT, "d", "1h"), ": experiments: e.lanes", "LANE_UNKNOWN: d");
+        OperatorFileException e =
+                complaint(String.format(EXPERIMENT, "d", "1h"), ": experiments: e.lanes", "LANE_UNKNOWN: d");
         assertEquals(Code.EXPERIMENT, e.code());
         assertEquals("one of [c]. " + Code.EXPERIMENT.remedy(), e.remedy());
-        complaint(String.format(EXPERIMENT, "d", "1s"), ": experiments: e.longest", "LONGEST_OUT_OF_RANGE: PT1S (and 1 more)");
+        complaint(
+                String.format(EXPERIMENT, "d", "1s"),
+                ": experiments: e.longest",
+                "LONGEST_OUT_OF_RANGE: PT1S (and 1 more)");
     }
 
     @ParameterizedTest
     @CsvSource({"90s,PT90S", "10m,PT10M", "12h,PT12H", "2d,PT48H", "PT12H,PT12H"})
     void timesHaveTheirUnit(String written, Duration meant) throws Exception {
-        Experiment experiment = read(String.format(EXPERIMENT, "c", written)).experiments().get(0);
+        Experiment experiment =
+                read(String.format(EXPERIMENT, "c", written)).experiments().get(0);
         assertEquals(meant, experiment.longest());
         assertEquals(Experiment.Unit.SESSION, experiment.unit());
     }
@@ -112,6 +135,9 @@
     @ParameterizedTest
     @CsvSource({"12", "12x", "-5m", "1.5h", "soon", "PTx"})
     void noOtherTimeIsTaken(String written) {
-        refused(String.format(EXPERIMENT, "c", written), ":6", "experiments[0].longest: '" + written + "' is no time such as");
+        refused(
+                String.format(EXPERIMENT, "c", written),
+                ":6",
+                "experiments[0].longest: '" + written + "' is no time such as");
     }
 }
--- a/balancer/src/test/java/calicochute/outage/OutageFileTest.java
+++ b/balancer/src/test/java/calicochute/outage/OutageFileTest.java
@@ -15,6 +15,7 @@
 
 class OutageFileTest {
     private static final Outages BAN = Outages.NONE.with("s1", 5);
+
     @TempDir
     private Path folder;
 
@@ -30,7 +31,10 @@
         }
     }
 
-    /** A file under the right name that another balancer wrote, or one of another tier, bans nobody; it is replaced by the first call. */
+    /**
+     * A file under the right name that another balancer wrote, or one of another tier, bans nobody; it is replaced by
+     * the first call.
+     */
     @Test
     void anotherOwnersBansAreNotTaken() throws Exception {
         of("n1", 0).change(o -> BAN);
@@ -45,7 +49,8 @@
     /** A version that did not write its name may have banned a server just before the upgrade. */
     @Test
     void aBanOfAnEarlierVersionHolds() throws Exception {
-        Files.writeString(folder.resolve("calicochute-n0.out"), "{\"version\":1,\"out\":[{\"id\":\"s1\",\"sinceMs\":5}]}");
+        Files.writeString(
+                folder.resolve("calicochute-n0.out"), "{\"version\":1,\"out\":[{\"id\":\"s1\",\"sinceMs\":5}]}");
         assertEquals(BAN, of("n0", 3).read());
     }
 
--- a/balancer/src/test/java/calicochute/outage/OverlayTest.java
+++ b/balancer/src/test/java/calicochute/outage/OverlayTest.java
@@ -19,12 +19,15 @@
 
 class OverlayTest {
     /** One thing that may happen to a server: discovery's word, a whole list of it, or an operator's call. */
-    record Step(String id, int what) { }
+    record Step(String id, int what) {}
 
     @Provide
     Arbitrary<List<Step>> steps() {
-        return Combinators.combine(Arbitraries.of("a", "b", "c"), Arbitraries.integers().between(0, 5)).as(Step::new)
-            .list().ofMaxSize(60);
+        return Combinators.combine(
+                        Arbitraries.of("a", "b", "c"), Arbitraries.integers().between(0, 5))
+                .as(Step::new)
+                .list()
+                .ofMaxSize(60);
     }
 
     /** Whatever came before: the module holds a server as ready only if discovery says so and no ban stands. */
@@ -55,8 +58,8 @@
             }
             told.forEach(e -> module.put(e.id(), e));
             word.forEach((id, state) -> {
-                BackendState expected = state == BackendState.READY && banned.getOrDefault(id, false)
-                    ? BackendState.DRAINING : state;
+                BackendState expected =
+                        state == BackendState.READY && banned.getOrDefault(id, false) ? BackendState.DRAINING : state;
                 assertEquals(expected, module.get(id).state());
             });
         }
--- a/balancer/src/test/java/calicochute/pool/PoolTest.java
+++ b/balancer/src/test/java/calicochute/pool/PoolTest.java
@@ -144,7 +144,9 @@
         }
     }
 
-    /** Plays a history; what the machine can't do in a state (such as giving back when nothing is lent) is passed over. */
+    /**
+     * Plays a history; what the machine can't do in a state (such as giving back when nothing is lent) is passed over.
+     */
     private static void replay(int[] events) {
         Pool<Conn> pool = pool();
         Set<Conn> alive = new HashSet<>();
@@ -204,10 +206,11 @@
                         pool.spareOpened(spare, now);
                     }
                 }
-                default -> pool.takeIdleSince(now - 4).forEach(c -> {
-                    check(!lent.contains(c), events, "a lent one was closed");
-                    alive.remove(c);
-                });
+                default ->
+                    pool.takeIdleSince(now - 4).forEach(c -> {
+                        check(!lent.contains(c), events, "a lent one was closed");
+                        alive.remove(c);
+                    });
             }
             long free = alive.stream().filter(c -> !lent.contains(c)).count();
             check(pool.free() == free, events, "free " + pool.free() + " where there are " + free);
@@ -218,7 +221,10 @@
         assertTrue(holds, () -> what + " after " + java.util.Arrays.toString(events));
     }
 
-    /** A server ended one that had been free for 90: for a while none is lent that has been free for 60, but younger ones are. */
+    /**
+     * A server ended one that had been free for 90: for a while none is lent that has been free for 60, but younger
+     * ones are.
+     */
     @Test
     void connectionsAreKeptForLessThanTheShortestIdleTimeSeen() {
         Pool<Conn> pool = pool();
@@ -238,7 +244,10 @@
         assertEquals(Long.MIN_VALUE, pool.tooOld(890), "ended by this side");
     }
 
-    /** Ends right behind an answer tell of no idle time; one in five is borne, a server that ends nearly all gets none kept. */
+    /**
+     * Ends right behind an answer tell of no idle time; one in five is borne, a server that ends nearly all gets none
+     * kept.
+     */
     @Test
     void aServerThatEndsMostRightBehindAnswersGetsNoneKept() {
         Pool<Conn> pool = pool();
--- a/balancer/src/test/java/calicochute/process/AdminTest.java
+++ b/balancer/src/test/java/calicochute/process/AdminTest.java
@@ -40,7 +40,10 @@
         assertEquals(400, admin("POST cordon", "{\"host\":"));
         assertEquals(400, admin("POST cordon", "{\"host\":7}"));
         assertEquals(400, admin("POST uncordon", "[]"));
-        assertEquals("no JSON, though a lenient reader takes it", 400, admin("POST cordon", host(server).replace('"', '\'')));
+        assertEquals(
+                "no JSON, though a lenient reader takes it",
+                400,
+                admin("POST cordon", host(server).replace('"', '\'')));
         assertEquals(400, admin("POST cordon", host(server) + "// and more"));
         assertEquals(0, program.figure("members_unavailable"));
         assertEquals(404, admin("POST cordon", "{\"host\":\"never-listed\"}"));
@@ -62,7 +65,10 @@
         }
     }
 
-    /** Taken = completed + rejected + failed + pending, and an attempt counts once it is written, not once it is answered. */
+    /**
+     * Taken = completed + rejected + failed + pending, and an attempt counts once it is written, not once it is
+     * answered.
+     */
     @Test
     public void figuresCountWhatHappened() throws Exception {
         assertEquals(0, program.figure("completed.view"));
@@ -114,14 +120,19 @@
         }
     }
 
-    /** Once the yes is out nothing new goes there, whatever discovery says; one call back ends any number of calls out. */
+    /**
+     * Once the yes is out nothing new goes there, whatever discovery says; one call back ends any number of calls out.
+     */
     @Test
     public void aServerOutByHandGetsNothingUntilItIsCalledBack() throws Exception {
         assertEquals(200, session("view").status());
         assertEquals(200, admin("POST cordon", host(server)));
         assertEquals(200, admin("POST cordon", host(server)));
         int before = server.requests.size();
-        assertEquals(503, program.send(Program.session(ID, "view").replace(": 8000", ": 300")).status());
+        assertEquals(
+                503,
+                program.send(Program.session(ID, "view").replace(": 8000", ": 300"))
+                        .status());
         assertEquals(1, program.figure("members_unavailable"));
         assertEquals(1, program.figure("members"));
         assertEquals(before, server.requests.size());
@@ -147,7 +158,10 @@
         assertEquals(200, admin("POST cordon", host(server)));
         told.complete(null);
         await("the whole list is heard", () -> program.log().contains("generation=2 whole=true"));
-        assertEquals(503, program.send(Program.session(ID, "view").replace(": 8000", ": 300")).status());
+        assertEquals(
+                503,
+                program.send(Program.session(ID, "view").replace(": 8000", ": 300"))
+                        .status());
         assertEquals(0, server.requests.size());
         assertEquals(200, admin("POST uncordon", host(server)));
         assertEquals(200, session("view").status());
@@ -156,28 +170,30 @@
     /** Sent away: a no at once, each answer the last, idle connections ended; and back again. */
     @Test
     public void clientsAreSentAwayAndTakenBack() throws Exception {
-        try (Socket kept = program.connect(); Socket idle = program.connect()) {
+        try (Socket kept = program.connect();
+                Socket idle = program.connect()) {
             for (Socket socket : List.of(kept, idle)) {
-                socket.getOutputStream().write(Http.message(Program.session(String.format("%016x", ++sent), "view"),
-                    new byte[0]));
+                socket.getOutputStream()
+                        .write(Http.message(Program.session(String.format("%016x", ++sent), "view"), new byte[0]));
                 assertEquals(200, Http.read(socket.getInputStream()).status());
             }
             assertEquals(200, admin("POST quiesce", ""));
             assertEquals(503, program.send("GET /ready HTTP/1.1\r\nHost: a\r\n").status());
-            kept.getOutputStream().write(Http.message(Program.session(String.format("%016x", ++sent), "view"),
-                new byte[0]));
+            kept.getOutputStream()
+                    .write(Http.message(Program.session(String.format("%016x", ++sent), "view"), new byte[0]));
             Http last = Http.read(kept.getInputStream());
             assertEquals(200, last.status());
             assertEquals("close", last.header("Connection"));
             assertTrue(Program.ended(idle));
-            assertEquals("who comes all the same is served", 200, session("view").status());
+            assertEquals(
+                    "who comes all the same is served", 200, session("view").status());
             assertEquals(200, admin("GET health", ""));
         }
         assertEquals(200, admin("POST resume", ""));
         assertEquals(200, program.send("GET /ready HTTP/1.1\r\nHost: a\r\n").status());
         try (Socket kept = program.connect()) {
-            kept.getOutputStream().write(Http.message(Program.session(String.format("%016x", ++sent), "view"),
-                new byte[0]));
+            kept.getOutputStream()
+                    .write(Http.message(Program.session(String.format("%016x", ++sent), "view"), new byte[0]));
             assertEquals(null, Http.read(kept.getInputStream()).header("Connection"));
         }
     }
--- a/balancer/src/test/java/calicochute/process/BadClientTest.java
+++ b/balancer/src/test/java/calicochute/process/BadClientTest.java
@@ -48,11 +48,17 @@
     @Test
     public void lengthsThatAreNoneAreRefused() throws Exception {
         String hidden = "0\r\n\r\n" + VIEW + "\r\n";
-        for (String lengths : List.of("Content-Length: " + hidden.length() + "\r\nTransfer-Encoding: chunked",
-            "Transfer-Encoding: chunked\r\nContent-Length: 5", "Content-Length: 4\r\nContent-Length: 9",
-            "Content-Length: -4", "Content-Length: +4", "Content-Length: ten", "Content-Length: 99999999999999999999",
-            "Transfer-Encoding: gzip", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
-            "Transfer-Encoding : chunked")) {
+        for (String lengths : List.of(
+                "Content-Length: " + hidden.length() + "\r\nTransfer-Encoding: chunked",
+                "Transfer-Encoding: chunked\r\nContent-Length: 5",
+                "Content-Length: 4\r\nContent-Length: 9",
+                "Content-Length: -4",
+                "Content-Length: +4",
+                "Content-Length: ten",
+                "Content-Length: 99999999999999999999",
+                "Transfer-Encoding: gzip",
+                "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
+                "Transfer-Encoding : chunked")) {
             assertEquals(lengths, 400, raw(SCAN + lengths + "\r\n\r\n" + hidden));
         }
         assertEquals(0, server.requests.size());
@@ -73,7 +79,9 @@
     public void targetsAreNotTakenApart() throws Exception {
         for (String path : List.of("//evil/api", "///a/b", "//", "/a:b//c;d", "/%zz%00?x=//y")) {
             assertEquals(path, 200, program.send(VIEW.replace("/api?q=1", path)).status());
-            assertEquals("GET " + path + " HTTP/1.1", server.requests.get(server.requests.size() - 1).firstLine());
+            assertEquals(
+                    "GET " + path + " HTTP/1.1",
+                    server.requests.get(server.requests.size() - 1).firstLine());
         }
         for (String target : List.of("api", "*", "a:b")) {
             assertEquals(target, 400, raw(VIEW.replace("/api?q=1", target) + "\r\n"));
@@ -83,19 +91,25 @@
     /** Chunks that can't be read, behind a head that can: no answer, but the connection's end and a count. */
     @Test
     public void chunksThatCannotBeReadAreCounted() throws Exception {
-        List<String> bodies = List.of("-5\r\nhello\r\n", "ffffffffffffffff\r\n", "five\r\n", "5;" + "a".repeat(9000),
-            "5\r\nhello\r\n0\r\n" + "X-T: y\r\n".repeat(200), "5\r\nhelloo\r\n");
+        List<String> bodies = List.of(
+                "-5\r\nhello\r\n",
+                "ffffffffffffffff\r\n",
+                "five\r\n",
+                "5;" + "a".repeat(9000),
+                "5\r\nhello\r\n0\r\n" + "X-T: y\r\n".repeat(200),
+                "5\r\nhelloo\r\n");
         for (String body : bodies) {
             try (Socket socket = program.connect()) {
-                socket.getOutputStream().write((SCAN + "Transfer-Encoding: chunked\r\n\r\n" + body + "\r\n").getBytes(
-                    StandardCharsets.US_ASCII));
+                socket.getOutputStream()
+                        .write((SCAN + "Transfer-Encoding: chunked\r\n\r\n" + body + "\r\n")
+                                .getBytes(StandardCharsets.US_ASCII));
                 assertTrue(Program.ended(socket));
             }
         }
         assertEquals(bodies.size(), program.counter("sessions_bad_input"));
         try (Socket socket = program.connect()) {
-            socket.getOutputStream().write((SCAN + "Transfer-Encoding: chunked\r\n\r\n5\r\nhe").getBytes(
-                StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write((SCAN + "Transfer-Encoding: chunked\r\n\r\n5\r\nhe").getBytes(StandardCharsets.US_ASCII));
             socket.setSoLinger(true, 0);
         }
         assertEquals(0, server.requests.size());
@@ -122,8 +136,9 @@
         for (int bytes = 0; bytes <= chunks.length(); bytes++) {
             try (Socket socket = program.connect()) {
                 assertEquals("cut behind byte " + bytes, 0, program.counter("sessions_taken"));
-                socket.getOutputStream().write((SCAN + "Transfer-Encoding: chunked\r\n\r\n" + chunks.substring(0, bytes))
-                    .getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream()
+                        .write((SCAN + "Transfer-Encoding: chunked\r\n\r\n" + chunks.substring(0, bytes))
+                                .getBytes(StandardCharsets.US_ASCII));
                 if (bytes < chunks.length()) {
                     socket.shutdownOutput();
                     assertTrue(Program.ended(socket));
@@ -168,8 +183,11 @@
             release.await();
             return Http.answer(200, "", "late");
         };
-        try (Socket owed = program.connect(); Socket silent = program.connect(); Socket half = program.connect();
-             Socket dripping = program.connect(); Socket body = program.connect()) {
+        try (Socket owed = program.connect();
+                Socket silent = program.connect();
+                Socket half = program.connect();
+                Socket dripping = program.connect();
+                Socket body = program.connect()) {
             body.getOutputStream().write((SCAN + "Content-Length: 60000\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             owed.getOutputStream().write(Http.message(VIEW, new byte[0]));
             half.getOutputStream().write("GET /api HTT".getBytes(StandardCharsets.US_ASCII));
@@ -193,14 +211,17 @@
         }
     }
 
-    /** With fewer descriptors than promised accepting breaks off; at both addresses it comes back with the descriptors. */
+    /**
+     * With fewer descriptors than promised accepting breaks off; at both addresses it comes back with the descriptors.
+     */
     @Test
     public void acceptingOutlivesALackOfDescriptors() throws Exception {
         List<Socket> silent = new ArrayList<>();
         Program scarce = Program.scarce(DESCRIPTORS, discovery, server);
         try {
             assertEquals(200, scarce.admin("GET health", "").status());
-            // All at once: one after another on a loaded machine the first would be ended for their silence before the last one comes.
+            // All at once: one after another on a loaded machine the first would be ended for their silence before the
+            // last one comes.
             for (int i = 0; i < DESCRIPTORS; i++) {
                 silent.add(scarce.connect());
             }
@@ -212,7 +233,9 @@
                 socket.close();
             }
             await("asked", () -> scarce.admin("GET health", "").status() == 200);
-            await("served", () -> scarce.send(session("1" + ID.substring(1), "view")).status() == 200);
+            await(
+                    "served",
+                    () -> scarce.send(session("1" + ID.substring(1), "view")).status() == 200);
             assertTrue(scarce.counter("acceptor_waits") > 0);
         } finally {
             scarce.stop();
@@ -242,7 +265,10 @@
         }
     }
 
-    /** In a crowd that has just connected and says nothing, whoever asks is served: not the newcomer makes way, but the crowd. */
+    /**
+     * In a crowd that has just connected and says nothing, whoever asks is served: not the newcomer makes way, but the
+     * crowd.
+     */
     @Test
     public void whoAsksIsServedInACrowd() throws Exception {
         List<Socket> crowd = new ArrayList<>();
@@ -250,7 +276,9 @@
             for (int i = 0; i < 20; i++) {
                 crowd.add(program.connect());
             }
-            assertEquals(200, program.send(session(String.format("%016x", round), "view")).status());
+            assertEquals(
+                    200,
+                    program.send(session(String.format("%016x", round), "view")).status());
         }
         assertEquals(0, program.counter("acceptor_waits"));
         for (Socket socket : crowd) {
@@ -269,8 +297,12 @@
                 crowd.add(i % 3 == 0 ? new Socket(InetAddress.getLoopbackAddress(), limited.admin) : limited.connect());
             }
             int calls = discovery.requests.size();
-            assertEquals("a connection to a backend server", 200, limited.send(session(ID, "view")).status());
-            assertEquals("the second address", 200, limited.admin("GET health", "").status());
+            assertEquals(
+                    "a connection to a backend server",
+                    200,
+                    limited.send(session(ID, "view")).status());
+            assertEquals(
+                    "the second address", 200, limited.admin("GET health", "").status());
             await("discovery is asked", () -> discovery.requests.size() > calls);
             assertEquals(limited.log(), 0, limited.counter("acceptor_waits"));
             assertTrue(limited.log(), !limited.log().contains("Too many open files"));
@@ -282,7 +314,10 @@
         }
     }
 
-    /** Idle clients hold the last descriptors, discovery is down: room is made at once for who asks, servers, discovery and operators. */
+    /**
+     * Idle clients hold the last descriptors, discovery is down: room is made at once for who asks, servers, discovery
+     * and operators.
+     */
     @Test
     public void idleClientsEndWhereDescriptorsLack() throws Exception {
         List<Socket> idle = new ArrayList<>();
@@ -291,13 +326,15 @@
         release.countDown();
         Program scarce = Program.scarce(100, discovery, server);
         try {
-            // Started from folders of classes, not from its jar, a class's first use takes a descriptor too: used here before.
+            // Started from folders of classes, not from its jar, a class's first use takes a descriptor too: used here
+            // before.
             assertEquals(200, scarce.admin("GET health", "").status());
             assertEquals(200, scarce.send(VIEW).status());
             await("out of descriptors", () -> {
                 Socket socket = scarce.connect();
                 idle.add(socket);
-                socket.getOutputStream().write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream()
+                        .write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                 return scarce.log().contains("Too many open files");
             });
             int calls = discovery.requests.size();
@@ -313,14 +350,18 @@
                 socket.getOutputStream().write(Http.message(session(String.format("%016x", i), "view"), new byte[0]));
             }
             await("connections to a backend server", () -> server.requests.size() == before + asking.size());
-            assertEquals("the second address", 200, scarce.admin("GET health", "").status());
+            assertEquals(
+                    "the second address", 200, scarce.admin("GET health", "").status());
             await("discovery is asked", () -> discovery.requests.size() > calls);
             together.countDown();
             for (Socket socket : asking) {
                 assertEquals(200, Http.read(socket.getInputStream()).status());
             }
             assertTrue(scarce.counter("clients_closed_for_room") > 0);
-            assertEquals("none had to be waited for", 0, scarce.counter("clients_closed_idle") + scarce.counter("clients_closed_slow"));
+            assertEquals(
+                    "none had to be waited for",
+                    0,
+                    scarce.counter("clients_closed_idle") + scarce.counter("clients_closed_slow"));
         } finally {
             scarce.stop();
             for (Socket socket : idle) {
--- a/balancer/src/test/java/calicochute/process/BadLinkTest.java
+++ b/balancer/src/test/java/calicochute/process/BadLinkTest.java
@@ -18,8 +18,8 @@
 import org.junit.Test;
 
 /**
- * Connections to backend servers that go bad in each way, under sessions of each effect, with a good server beside the bad one:
- * one final answer in time, nothing repeated that may have run, the failure charged once, no connection left.
+ * Connections to backend servers that go bad in each way, under sessions of each effect, with a good server beside the
+ * bad one: one final answer in time, nothing repeated that may have run, the failure charged once, no connection left.
  */
 public class BadLinkTest {
     private static final String GOOD = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na map";
@@ -85,8 +85,11 @@
     public void start() throws Exception {
         discovery = new Peer(r -> {
             renewals.acquire();
-            return Http.answer(200, "", Program.list(generation, "Ready", addresses())
-                .replace("startedAtMs\":0", "startedAtMs\":" + generation));
+            return Http.answer(
+                    200,
+                    "",
+                    Program.list(generation, "Ready", addresses())
+                            .replace("startedAtMs\":0", "startedAtMs\":" + generation));
         });
         good = new Peer(r -> GOOD.getBytes(StandardCharsets.US_ASCII));
         bad = new Link();
@@ -106,8 +109,10 @@
     }
 
     private Http send(String lane, int waitMs) throws Exception {
-        return program.send(session(String.format("%016x", ids.incrementAndGet()), lane)
-            .replace("X-Remaining-Ms: 8000", "X-Remaining-Ms: " + waitMs), lane.equals("view") ? new byte[0] : new byte[1]);
+        return program.send(
+                session(String.format("%016x", ids.incrementAndGet()), lane)
+                        .replace("X-Remaining-Ms: 8000", "X-Remaining-Ms: " + waitMs),
+                lane.equals("view") ? new byte[0] : new byte[1]);
     }
 
     private static void write(Socket socket, String text) throws Exception {
@@ -119,7 +124,10 @@
         socket.close();
     }
 
-    /** Both servers have started anew: nothing is known of either, so that the next session goes to one as well as to the other. */
+    /**
+     * Both servers have started anew: nothing is known of either, so that the next session goes to one as well as to
+     * the other.
+     */
     private void renew() throws Exception {
         generation++;
         long told = program.counter("discovery_answers");
@@ -127,7 +135,10 @@
         await("started anew", () -> program.counter("discovery_answers") > told);
     }
 
-    /** What may not run twice makes no first calls while another server is known: so nothing is known before each session. Its status. */
+    /**
+     * What may not run twice makes no first calls while another server is known: so nothing is known before each
+     * session. Its status.
+     */
     private int statusOfTheOneThatMetIt(String lane, int waitMs) throws Exception {
         for (int i = 0; i < 40; i++) {
             renew();
@@ -192,7 +203,10 @@
         });
     }
 
-    /** Silence with little time: one answer before the client gives up, and what may be repeated is not repeated in vain. */
+    /**
+     * Silence with little time: one answer before the client gives up, and what may be repeated is not repeated in
+     * vain.
+     */
     @Test
     public void silentAfterTheRequest() throws Exception {
         bad.way = socket -> Thread.sleep(Long.MAX_VALUE);
@@ -221,7 +235,10 @@
         checkNoneIsLeft();
     }
 
-    /** Answers on a connection that keeps its word, with the close right behind the answer: no session pays for the race. */
+    /**
+     * Answers on a connection that keeps its word, with the close right behind the answer: no session pays for the
+     * race.
+     */
     @Test
     public void closedRightBehindTheAnswer() throws Exception {
         bad.way = socket -> {
--- a/balancer/src/test/java/calicochute/process/BadListTest.java
+++ b/balancer/src/test/java/calicochute/process/BadListTest.java
@@ -45,12 +45,14 @@
     }
 
     private static String whole(int generation, boolean whole, String... entries) {
-        return "{\"generation\":" + generation + ",\"reset\":" + whole + ",\"instances\":[" + String.join(",", entries) + "]}";
+        return "{\"generation\":" + generation + ",\"reset\":" + whole + ",\"instances\":[" + String.join(",", entries)
+                + "]}";
     }
 
     private static String entry(String id, Peer at, String lifecycle) {
-        return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + at.address() + "\",\"zone\":\"a\",\"machineType\":\"m\","
-            + "\"cell\":0,\"lifecycle\":\"" + lifecycle + "\",\"weight\":1.0,\"startedAtMs\":0}";
+        return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + at.address()
+                + "\",\"zone\":\"a\",\"machineType\":\"m\"," + "\"cell\":0,\"lifecycle\":\"" + lifecycle
+                + "\",\"weight\":1.0,\"startedAtMs\":0}";
     }
 
     /** A session's answer: its status and, if it was served, by whom. */
@@ -59,8 +61,8 @@
     }
 
     private String session(int remainingMs) throws Exception {
-        Http answer = program.send(Program.session(String.format("%016x", ++sessions), "view")
-            .replace(": 8000", ": " + remainingMs));
+        Http answer = program.send(
+                Program.session(String.format("%016x", ++sessions), "view").replace(": 8000", ": " + remainingMs));
         return answer.status() + new String(answer.body());
     }
 
@@ -79,7 +81,10 @@
         assertEquals("200another", served());
     }
 
-    /** Changes older than the list held are refused and counted; a whole list says anew what there is, however it is numbered. */
+    /**
+     * Changes older than the list held are refused and counted; a whole list says anew what there is, however it is
+     * numbered.
+     */
     @Test
     public void anOlderGeneration() throws Exception {
         tell(7, true, entry("one", server, "Ready"), entry("two", other, "Terminating"));
@@ -88,10 +93,16 @@
         assertEquals("200a map", served());
         int asked = discovery.requests.size();
         await("asked again", () -> discovery.requests.size() > asked || asked > 2);
-        assertTrue(discovery.requests.get(discovery.requests.size() - 1).firstLine().contains("since=7&"));
+        assertTrue(discovery
+                .requests
+                .get(discovery.requests.size() - 1)
+                .firstLine()
+                .contains("since=7&"));
         tell(2, true, entry("two", other, "Ready"));
         assertEquals("200another", served());
-        await("goes on from there", () -> discovery.requests.stream().anyMatch(r -> r.firstLine().contains("since=2&")));
+        await(
+                "goes on from there",
+                () -> discovery.requests.stream().anyMatch(r -> r.firstLine().contains("since=2&")));
     }
 
     /** Nothing is in an older answer without entries: the watch goes on from the newest held. */
@@ -126,7 +137,9 @@
         assertEquals("503", session(400));
     }
 
-    /** One without a zone is in none of the named ones, and is used like one abroad; other fields have plain defaults. */
+    /**
+     * One without a zone is in none of the named ones, and is used like one abroad; other fields have plain defaults.
+     */
     @Test
     public void anEntryWithoutAZone() throws Exception {
         tell(2, true, "{\"instanceId\":\"one\",\"hostPort\":\"" + other.address() + "\",\"lifecycle\":\"Ready\"}");
@@ -139,7 +152,11 @@
     @Test
     public void whatIsNoListIsRefused() throws Exception {
         tell(2, true, entry("one", server, "Ready"));
-        lists.add(whole(3, true, entry("two", other, "Ready"), entry("three", other, "Ready").replace("\"a\"", "null")));
+        lists.add(whole(
+                3,
+                true,
+                entry("two", other, "Ready"),
+                entry("three", other, "Ready").replace("\"a\"", "null")));
         await("refused", () -> program.counter("discovery_malformed") == 1);
         assertEquals("200a map", served());
         lists.add(list(4, "Terminating", "s1:80"));
--- a/balancer/src/test/java/calicochute/process/BadServerTest.java
+++ b/balancer/src/test/java/calicochute/process/BadServerTest.java
@@ -29,13 +29,18 @@
     /** It may have run and is not repeated; nothing of the answer is served, and its connection is not used again. */
     @Test
     public void spoiltAnswersAreFailures() throws Exception {
-        List<String> spoilt = List.of("noise\r\n\r\n", "ICY 200 OK\r\n\r\n", GOOD.replace("200 OK", "2x0"),
-            GOOD.replace("OK\r\n", "OK\r\nno colon\r\n"), GOOD.replace(": 5", ": -1"),
-            GOOD.replace("\r\n\r\n", "\r\nContent-Length: 3\r\n\r\n"),
-            GOOD.replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n"),
-            GOOD.replace("Content-Length: 5", "Transfer-Encoding: chunked").replace("a map", "1\r\na\r\nzz\r\n"),
-            GOOD.replace(": 5", ": 3000000000"),
-            "HTTP/1.1 200 OK\r\n" + "X-Pad: p\r\n".repeat(1000), "HTTP/1.1 102 Processing\r\n\r\n".repeat(100));
+        List<String> spoilt = List.of(
+                "noise\r\n\r\n",
+                "ICY 200 OK\r\n\r\n",
+                GOOD.replace("200 OK", "2x0"),
+                GOOD.replace("OK\r\n", "OK\r\nno colon\r\n"),
+                GOOD.replace(": 5", ": -1"),
+                GOOD.replace("\r\n\r\n", "\r\nContent-Length: 3\r\n\r\n"),
+                GOOD.replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n"),
+                GOOD.replace("Content-Length: 5", "Transfer-Encoding: chunked").replace("a map", "1\r\na\r\nzz\r\n"),
+                GOOD.replace(": 5", ": 3000000000"),
+                "HTTP/1.1 200 OK\r\n" + "X-Pad: p\r\n".repeat(1000),
+                "HTTP/1.1 102 Processing\r\n\r\n".repeat(100));
         for (String answer : spoilt) {
             assertEquals(answer, 502, order(answer).status());
         }
@@ -47,8 +52,11 @@
     @Test
     public void goodAnswersStayGood() throws Exception {
         String report = GOOD.replace("\r\n\r\n", "\r\nX-Pressure: inflight=NaN,qps=-1\r\n\r\n");
-        for (String answer : List.of("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + GOOD, report, GOOD + GOOD,
-            GOOD + "noise without an end")) {
+        for (String answer : List.of(
+                "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + GOOD,
+                report,
+                GOOD + GOOD,
+                GOOD + "noise without an end")) {
             int open = server.ended.size();
             Http served = order(answer);
             assertEquals(200, served.status());
@@ -56,8 +64,12 @@
             if (answer.length() > GOOD.length() && answer.startsWith(GOOD)) {
                 await("closed", () -> server.ended.size() == open + 1);
             }
-            assertEquals("next", new String(order(GOOD.replace("a map", "next").replace(": 5", ": 4")).body(),
-                StandardCharsets.US_ASCII));
+            assertEquals(
+                    "next",
+                    new String(
+                            order(GOOD.replace("a map", "next").replace(": 5", ": 4"))
+                                    .body(),
+                            StandardCharsets.US_ASCII));
         }
         assertEquals("the program ended them, not the server", 0, program.counter("connections_ended_early"));
     }
@@ -65,13 +77,19 @@
     /** A 4xx is the client's, passed on and not repeated; but a deny may not follow what may have run. */
     @Test
     public void aRequestAtFaultIsNotTheServersFault() throws Exception {
-        assertEquals(400, order("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").status());
-        assertEquals(502, order("HTTP/1.1 429 Enough\r\nContent-Length: 0\r\n\r\n").status());
+        assertEquals(
+                400,
+                order("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").status());
+        assertEquals(
+                502, order("HTTP/1.1 429 Enough\r\nContent-Length: 0\r\n\r\n").status());
         assertEquals(2, server.requests.size());
         assertEquals(1, program.counter("dispatches_rejected"));
     }
 
-    /** A server ends each connection that is kept for it: every session is served, each over a connection of its own, and none is sent twice. */
+    /**
+     * A server ends each connection that is kept for it: every session is served, each over a connection of its own,
+     * and none is sent twice.
+     */
     @Test
     public void aServerThatEndsConnectionsIsServedOverNewOnes() throws Exception {
         for (int i = 0; i < 5; i++) {
@@ -84,7 +102,10 @@
         assertEquals(5, server.requests.size());
     }
 
-    /** Ends each connection as it comes up; one that is ended on this side only is read to its end, which shows all that was sent. */
+    /**
+     * Ends each connection as it comes up; one that is ended on this side only is read to its end, which shows all that
+     * was sent.
+     */
     private static final class Ending implements AutoCloseable {
         final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         final List<Http> requests = new CopyOnWriteArrayList<>();
@@ -116,7 +137,9 @@
                 }
                 socket.setSoTimeout(30_000);
                 socket.shutdownOutput();
-                for (Http request = Http.read(socket.getInputStream()); request != null; request = Http.read(socket.getInputStream())) {
+                for (Http request = Http.read(socket.getInputStream());
+                        request != null;
+                        request = Http.read(socket.getInputStream())) {
                     requests.add(request);
                 }
             } catch (IOException e) {
@@ -131,9 +154,9 @@
     }
 
     /**
-     * A server that ends each connection as it comes up. Where the program heard of it before it sent the request the server has run
-     * nothing, and the session is denied; where not it may have run, and the session has failed. Which of the two is the machine's choice
-     * at each; EndedAtOnceTest has both orders by hand.
+     * A server that ends each connection as it comes up. Where the program heard of it before it sent the request the
+     * server has run nothing, and the session is denied; where not it may have run, and the session has failed. Which
+     * of the two is the machine's choice at each; EndedAtOnceTest has both orders by hand.
      */
     private void checkEndedAtOnce(boolean resets) throws Exception {
         program.stop();
@@ -144,12 +167,14 @@
                 long reset = program.counter("dispatches_reset");
                 long refused = program.counter("dispatches_connect_failed");
                 long sent = program.counter("dispatches_sent");
-                int status = program.send(session(String.format("%016x", i), "order"), new byte[1]).status();
+                int status = program.send(session(String.format("%016x", i), "order"), new byte[1])
+                        .status();
                 reset = program.counter("dispatches_reset") - reset;
                 refused = program.counter("dispatches_connect_failed") - refused;
                 assertTrue("session " + i + " was sent " + reset + " times", reset <= 1);
                 assertEquals("session " + i, reset == 1 ? 502 : 503, status);
-                assertEquals("each dispatch is accounted for", program.counter("dispatches_sent") - sent, reset + refused);
+                assertEquals(
+                        "each dispatch is accounted for", program.counter("dispatches_sent") - sent, reset + refused);
                 statuses.add(status);
             }
             assertTrue("some were dispatched", ending.begun.get() > 0);
@@ -157,8 +182,12 @@
                 await("read to the end", () -> ending.begun.get() == ending.over.get());
                 for (int i = 0; i < statuses.size(); i++) {
                     String id = String.format("%016x", i);
-                    assertEquals("session " + i, statuses.get(i) == 502 ? 1 : 0,
-                        ending.requests.stream().filter(r -> id.equals(r.header("X-Txn"))).count());
+                    assertEquals(
+                            "session " + i,
+                            statuses.get(i) == 502 ? 1 : 0,
+                            ending.requests.stream()
+                                    .filter(r -> id.equals(r.header("X-Txn")))
+                                    .count());
                 }
             }
         }
@@ -182,8 +211,17 @@
             if (r.firstLine().contains("since=2")) {
                 release.await();
             }
-            return Http.answer(200, "", list(2, "Gone", server).replace("]}", "," + list(1, "Ready", server)
-                .replaceAll(".*\\[|\\].*", "").replace("\"s127", "\"new127") + "]}"));
+            return Http.answer(
+                    200,
+                    "",
+                    list(2, "Gone", server)
+                            .replace(
+                                    "]}",
+                                    ","
+                                            + list(1, "Ready", server)
+                                                    .replaceAll(".*\\[|\\].*", "")
+                                                    .replace("\"s127", "\"new127")
+                                            + "]}"));
         };
         for (Socket socket : discovery.connections) {
             socket.close();
@@ -199,14 +237,20 @@
     public void anAnswerCutShortIsNone() throws Exception {
         server.endsBehind = true;
         for (int bytes = 1; bytes < GOOD.length(); bytes++) {
-            assertEquals("cut behind byte " + bytes, 502, order(GOOD.substring(0, bytes)).status());
+            assertEquals(
+                    "cut behind byte " + bytes,
+                    502,
+                    order(GOOD.substring(0, bytes)).status());
         }
         assertEquals(200, order(GOOD).status());
         // A size may begin with zeros, and one cut behind them is not the last.
         String chunked = GOOD.replace("Content-Length: 5", "Transfer-Encoding: chunked")
-            .replace("a map", "02\r\na \r\n003;x=y\r\nmap\r\n0\r\nX-T: y\r\n\r\n");
+                .replace("a map", "02\r\na \r\n003;x=y\r\nmap\r\n0\r\nX-T: y\r\n\r\n");
         for (int bytes = chunked.indexOf("02"); bytes < chunked.length(); bytes++) {
-            assertEquals("cut behind byte " + bytes, 502, order(chunked.substring(0, bytes)).status());
+            assertEquals(
+                    "cut behind byte " + bytes,
+                    502,
+                    order(chunked.substring(0, bytes)).status());
         }
         assertEquals("a map", new String(order(chunked).body(), StandardCharsets.US_ASCII));
     }
--- a/balancer/src/test/java/calicochute/process/ClientEndTest.java
+++ b/balancer/src/test/java/calicochute/process/ClientEndTest.java
@@ -29,7 +29,10 @@
         return VIEW.replace(ID, String.format("%016x", i + 1));
     }
 
-    /** Whatever came behind its request: a client's end is noticed while its answer is owed, and its dispatch taken back. */
+    /**
+     * Whatever came behind its request: a client's end is noticed while its answer is owed, and its dispatch taken
+     * back.
+     */
     @Test
     public void bytesBehindARequestDontHideTheEnd() throws Exception {
         holdAnswers();
@@ -49,8 +52,10 @@
                     // Its end in the same moment as its bytes, and one that reads on: it has gone all the same.
                     socket.shutdownOutput();
                 }
-                await("gone behind " + bytes.length() + " bytes, reset " + reset,
-                    () -> program.counter("sessions_client_gone") == sent && program.counter("dispatches_cancelled") == sent);
+                await(
+                        "gone behind " + bytes.length() + " bytes, reset " + reset,
+                        () -> program.counter("sessions_client_gone") == sent
+                                && program.counter("dispatches_cancelled") == sent);
                 socket.close();
                 gone++;
             }
@@ -93,11 +98,15 @@
         assertEquals(1, program.counter("clients_closed_flooding"));
     }
 
-    /** Bytes that nobody reads don't reset the connection under its answer: it arrives, and the connection ends behind it. */
+    /**
+     * Bytes that nobody reads don't reset the connection under its answer: it arrives, and the connection ends behind
+     * it.
+     */
     @Test
     public void anAnswerOutlivesBytesBehindItsRequest() throws Exception {
         holdAnswers();
-        try (Socket socket = program.connect(); Socket tooLong = program.connect()) {
+        try (Socket socket = program.connect();
+                Socket tooLong = program.connect()) {
             socket.getOutputStream().write((VIEW + named(7).repeat(500)).getBytes(StandardCharsets.US_ASCII));
             await("dispatched", () -> server.requests.size() == 1);
             release.countDown();
@@ -106,7 +115,9 @@
             assertEquals(200, Http.read(socket.getInputStream()).status());
             assertEquals("the end, and no reset", -1, socket.getInputStream().read());
             // Refused at its head, while the body comes on.
-            tooLong.getOutputStream().write((session(ID, "scan") + "Content-Length: 60000000\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            tooLong.getOutputStream()
+                    .write((session(ID, "scan") + "Content-Length: 60000000\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             tooLong.getOutputStream().write(new byte[300_000]);
             assertEquals(413, Http.read(tooLong.getInputStream()).status());
             assertEquals("the end, and no reset", -1, tooLong.getInputStream().read());
--- a/balancer/src/test/java/calicochute/process/ClientGoneTest.java
+++ b/balancer/src/test/java/calicochute/process/ClientGoneTest.java
@@ -16,8 +16,11 @@
 public class ClientGoneTest extends OneServer {
     @Override
     Program program() throws Exception {
-        return Program.edited(c -> c.replace("\"cancel\":true", "\"cancel\":false")
-            .replace("\"connect_timeout\":500000", "\"connect_timeout\":8000000"), discovery, server);
+        return Program.edited(
+                c -> c.replace("\"cancel\":true", "\"cancel\":false")
+                        .replace("\"connect_timeout\":500000", "\"connect_timeout\":8000000"),
+                discovery,
+                server);
     }
 
     private interface Work {
@@ -34,9 +37,13 @@
                 queue.add(new Socket(full.getInetAddress(), full.getLocalPort()));
             }
             String address = "127.0.0.1:" + full.getLocalPort();
-            program = Program.edited(c -> edit.apply(c).replace("\"cancel\":true", "\"cancel\":false")
-                .replace("\"connect_timeout\":500000", "\"connect_timeout\":8000000").replace(server.address(), address),
-                discovery, server);
+            program = Program.edited(
+                    c -> edit.apply(c)
+                            .replace("\"cancel\":true", "\"cancel\":false")
+                            .replace("\"connect_timeout\":500000", "\"connect_timeout\":8000000")
+                            .replace(server.address(), address),
+                    discovery,
+                    server);
             work.run();
         } finally {
             for (Socket socket : queue) {
@@ -70,14 +77,18 @@
                     for (boolean reset : List.of(false, true)) {
                         String id = String.format("%016x", gone + 1);
                         try (Socket client = program.connect()) {
-                            client.getOutputStream().write((session(id, "order") + "Content-Length: " + length + "\r\n\r\n").getBytes());
+                            client.getOutputStream()
+                                    .write((session(id, "order") + "Content-Length: " + length + "\r\n\r\n")
+                                            .getBytes());
                             client.getOutputStream().write(new byte[sent]);
                             int taken = gone + 1;
                             await("taken", () -> program.counter("sessions_taken") == taken);
                             client.setSoLinger(reset, 0);
                         }
                         int ended = ++gone;
-                        await("noticed " + sent + " of " + length + ", reset " + reset, () -> program.counter("sessions_client_gone") == ended);
+                        await(
+                                "noticed " + sent + " of " + length + ", reset " + reset,
+                                () -> program.counter("sessions_client_gone") == ended);
                         await("held back", () -> program.counter("dispatches_held_back") == ended);
                     }
                 }
@@ -94,7 +105,9 @@
             for (int i = 0; i < 12; i++) {
                 Socket client = program.connect();
                 clients.add(client);
-                client.getOutputStream().write((session(String.format("%016x", i), "order") + "Content-Length: 150000\r\n\r\n").getBytes());
+                client.getOutputStream()
+                        .write((session(String.format("%016x", i), "order") + "Content-Length: 150000\r\n\r\n")
+                                .getBytes());
                 client.getOutputStream().write(new byte[150_000]);
             }
             await("taken", () -> program.counter("sessions_taken") == clients.size());
--- a/balancer/src/test/java/calicochute/process/CustomerSettingsTest.java
+++ b/balancer/src/test/java/calicochute/process/CustomerSettingsTest.java
@@ -13,7 +13,9 @@
 import java.util.function.UnaryOperator;
 import org.junit.Test;
 
-/** Settings of customers who are not alike, in the real process: it starts, each session has one answer, and it stops. */
+/**
+ * Settings of customers who are not alike, in the real process: it starts, each session has one answer, and it stops.
+ */
 public class CustomerSettingsTest {
     private static final int SESSIONS = 24;
     private final CountDownLatch release = new CountDownLatch(1);
@@ -21,21 +23,23 @@
 
     private String next(String lane, int remainingMs) {
         return session(String.format("%016x", ids.incrementAndGet()), lane).replace(": 8000", ": " + remainingMs)
-            + (lane.startsWith("c") ? "Idempotency-Key: k" + ids + "\r\n" : "");
+                + (lane.startsWith("c") ? "Idempotency-Key: k" + ids + "\r\n" : "");
     }
 
     private void serves(UnaryOperator<String> settings, int remainingMs, String... lanes) throws Exception {
         AtomicInteger taken = new AtomicInteger();
-        try (Peer discovery = Peer.silent(release); Peer server = new Peer(r -> {
-            if (taken.incrementAndGet() % 3 == 0) {
-                release.await();
-            }
-            return Http.answer(200, "", "a map");
-        })) {
+        try (Peer discovery = Peer.silent(release);
+                Peer server = new Peer(r -> {
+                    if (taken.incrementAndGet() % 3 == 0) {
+                        release.await();
+                    }
+                    return Http.answer(200, "", "a map");
+                })) {
             Program program = Program.edited(settings, discovery, server);
             Set<Integer> statuses = new TreeSet<>();
             for (int i = 0; i < SESSIONS; i++) {
-                statuses.add(program.send(next(lanes[i % lanes.length], remainingMs), new byte[0]).status());
+                statuses.add(program.send(next(lanes[i % lanes.length], remainingMs), new byte[0])
+                        .status());
             }
             assertTrue(statuses.toString(), Set.of(200, 502, 503, 504).containsAll(statuses));
             assertEquals(SESSIONS, program.counter("sessions_taken"));
@@ -55,14 +59,22 @@
     /** One class, no tenants, all times short or none, nothing that may be done twice or withdrawn. */
     @Test
     public void smallAndShort() throws Exception {
-        serves(c -> c.replaceAll("\"accounts\":\\[.*?\\],", "")
-            .replaceAll("(?s)\"classes\":\\[.*\\],", "\"classes\":[{\"name\":\"order\",\"deadline\":80000}],")
-            .replace("\"conn_idle\":30000000", "\"conn_idle\":1").replace("\"connect_timeout\":500000", "\"connect_timeout\":10000000")
-            .replace("\"max_attempts\":3", "\"max_attempts\":1").replace("\"max_open\":20000", "\"max_open\":1")
-            .replace("\"retry_after\":true", "\"retry_after\":false").replace("\"cancel\":true", "\"cancel\":false")
-            .replace("\"warm_up\":1000", "\"warm_up\":0").replace("\"fall\":3000000", "\"fall\":0")
-            .replace("\"ask_every\":1000000", "\"ask_every\":1")
-            .replace("\"tick\":5000", "\"tick\":1"), 80, "order");
+        serves(
+                c -> c.replaceAll("\"accounts\":\\[.*?\\],", "")
+                        .replaceAll(
+                                "(?s)\"classes\":\\[.*\\],", "\"classes\":[{\"name\":\"order\",\"deadline\":80000}],")
+                        .replace("\"conn_idle\":30000000", "\"conn_idle\":1")
+                        .replace("\"connect_timeout\":500000", "\"connect_timeout\":10000000")
+                        .replace("\"max_attempts\":3", "\"max_attempts\":1")
+                        .replace("\"max_open\":20000", "\"max_open\":1")
+                        .replace("\"retry_after\":true", "\"retry_after\":false")
+                        .replace("\"cancel\":true", "\"cancel\":false")
+                        .replace("\"warm_up\":1000", "\"warm_up\":0")
+                        .replace("\"fall\":3000000", "\"fall\":0")
+                        .replace("\"ask_every\":1000000", "\"ask_every\":1")
+                        .replace("\"tick\":5000", "\"tick\":1"),
+                80,
+                "order");
     }
 
     /** Thirty classes, twenty tenants, and times that never end. */
@@ -71,27 +83,44 @@
         StringBuilder classes = new StringBuilder();
         StringBuilder tenants = new StringBuilder("{\"name\":\"library\",\"portion\":0.0,\"allowance_per_s\":0.0}");
         for (int i = 0; i < 30; i++) {
-            classes.append(i == 0 ? "" : ",").append("{\"name\":\"c").append(i)
-                .append("\",\"deadline\":86400000000,\"effect\":\"by_key\",\"window\":")
-                .append(i * 1000).append(",\"points\":0}");
+            classes.append(i == 0 ? "" : ",")
+                    .append("{\"name\":\"c")
+                    .append(i)
+                    .append("\",\"deadline\":86400000000,\"effect\":\"by_key\",\"window\":")
+                    .append(i * 1000)
+                    .append(",\"points\":0}");
             tenants.append(i < 19 ? ",{\"name\":\"t" + i + "\"}" : "");
         }
-        serves(c -> c.replaceAll("\"accounts\":\\[.*?\\],", "\"accounts\":[" + tenants + "],")
-            .replaceAll("(?s)\"classes\":\\[.*\\],", "\"classes\":[" + classes + "],")
-            .replaceAll("\"(conn_idle|connect_timeout|ask_every|warm_up|fall|tick)\":\\d+", "\"$1\":576460752303423487")
-            .replace("\"max_attempts\":3", "\"max_attempts\":1000"), 300, "c0", "c1", "c15", "c29");
+        serves(
+                c -> c.replaceAll("\"accounts\":\\[.*?\\],", "\"accounts\":[" + tenants + "],")
+                        .replaceAll("(?s)\"classes\":\\[.*\\],", "\"classes\":[" + classes + "],")
+                        .replaceAll(
+                                "\"(conn_idle|connect_timeout|ask_every|warm_up|fall|tick)\":\\d+",
+                                "\"$1\":576460752303423487")
+                        .replace("\"max_attempts\":3", "\"max_attempts\":1000"),
+                300,
+                "c0",
+                "c1",
+                "c15",
+                "c29");
     }
 
     /** 256 descriptors and 32 MB, the smallest that a platform gives. */
     @Test
     public void fewDescriptorsAndLittleMemory() throws Exception {
-        serves(c -> c.replace("\"memory_mb\":128,\"sockets\":1024", "\"memory_mb\":32,\"sockets\":256"), 300, "view", "order", "scan");
+        serves(
+                c -> c.replace("\"memory_mb\":128,\"sockets\":1024", "\"memory_mb\":32,\"sockets\":256"),
+                300,
+                "view",
+                "order",
+                "scan");
     }
 
     /** Of a client's few milliseconds a quarter is kept for the answer's way, not more than there are. */
     @Test
     public void littleTimeIsNotNone() throws Exception {
-        try (Peer discovery = Peer.silent(release); Peer server = new Peer(r -> Http.answer(200, "", "a map"))) {
+        try (Peer discovery = Peer.silent(release);
+                Peer server = new Peer(r -> Http.answer(200, "", "a map"))) {
             Program program = new Program(discovery, server);
             await("one of them is sent on", () -> {
                 program.send(next("view", 14));
--- a/balancer/src/test/java/calicochute/process/DiscoveryCrossingsTest.java
+++ b/balancer/src/test/java/calicochute/process/DiscoveryCrossingsTest.java
@@ -16,7 +16,10 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** Calls to discovery that cross each other: {@code WatchClockTest} says when each goes out, and here is what becomes of them. */
+/**
+ * Calls to discovery that cross each other: {@code WatchClockTest} says when each goes out, and here is what becomes of
+ * them.
+ */
 public class DiscoveryCrossingsTest {
     private final CountDownLatch release = new CountDownLatch(1);
     private final CountDownLatch crossed = new CountDownLatch(1);
@@ -41,13 +44,15 @@
     /** Discovery whose calls are numbered from 1, until the news is held: then it has nothing to tell. */
     private Peer numbered(Numbered script) throws Exception {
         Peer[] self = new Peer[1];
-        self[0] = new Peer(r -> r.firstLine().contains("since=9&") ? nothing(r) : script.answer(self[0].requests.size(), r));
+        self[0] = new Peer(
+                r -> r.firstLine().contains("since=9&") ? nothing(r) : script.answer(self[0].requests.size(), r));
         return self[0];
     }
 
     /** As discovery does with nothing to tell: its answer comes at the end of the wait. */
     private byte[] nothing(Http request) throws Exception {
-        release.await(Long.parseLong(request.firstLine().replaceAll(".*timeout_ms=(\\d+).*", "$1")), TimeUnit.MILLISECONDS);
+        release.await(
+                Long.parseLong(request.firstLine().replaceAll(".*timeout_ms=(\\d+).*", "$1")), TimeUnit.MILLISECONDS);
         return Http.answer(200, "", "{\"generation\":9,\"reset\":false,\"instances\":[]}");
     }
 
@@ -78,8 +83,8 @@
     }
 
     /**
-     * The third call goes out while the second may still have its turn; the first, given up just then, answers too late and
-     * is not missed: the third has asked from the same generation.
+     * The third call goes out while the second may still have its turn; the first, given up just then, answers too late
+     * and is not missed: the third has asked from the same generation.
      */
     @Test
     public void twoSilencesInARowAndAnAnswerThatIsGivenUp() throws Exception {
@@ -101,7 +106,10 @@
         assertTrue("the second is let go", Program.ended(discovery.connections.get(1)));
     }
 
-    /** A call that counts as silent keeps its turn: its answer is taken, the watch goes on there, and the second call ends. */
+    /**
+     * A call that counts as silent keeps its turn: its answer is taken, the watch goes on there, and the second call
+     * ends.
+     */
     @Test
     public void aLateAnswerIsTaken() throws Exception {
         run((number, r) -> {
@@ -133,18 +141,26 @@
         await("a silence and a reset", () -> program.counter("discovery_failures") >= 2);
         assertFalse(program.log().contains("generation=9"));
         discovery.connections.get(0).setSoTimeout(50);
-        assertThrows("the silent one keeps its turn", SocketTimeoutException.class,
-            () -> discovery.connections.get(0).getInputStream().read());
+        assertThrows(
+                "the silent one keeps its turn",
+                SocketTimeoutException.class,
+                () -> discovery.connections.get(0).getInputStream().read());
         discovery.mostConnections = Integer.MAX_VALUE;
         told();
         assertTrue("the silent one is let go", Program.ended(discovery.connections.get(0)));
     }
 
-    /** What can't be read, a refusal in words and an older word, one behind the other: the list held stays, and the good one comes. */
+    /**
+     * What can't be read, a refusal in words and an older word, one behind the other: the list held stays, and the good
+     * one comes.
+     */
     @Test
     public void whatIsNoListAndThenOne() throws Exception {
-        List<byte[]> bad = List.of(Http.answer(200, "", "{\"generation\":9"), Http.answer(200, "", list(9, "Later", server)),
-            Http.answer(503, "", ""), Http.answer(200, "", list(1, "Terminating", server).replace("true", "false")));
+        List<byte[]> bad = List.of(
+                Http.answer(200, "", "{\"generation\":9"),
+                Http.answer(200, "", list(9, "Later", server)),
+                Http.answer(503, "", ""),
+                Http.answer(200, "", list(1, "Terminating", server).replace("true", "false")));
         run((number, r) -> number == 1 ? first() : number <= 5 ? bad.get(number - 2) : news());
         told();
         assertEquals(4, program.counter("discovery_failures"));
@@ -153,7 +169,10 @@
         assertTrue(discovery.requests.get(5).firstLine().contains("since=2&"));
     }
 
-    /** SIGHUP in an outage: asked at the new address from the version held, and a first call that hangs there keeps its turn. */
+    /**
+     * SIGHUP in an outage: asked at the new address from the version held, and a first call that hangs there keeps its
+     * turn.
+     */
     @Test
     public void aMoveInAnOutageAndAFirstCallThatHangs() throws Exception {
         run((number, r) -> number == 1 ? first() : silence());
@@ -169,7 +188,8 @@
             crossed.countDown();
             return silence();
         });
-        Files.writeString(program.config, Files.readString(program.config).replace(down.address(), discovery.address()));
+        Files.writeString(
+                program.config, Files.readString(program.config).replace(down.address(), discovery.address()));
         program.signal("HUP");
         told();
         assertTrue(discovery.requests.get(0).firstLine().contains("since=2&"));
--- a/balancer/src/test/java/calicochute/process/EarlyStopTest.java
+++ b/balancer/src/test/java/calicochute/process/EarlyStopTest.java
@@ -32,7 +32,8 @@
     @Test
     public void whatIsTakenRightAfterTheStartIsAnswered() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        try (Peer discovery = Peer.silent(release); Peer server = new Peer(r -> Http.answer(200, "", "a map"))) {
+        try (Peer discovery = Peer.silent(release);
+                Peer server = new Peer(r -> Http.answer(200, "", "a map"))) {
             for (int round = 0; round < ROUNDS; round++) {
                 int port = Program.freePort();
                 Path config = Files.createTempFile("calicochute", ".json");
@@ -42,7 +43,8 @@
                 try (Socket socket = connected(port)) {
                     process.destroy();
                     socket.setSoTimeout(30_000);
-                    socket.getOutputStream().write(Http.message(Program.session(String.format("%016x", round), "view"), new byte[0]));
+                    socket.getOutputStream()
+                            .write(Http.message(Program.session(String.format("%016x", round), "view"), new byte[0]));
                     Http answer = Http.read(socket.getInputStream());
                     assertNotNull("round " + round + ": " + Files.readString(log), answer);
                     assertEquals(200, answer.status());
--- a/balancer/src/test/java/calicochute/process/Http.java
+++ b/balancer/src/test/java/calicochute/process/Http.java
@@ -59,7 +59,7 @@
 
     static byte[] message(String head, byte[] body) {
         byte[] start = (head + (head.startsWith("GET") ? "" : "Content-Length: " + body.length + "\r\n") + "\r\n")
-            .getBytes(StandardCharsets.ISO_8859_1);
+                .getBytes(StandardCharsets.ISO_8859_1);
         byte[] all = java.util.Arrays.copyOf(start, start.length + body.length);
         System.arraycopy(body, 0, all, start.length, body.length);
         return all;
--- a/balancer/src/test/java/calicochute/process/OneServer.java
+++ b/balancer/src/test/java/calicochute/process/OneServer.java
@@ -9,6 +9,7 @@
     static final String ID = "9b1f03aa5c7e2d41";
     /** Lets go whatever a script holds back; at the end all of it. */
     final CountDownLatch release = new CountDownLatch(1);
+
     Peer discovery;
     Peer server;
     Program program;
--- a/balancer/src/test/java/calicochute/process/Peer.java
+++ b/balancer/src/test/java/calicochute/process/Peer.java
@@ -19,11 +19,13 @@
     final List<Socket> connections = new CopyOnWriteArrayList<>();
     /** Connections that the program ended. */
     final List<Socket> ended = new CopyOnWriteArrayList<>();
+
     volatile Script script;
     /** Connections beyond this many are ended as they come up. */
     volatile int mostConnections = Integer.MAX_VALUE;
     /** Each connection is ended behind its first answer, whether that is whole or not. */
     volatile boolean endsBehind;
+
     private final ServerSocket listener;
 
     Peer(Script script) throws IOException {
@@ -57,8 +59,9 @@
 
     private void serve(Socket socket) throws Exception {
         try (socket) {
-            for (Http request = Http.read(socket.getInputStream()); request != null;
-                 request = Http.read(socket.getInputStream())) {
+            for (Http request = Http.read(socket.getInputStream());
+                    request != null;
+                    request = Http.read(socket.getInputStream())) {
                 requests.add(request);
                 byte[] answer = script.answer(request);
                 if (answer == null) {
--- a/balancer/src/test/java/calicochute/process/PiecesTest.java
+++ b/balancer/src/test/java/calicochute/process/PiecesTest.java
@@ -65,7 +65,10 @@
             socket.getOutputStream().write(chunked(session(ID, "order"), body, 5003));
             assertArrayEquals(body, Http.read(socket.getInputStream()).body());
             socket.getOutputStream().write(Http.message(session(ID, "order"), new byte[3]));
-            assertEquals("the connection goes on", 3, Http.read(socket.getInputStream()).body().length);
+            assertEquals(
+                    "the connection goes on",
+                    3,
+                    Http.read(socket.getInputStream()).body().length);
         }
         await("counted at the last byte", () -> program.figure("completed.order") == 2);
         assertEquals(0, program.figure("pending"));
@@ -79,7 +82,7 @@
         try (Socket socket = program.connect()) {
             socket.setTcpNoDelay(true);
             for (byte b : ("\r\n" + new String(chunked(session(ID, "order"), body, 9), StandardCharsets.ISO_8859_1))
-                .getBytes(StandardCharsets.ISO_8859_1)) {
+                    .getBytes(StandardCharsets.ISO_8859_1)) {
                 socket.getOutputStream().write(b);
                 socket.getOutputStream().flush();
             }
@@ -88,7 +91,10 @@
         assertArrayEquals(body, server.requests.get(0).body());
     }
 
-    /** An answer without a length ends with the connection's end, and not with its reset, however much has come before that. */
+    /**
+     * An answer without a length ends with the connection's end, and not with its reset, however much has come before
+     * that.
+     */
     @Test
     public void aResetIsNoEndOfAnAnswerWithoutALength() throws Exception {
         BlockingQueue<Socket> called = new LinkedBlockingQueue<>();
@@ -110,22 +116,25 @@
         try {
             while (true) {
                 Socket socket = listener.accept();
-                CompletableFuture.runAsync(() -> {
-                    try {
-                        if (Http.read(socket.getInputStream()) != null) {
-                            called.add(socket);
-                        }
-                    } catch (IOException e) {
-                        // The program ended it.
-                    }
-                }, task -> new Thread(task).start());
+                CompletableFuture.runAsync(
+                        () -> {
+                            try {
+                                if (Http.read(socket.getInputStream()) != null) {
+                                    called.add(socket);
+                                }
+                            } catch (IOException e) {
+                                // The program ended it.
+                            }
+                        },
+                        task -> new Thread(task).start());
             }
         } catch (IOException e) {
             // The test is over.
         }
     }
 
-    private void checkUntoldLength(BlockingQueue<Socket> called, int bytes, boolean reset, boolean together) throws Exception {
+    private void checkUntoldLength(BlockingQueue<Socket> called, int bytes, boolean reset, boolean together)
+            throws Exception {
         try (Socket client = program.connect()) {
             client.getOutputStream().write(Http.message(session(ID, "order"), new byte[1]));
             Socket socket = called.poll(30, TimeUnit.SECONDS);
@@ -171,10 +180,12 @@
     public void theFirstPiecesAreNotHeldBack() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Socket client = restartBefore(listener);
-            try (client; Socket socket = listener.accept()) {
+            try (client;
+                    Socket socket = listener.accept()) {
                 Http.read(socket.getInputStream());
-                socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n")
-                    .getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream()
+                        .write(("HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n")
+                                .getBytes(StandardCharsets.ISO_8859_1));
                 socket.getOutputStream().write(new byte[1000]);
                 InputStream in = client.getInputStream();
                 byte[] first = in.readNBytes(1000);
@@ -192,15 +203,20 @@
         assertEquals(0, program.figure("pending"));
     }
 
-    /** A server that hangs in the midst of a long answer: a planned stop cuts it, where the client can tell, and leaves it to no kill. */
+    /**
+     * A server that hangs in the midst of a long answer: a planned stop cuts it, where the client can tell, and leaves
+     * it to no kill.
+     */
     @Test
     public void aStopEndsAnAnswerThatHangs() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Socket client = restartBefore(listener);
-            try (client; Socket socket = listener.accept()) {
+            try (client;
+                    Socket socket = listener.accept()) {
                 Http.read(socket.getInputStream());
-                socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n")
-                    .getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream()
+                        .write(("HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n")
+                                .getBytes(StandardCharsets.ISO_8859_1));
                 socket.getOutputStream().write(new byte[1000]);
                 assertEquals(1000, client.getInputStream().readNBytes(1000).length);
                 program.process.destroy();
@@ -208,22 +224,30 @@
             }
         }
         assertTrue(program.process.waitFor(30, TimeUnit.SECONDS));
-        assertTrue(program.log(), program.log().contains("sessions_ended_by_stop 1") && program.log().contains("answers_cut 0"));
+        assertTrue(
+                program.log(),
+                program.log().contains("sessions_ended_by_stop 1")
+                        && program.log().contains("answers_cut 0"));
         assertTrue(program.log(), program.log().contains("drained unanswered=0"));
     }
 
-    /** A client that reads its long answer slowly, or not at all: a planned stop cuts it as well, and ends by itself. */
+    /**
+     * A client that reads its long answer slowly, or not at all: a planned stop cuts it as well, and ends by itself.
+     */
     @Test
     public void aStopEndsAnAnswerThatIsNotTaken() throws Exception {
         // Many times what the systems' buffers take.
         byte[] body = random(30_000_000);
         server.script = r -> r.firstLine().contains("untold")
-            ? ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(body.length) + "\r\n"
-                + new String(body, StandardCharsets.ISO_8859_1) + "\r\n0\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1)
-            : Http.message("HTTP/1.1 200 OK\r\n", body);
-        try (Socket slow = program.connect(); Socket untold = program.connect()) {
+                ? ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(body.length) + "\r\n"
+                                + new String(body, StandardCharsets.ISO_8859_1) + "\r\n0\r\n\r\n")
+                        .getBytes(StandardCharsets.ISO_8859_1)
+                : Http.message("HTTP/1.1 200 OK\r\n", body);
+        try (Socket slow = program.connect();
+                Socket untold = program.connect()) {
             slow.getOutputStream().write(Http.message(session(ID, "view"), new byte[0]));
-            untold.getOutputStream().write(Http.message(session(ID.replace('9', '7'), "view").replace("/api", "/untold"), new byte[0]));
+            untold.getOutputStream()
+                    .write(Http.message(session(ID.replace('9', '7'), "view").replace("/api", "/untold"), new byte[0]));
             await("both have begun", () -> program.counter("answers_in_pieces") == 2);
             program.process.destroy();
             await("drains", () -> program.log().contains("draining"));
@@ -232,7 +256,10 @@
                 assertTrue(slow.getInputStream().read() >= 0);
             }
             assertTrue(program.log(), program.log().contains("drained unanswered=0"));
-            assertTrue(program.log(), program.log().contains("sessions_ended_by_stop 2") && program.log().contains("sessions_failed 2"));
+            assertTrue(
+                    program.log(),
+                    program.log().contains("sessions_ended_by_stop 2")
+                            && program.log().contains("sessions_failed 2"));
             assertEquals(0, program.process.exitValue());
             assertTrue("cut where the client can tell", slow.getInputStream().readAllBytes().length < body.length);
             String got = new String(untold.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -253,8 +280,9 @@
     @Test
     public void aClientThatGoesAwayHasRunNothing() throws Exception {
         try (Socket socket = program.connect()) {
-            socket.getOutputStream().write((session(ID, "order") + "Content-Length: " + LONG + "\r\n\r\n")
-                .getBytes(StandardCharsets.ISO_8859_1));
+            socket.getOutputStream()
+                    .write((session(ID, "order") + "Content-Length: " + LONG + "\r\n\r\n")
+                            .getBytes(StandardCharsets.ISO_8859_1));
             socket.getOutputStream().write(new byte[LONG - 1]);
         }
         await("the dispatch has ended", () -> program.counter("dispatches_cancelled") == 1);
@@ -264,17 +292,20 @@
     }
 
     /**
-     * A server that breaks off before the last byte has run nothing, but what it was given is gone: a deny, and the client
-     * gets to read it though it still writes.
+     * A server that breaks off before the last byte has run nothing, but what it was given is gone: a deny, and the
+     * client gets to read it though it still writes.
      */
     @Test
     public void aBrokenUploadIsADeny() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Socket first = restartBefore(listener);
-            try (first; Socket socket = listener.accept(); Socket client = program.connect()) {
+            try (first;
+                    Socket socket = listener.accept();
+                    Socket client = program.connect()) {
                 Http.read(socket.getInputStream());
-                client.getOutputStream().write((session(ID.replace('9', '7'), "order") + "Content-Length: " + LONG + "\r\n\r\n")
-                    .getBytes(StandardCharsets.ISO_8859_1));
+                client.getOutputStream()
+                        .write((session(ID.replace('9', '7'), "order") + "Content-Length: " + LONG + "\r\n\r\n")
+                                .getBytes(StandardCharsets.ISO_8859_1));
                 client.getOutputStream().write(new byte[200_000]);
                 Socket upload = listener.accept();
                 assertTrue(upload.getInputStream().readNBytes(100_000).length == 100_000);
@@ -307,7 +338,8 @@
         for (Socket client : clients) {
             whole.add(CompletableFuture.supplyAsync(() -> {
                 try (client) {
-                    return Arrays.equals(body, Http.read(client.getInputStream()).body());
+                    return Arrays.equals(
+                            body, Http.read(client.getInputStream()).body());
                 } catch (IOException e) {
                     return false;
                 }
@@ -324,7 +356,8 @@
     public void aBodyThatStandsStillIsEnded() throws Exception {
         try (Socket socket = program.connect()) {
             OutputStream out = socket.getOutputStream();
-            out.write((session(ID, "order") + "Content-Length: " + LONG + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
+            out.write((session(ID, "order") + "Content-Length: " + LONG + "\r\n\r\n")
+                    .getBytes(StandardCharsets.ISO_8859_1));
             out.write(new byte[200_000]);
             assertTrue(Program.ended(socket));
         }
--- a/balancer/src/test/java/calicochute/process/Platform.java
+++ b/balancer/src/test/java/calicochute/process/Platform.java
@@ -13,8 +13,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A platform that holds the clients' listening socket and starts versions of the program beside each other, with one folder
- * between them. Perl holds the socket, since Java can't pass one on as descriptor 0.
+ * A platform that holds the clients' listening socket and starts versions of the program beside each other, with one
+ * folder between them. Perl holds the socket, since Java can't pass one on as descriptor 0.
  */
 final class Platform {
     private static final String HOLD = """
@@ -52,8 +52,10 @@
         Files.createDirectory(folder.resolve("tmp"));
         List<String> command = new ArrayList<>(List.of("perl", "-e", HOLD, folder.toString()));
         command.addAll(Program.command("serve", "--config"));
-        holder = new ProcessBuilder(command).redirectErrorStream(true)
-            .redirectOutput(folder.resolve("holder").toFile()).start();
+        holder = new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(folder.resolve("holder").toFile())
+                .start();
         Program.await("the socket is held", () -> Files.exists(folder.resolve("port")));
         port = Integer.parseInt(Files.readString(folder.resolve("port")));
     }
@@ -70,16 +72,22 @@
     /** With a configuration changed before. */
     int start(UnaryOperator<String> edit, int admin, Peer discovery, Peer... servers) throws Exception {
         int n = started++;
-        Files.writeString(folder.resolve("config" + n), edit.apply(Program.configuration(port, admin, 1024, discovery, servers)));
+        Files.writeString(
+                folder.resolve("config" + n), edit.apply(Program.configuration(port, admin, 1024, discovery, servers)));
         Files.createFile(folder.resolve("start" + n));
         Program.await("it runs", () -> Files.exists(folder.resolve("pid" + n)));
         pids.add(Long.parseLong(Files.readString(folder.resolve("pid" + n))));
-        Program.await("it can serve", () -> Program.admin(admin, "GET health", "").status() == 200);
+        Program.await(
+                "it can serve", () -> Program.admin(admin, "GET health", "").status() == 200);
         return n;
     }
 
     void signal(int n, String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, pids.get(n).toString()).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, pids.get(n).toString())
+                        .start()
+                        .waitFor());
     }
 
     boolean ended(int n) {
--- a/balancer/src/test/java/calicochute/process/Program.java
+++ b/balancer/src/test/java/calicochute/process/Program.java
@@ -37,6 +37,7 @@
     final int port;
     /** The second address's port, or 0. */
     final int admin;
+
     final Path config;
     private final Path log;
 
@@ -76,7 +77,8 @@
 
     /** With a second address and no larger heap. */
     static Program withHeap(String heap, Peer discovery, Peer... servers) throws Exception {
-        return new Program("export JAVA_TOOL_OPTIONS=-Xmx" + heap + "; ", 1024, freePort(), discovery, addresses(servers));
+        return new Program(
+                "export JAVA_TOOL_OPTIONS=-Xmx" + heap + "; ", 1024, freePort(), discovery, addresses(servers));
     }
 
     /** With a configuration changed before the start. */
@@ -110,7 +112,8 @@
             await("ready", () -> {
                 assertTrue("ended at its start: " + log(), process.isAlive());
                 // Its own word, and not only that of whoever answers at its port: that comes before the start is over.
-                return log().contains(" INFO serving ") && send("GET /ready HTTP/1.1\r\nHost: a\r\n").status() == 200;
+                return log().contains(" INFO serving ")
+                        && send("GET /ready HTTP/1.1\r\nHost: a\r\n").status() == 200;
             });
             serves = true;
         } finally {
@@ -126,16 +129,22 @@
     }
 
     private static String configuration(int port, int admin, int sockets, Peer discovery, String... servers) {
-        return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + port + "\"," + (admin == 0 ? ""
-            : "\"admin_addr\":\"127.0.0.1:" + admin + "\",") + "\"discovery\":\"" + discovery.address()
-            + "\",\"seed\":\"2a\",\"limits\":{\"cores\":1.0,\"memory_mb\":128,\"sockets\":" + sockets + "},\"known\":"
-            + list(1, "Ready", servers) + ",\"settings\":" + SETTINGS + "}";
+        return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + port + "\","
+                + (admin == 0 ? "" : "\"admin_addr\":\"127.0.0.1:" + admin + "\",") + "\"discovery\":\""
+                + discovery.address()
+                + "\",\"seed\":\"2a\",\"limits\":{\"cores\":1.0,\"memory_mb\":128,\"sockets\":" + sockets
+                + "},\"known\":"
+                + list(1, "Ready", servers) + ",\"settings\":" + SETTINGS + "}";
     }
 
     /** The command that starts the program, as built and with assertions on. */
     static List<String> command(String... arguments) throws IOException {
-        List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java", "-ea", "-cp", PackedClasses.path(),
-            "calicochute.cli.Main"));
+        List<String> command = new ArrayList<>(List.of(
+                System.getProperty("java.home") + "/bin/java",
+                "-ea",
+                "-cp",
+                PackedClasses.path(),
+                "calicochute.cli.Main"));
         command.addAll(List.of(arguments));
         return command;
     }
@@ -148,7 +157,10 @@
     private static Process start(String shell, Path log, String... arguments) throws IOException {
         List<String> command = command(arguments);
         command.addAll(0, List.of("sh", "-c", shell + "exec \"$@\"", "sh"));
-        Process started = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(new File(log.toString())).start();
+        Process started = new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(new File(log.toString()))
+                .start();
         // Guards against a program that outlives its tests and calls a port that is another test's by then.
         Thread end = new Thread(started::destroyForcibly);
         Runtime.getRuntime().addShutdownHook(end);
@@ -171,12 +183,18 @@
     static String list(int generation, String lifecycle, String... servers) {
         StringBuilder entries = new StringBuilder();
         for (String server : servers) {
-            entries.append(entries.isEmpty() ? "" : ",").append("{\"instanceId\":\"s").append(server)
-                .append("\",\"hostPort\":\"").append(server).append("\",\"zone\":\"a\",\"cell\":0,")
-                .append("\"lifecycle\":\"").append(lifecycle).append("\",\"weight\":1.0,\"startedAtMs\":0}");
+            entries.append(entries.isEmpty() ? "" : ",")
+                    .append("{\"instanceId\":\"s")
+                    .append(server)
+                    .append("\",\"hostPort\":\"")
+                    .append(server)
+                    .append("\",\"zone\":\"a\",\"cell\":0,")
+                    .append("\"lifecycle\":\"")
+                    .append(lifecycle)
+                    .append("\",\"weight\":1.0,\"startedAtMs\":0}");
         }
         return "{\"generation\":" + generation + ",\"reset\":" + (generation == 1) + ",\"instances\":[" + entries
-            + "]}";
+                + "]}";
     }
 
     static void await(String what, Callable<Boolean> condition) throws Exception {
@@ -197,8 +215,8 @@
     /** The head of a session of a class, ready for {@link #send}. */
     static String session(String id, String lane) {
         return (lane.equals("view") ? "GET" : "POST") + " /api?q=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: " + id
-            + "\r\nX-Lane: " + lane + "\r\nX-Org: library\r\nX-Remaining-Ms: 8000\r\n"
-            + (lane.equals("scan") ? "Idempotency-Key: k1\r\n" : "");
+                + "\r\nX-Lane: " + lane + "\r\nX-Org: library\r\nX-Remaining-Ms: 8000\r\n"
+                + (lane.equals("scan") ? "Idempotency-Key: k1\r\n" : "");
     }
 
     Socket connect() throws IOException {
@@ -230,8 +248,10 @@
     static Http admin(int port, String call, String body) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(30_000);
-            socket.getOutputStream().write(Http.message(call.replace(" ", " /admin/") + " HTTP/1.1\r\nHost: a\r\n",
-                body.getBytes(StandardCharsets.UTF_8)));
+            socket.getOutputStream()
+                    .write(Http.message(
+                            call.replace(" ", " /admin/") + " HTTP/1.1\r\nHost: a\r\n",
+                            body.getBytes(StandardCharsets.UTF_8)));
             Http answer = Http.read(socket.getInputStream());
             if (answer == null) {
                 throw new EOFException("no answer");
@@ -277,7 +297,11 @@
     }
 
     void signal(String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     /** Ends the program as a planned restart does, and looks at its last words. */
