--- a/balancer/src/test/java/calicochute/process/ReadyTable.java
+++ b/balancer/src/test/java/calicochute/process/ReadyTable.java
@@ -18,8 +18,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Prints the second table of docs/measurements/cold-fleet-processes.md: how long processes of the program take to be ready that are started
- * together on few cores. Started from the root of the repository, as built: {@code ReadyTable PROCESSES CORES}, such as {@code 24 2,3}.
+ * Prints the second table of docs/measurements/cold-fleet-processes.md: how long processes of the program take to be
+ * ready that are started together on few cores. Started from the root of the repository, as built: {@code ReadyTable
+ * PROCESSES CORES}, such as {@code 24 2,3}.
  */
 final class ReadyTable {
     private static final long WITHIN_MS = 10_000;
@@ -31,7 +32,12 @@
     private final String run;
 
     /** What becomes of calls to discovery. */
-    private enum Calls { ANSWERED, REFUSED, SILENT, SLOW }
+    private enum Calls {
+        ANSWERED,
+        REFUSED,
+        SILENT,
+        SLOW
+    }
 
     private ReadyTable(int processes, String cores) throws IOException {
         this.processes = processes;
@@ -45,9 +51,10 @@
 
     public static void main(String[] args) throws Exception {
         ReadyTable table = new ReadyTable(Integer.parseInt(args[0]), args[1]);
-        System.out.println("| list known at the start | calls to discovery | ready within 10 s "
-            + "| to ready, s: median, nine in ten, last | to the first connection, s: median, last "
-            + "| to the first answer, s: median, last | answered 200, denied, else, broken | load of the machine before |");
+        System.out.println(
+                "| list known at the start | calls to discovery | ready within 10 s "
+                        + "| to ready, s: median, nine in ten, last | to the first connection, s: median, last "
+                        + "| to the first answer, s: median, last | answered 200, denied, else, broken | load of the machine before |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
         for (boolean known : new boolean[] {true, false}) {
             for (Calls calls : Calls.values()) {
@@ -64,7 +71,8 @@
         CountDownLatch release = new CountDownLatch(1);
         List<Started> all = new ArrayList<>();
         try (Peer server = new Peer(r -> Http.answer(200, "", "a map"));
-             Peer discovery = discovery(calls, server, release); Socket none = new Socket()) {
+                Peer discovery = discovery(calls, server, release);
+                Socket none = new Socket()) {
             // Bound and not listening: whoever calls is refused, and nobody else gets the port.
             none.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             String address = calls == Calls.REFUSED ? "127.0.0.1:" + none.getLocalPort() : discovery.address();
@@ -90,25 +98,44 @@
             release.countDown();
             all.forEach(one -> one.process.destroyForcibly());
         }
-        long within = all.stream().filter(one -> one.readyMs >= 0 && one.readyMs <= WITHIN_MS).count();
-        System.out.printf(Locale.ROOT, "| %s | %s | %d of %d | %s, %s, %s | %s, %s | %s, %s | %d, %d, %d, %d | %s |%n",
-            known ? "yes" : "no", calls.name().toLowerCase(Locale.ROOT),
-            within, processes, at(all, 0.5, 'r'), at(all, 0.9, 'r'), at(all, 1, 'r'), at(all, 0.5, 'l'), at(all, 1, 'l'),
-            at(all, 0.5, 'a'), at(all, 1, 'a'),
-            sum(all, 0), sum(all, 1), sum(all, 2), sum(all, 3), load);
+        long within = all.stream()
+                .filter(one -> one.readyMs >= 0 && one.readyMs <= WITHIN_MS)
+                .count();
+        System.out.printf(
+                Locale.ROOT,
+                "| %s | %s | %d of %d | %s, %s, %s | %s, %s | %s, %s | %d, %d, %d, %d | %s |%n",
+                known ? "yes" : "no",
+                calls.name().toLowerCase(Locale.ROOT),
+                within,
+                processes,
+                at(all, 0.5, 'r'),
+                at(all, 0.9, 'r'),
+                at(all, 1, 'r'),
+                at(all, 0.5, 'l'),
+                at(all, 1, 'l'),
+                at(all, 0.5, 'a'),
+                at(all, 1, 'a'),
+                sum(all, 0),
+                sum(all, 1),
+                sum(all, 2),
+                sum(all, 3),
+                load);
     }
 
     private static Peer discovery(Calls calls, Peer server, CountDownLatch release) throws IOException {
-        return calls == Calls.SILENT ? Peer.silent(release) : new Peer(r -> {
-            Thread.sleep(calls == Calls.SLOW ? 2000 : 0);
-            Matcher watch = Pattern.compile("since=2&timeout_ms=(\\d+)").matcher(r.firstLine());
-            if (watch.find()) {
-                // With nothing newer to tell it holds a watch for as long as it is asked to.
-                release.await(Long.parseLong(watch.group(1)), TimeUnit.MILLISECONDS);
-                return Http.answer(200, "", "{\"generation\":2,\"reset\":false,\"instances\":[]}");
-            }
-            return Http.answer(200, "", Program.list(1, "Ready", server).replace("\"generation\":1", "\"generation\":2"));
-        });
+        return calls == Calls.SILENT
+                ? Peer.silent(release)
+                : new Peer(r -> {
+                    Thread.sleep(calls == Calls.SLOW ? 2000 : 0);
+                    Matcher watch = Pattern.compile("since=2&timeout_ms=(\\d+)").matcher(r.firstLine());
+                    if (watch.find()) {
+                        // With nothing newer to tell it holds a watch for as long as it is asked to.
+                        release.await(Long.parseLong(watch.group(1)), TimeUnit.MILLISECONDS);
+                        return Http.answer(200, "", "{\"generation\":2,\"reset\":false,\"instances\":[]}");
+                    }
+                    return Http.answer(
+                            200, "", Program.list(1, "Ready", server).replace("\"generation\":1", "\"generation\":2"));
+                });
     }
 
     private static long sum(List<Started> all, int what) {
@@ -117,24 +144,32 @@
 
     /** The smallest time that this part of the processes kept to, in seconds; a dash where fewer got there. */
     private static String at(List<Started> all, double part, char what) {
-        long[] times = all.stream().mapToLong(one -> what == 'r' ? one.readyMs : what == 'l' ? one.listensMs : one.answeredMs)
-            .map(t -> t < 0 ? Long.MAX_VALUE : t)
-            .sorted().toArray();
+        long[] times = all.stream()
+                .mapToLong(one -> what == 'r' ? one.readyMs : what == 'l' ? one.listensMs : one.answeredMs)
+                .map(t -> t < 0 ? Long.MAX_VALUE : t)
+                .sorted()
+                .toArray();
         long time = times[(int) Math.ceil(part * times.length) - 1];
         return time == Long.MAX_VALUE ? "-" : String.format(Locale.ROOT, "%.2f", time / 1e3);
     }
 
     /** One process, who asks whether it is ready, and a client that is there before it. */
     private final class Started {
-        /** An address that no connection comes from: else one could take the port before the process has it, or meet itself there. */
+        /**
+         * An address that no connection comes from: else one could take the port before the process has it, or meet
+         * itself there.
+         */
         final InetAddress host;
+
         final int port;
         final Path config = Files.createTempFile("calicochute", ".json");
         final Path log = Files.createTempFile("calicochute", ".log");
         final Thread ready = new Thread(this::awaitReady);
         final Thread client = new Thread(this::ask);
         /** Answered 200, denied, any other answer, broken. */
-        final AtomicInteger[] ends = {new AtomicInteger(), new AtomicInteger(), new AtomicInteger(), new AtomicInteger()};
+        final AtomicInteger[] ends = {new AtomicInteger(), new AtomicInteger(), new AtomicInteger(), new AtomicInteger()
+        };
+
         Process process;
         volatile boolean over;
         volatile long readyMs = -1;
@@ -148,8 +183,8 @@
                 port = free.getLocalPort();
             }
             String text = Program.configuration(port, 0, 1024, discovery, server)
-                .replace("\"127.0.0.1:" + port + "\"", "\"" + host.getHostAddress() + ":" + port + "\"")
-                .replace("\"" + discovery.address() + "\"", "\"" + address + "\"");
+                    .replace("\"127.0.0.1:" + port + "\"", "\"" + host.getHostAddress() + ":" + port + "\"")
+                    .replace("\"" + discovery.address() + "\"", "\"" + address + "\"");
             Files.writeString(config, known ? text : text.replaceAll("\"known\":\\{.*?\\]\\},", ""));
         }
 
@@ -157,7 +192,9 @@
             ProcessBuilder builder = new ProcessBuilder("taskset", "-c", cores, "/bin/sh", "-c", run);
             builder.environment().put("PROXY_CONFIG", config.toString());
             from = System.nanoTime();
-            process = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
+            process = builder.redirectErrorStream(true)
+                    .redirectOutput(log.toFile())
+                    .start();
             ready.start();
             client.start();
         }
--- a/balancer/src/test/java/calicochute/process/ReadyTest.java
+++ b/balancer/src/test/java/calicochute/process/ReadyTest.java
@@ -18,13 +18,17 @@
 import org.junit.After;
 import org.junit.Test;
 
-/** What a process waits for before it is ready, and what comes to it before. How long it takes is measured by {@link ReadyTable}. */
+/**
+ * What a process waits for before it is ready, and what comes to it before. How long it takes is measured by
+ * {@link ReadyTable}.
+ */
 public class ReadyTest {
     private static final String ID = "9b1f03aa5c7e2d41";
     private final CountDownLatch release = new CountDownLatch(1);
     private final CountDownLatch over = new CountDownLatch(1);
     /** The answer to a session that a client tries to send from before the process starts. */
     private final CompletableFuture<Http> early = new CompletableFuture<>();
+
     private Program program;
 
     @After
@@ -42,7 +46,8 @@
         Thread client = new Thread(() -> {
             while (over.getCount() > 0) {
                 // From another address: one that tries on could be given the port itself, and meet itself there.
-                try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port, InetAddress.getByName("127.0.0.2"), 0)) {
+                try (Socket socket =
+                        new Socket(InetAddress.getLoopbackAddress(), port, InetAddress.getByName("127.0.0.2"), 0)) {
                     socket.setSoTimeout(30_000);
                     try {
                         socket.getOutputStream().write(Http.message(session(ID, "view"), new byte[0]));
@@ -71,7 +76,9 @@
 
     @Test
     public void readyDoesNotWaitForADiscoveryThatRefuses() throws Exception {
-        try (Peer server = server(); Peer none = Peer.silent(release); Socket bound = new Socket()) {
+        try (Peer server = server();
+                Peer none = Peer.silent(release);
+                Socket bound = new Socket()) {
             // Bound and not listening: whoever calls is refused, and nobody else gets the port.
             bound.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             UnaryOperator<String> refused = c -> c.replace(none.address(), "127.0.0.1:" + bound.getLocalPort());
@@ -85,7 +92,8 @@
 
     @Test
     public void readyDoesNotWaitForASilentDiscovery() throws Exception {
-        try (Peer server = server(); Peer discovery = Peer.silent(release)) {
+        try (Peer server = server();
+                Peer discovery = Peer.silent(release)) {
             program = Program.edited(this::withAnEarlyClient, discovery, server);
             answeredAtOnce();
             await("asked", () -> !discovery.requests.isEmpty());
@@ -96,13 +104,14 @@
     /** The first answer is on its way until after the yes, and then counts. */
     @Test
     public void readyDoesNotWaitForASlowDiscovery() throws Exception {
-        try (Peer server = server(); Peer discovery = new Peer(r -> {
-            release.await();
-            if (r.firstLine().contains("since=9&")) {
-                over.await();
-            }
-            return Http.answer(200, "", list(9, "Terminating", server));
-        })) {
+        try (Peer server = server();
+                Peer discovery = new Peer(r -> {
+                    release.await();
+                    if (r.firstLine().contains("since=9&")) {
+                        over.await();
+                    }
+                    return Http.answer(200, "", list(9, "Terminating", server));
+                })) {
             program = Program.edited(this::withAnEarlyClient, discovery, server);
             answeredAtOnce();
             assertFalse(program.log().contains("generation=9"));
@@ -116,20 +125,25 @@
     /** Without a list from before there is nobody to send to: only here the yes comes with discovery's first list. */
     @Test
     public void withoutAListReadyComesWithTheFirst() throws Exception {
-        try (Peer server = server(); Peer discovery = new Peer(r -> {
-            release.await();
-            if (!r.firstLine().contains("since=0&")) {
-                over.await();
-            }
-            return Http.answer(200, "", list(1, "Ready", server));
-        })) {
+        try (Peer server = server();
+                Peer discovery = new Peer(r -> {
+                    release.await();
+                    if (!r.firstLine().contains("since=0&")) {
+                        over.await();
+                    }
+                    return Http.answer(200, "", list(1, "Ready", server));
+                })) {
             CompletableFuture<Integer> port = new CompletableFuture<>();
             CompletableFuture<Program> starting = CompletableFuture.supplyAsync(() -> {
                 try {
-                    return Program.edited(c -> {
-                        port.complete(Integer.parseInt(c.replaceAll("(?s).*\"listen\":\"127.0.0.1:(\\d+)\".*", "$1")));
-                        return c.replaceAll("\"known\":\\{.*?\\]\\},", "");
-                    }, discovery, server);
+                    return Program.edited(
+                            c -> {
+                                port.complete(Integer.parseInt(
+                                        c.replaceAll("(?s).*\"listen\":\"127.0.0.1:(\\d+)\".*", "$1")));
+                                return c.replaceAll("\"known\":\\{.*?\\]\\},", "");
+                            },
+                            discovery,
+                            server);
                 } catch (Exception e) {
                     throw new IllegalStateException(e);
                 }
--- a/balancer/src/test/java/calicochute/process/RestartTest.java
+++ b/balancer/src/test/java/calicochute/process/RestartTest.java
@@ -21,13 +21,17 @@
     private static final int CLIENTS = 12;
     /** At a planned restart new connections keep coming for 0.4 s at most. */
     private static final long NEW_NANOS = 400_000_000L;
+
     private final AtomicInteger names = new AtomicInteger();
     private final AtomicInteger answers = new AtomicInteger();
     private final AtomicInteger lastAnswers = new AtomicInteger();
     private final AtomicInteger crossed = new AtomicInteger();
     private volatile long endingSince;
 
-    /** Sends on one connection until it ends; then on a new one, for as long as a front sends any to a process that ends. */
+    /**
+     * Sends on one connection until it ends; then on a new one, for as long as a front sends any to a process that
+     * ends.
+     */
     private void client() {
         try {
             while (endingSince == 0 || System.nanoTime() - endingSince < NEW_NANOS) {
@@ -42,7 +46,8 @@
 
     private void onOne(Socket socket) throws Exception {
         while (true) {
-            byte[] request = Http.message(session(String.format("%016x", names.incrementAndGet()), "view"), new byte[0]);
+            byte[] request =
+                    Http.message(session(String.format("%016x", names.incrementAndGet()), "view"), new byte[0]);
             Http answer = null;
             try {
                 socket.getOutputStream().write(request);
@@ -68,8 +73,8 @@
     }
 
     /**
-     * The platform ends a process by the deadlines of its newest settings. Those of the start, longer here, would leave this session to its own time,
-     * past that end.
+     * The platform ends a process by the deadlines of its newest settings. Those of the start, longer here, would leave
+     * this session to its own time, past that end.
      */
     @Test
     public void aStopGoesByTheDeadlinesInForce() throws Exception {
@@ -77,11 +82,15 @@
             release.await();
             return Http.answer(200, "", "too late");
         };
-        Files.writeString(program.config, Files.readString(program.config).replace("\"deadline\":9000000", "\"deadline\":1000000"));
+        Files.writeString(
+                program.config,
+                Files.readString(program.config).replace("\"deadline\":9000000", "\"deadline\":1000000"));
         program.signal("HUP");
         await("taken", () -> program.counter("reloads") == 1);
         try (Socket socket = program.connect()) {
-            socket.getOutputStream().write(Http.message(session(String.format("%016x", 1), "order").replace(": 8000", ": 2600"), new byte[1]));
+            socket.getOutputStream()
+                    .write(Http.message(
+                            session(String.format("%016x", 1), "order").replace(": 8000", ": 2600"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
             program.process.destroy();
             assertEquals(502, Http.read(socket.getInputStream()).status());
@@ -90,16 +99,23 @@
         assertTrue(program.log(), program.log().contains("sessions_ended_by_stop 1"));
     }
 
-    /** Shorter deadlines that come with SIGHUP while the process drains: the kill comes by them, and so do answers to what was open. */
+    /**
+     * Shorter deadlines that come with SIGHUP while the process drains: the kill comes by them, and so do answers to
+     * what was open.
+     */
     @Test
     public void aStopGoesByDeadlinesThatCameAfterIt() throws Exception {
         server.script = r -> {
             release.await();
             return Http.answer(200, "", "too late");
         };
-        Files.writeString(program.config, Files.readString(program.config).replace("\"deadline\":9000000", "\"deadline\":1000000"));
+        Files.writeString(
+                program.config,
+                Files.readString(program.config).replace("\"deadline\":9000000", "\"deadline\":1000000"));
         try (Socket socket = program.connect()) {
-            socket.getOutputStream().write(Http.message(session(String.format("%016x", 1), "order").replace(": 8000", ": 2600"), new byte[1]));
+            socket.getOutputStream()
+                    .write(Http.message(
+                            session(String.format("%016x", 1), "order").replace(": 8000", ": 2600"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
             program.process.destroy();
             await("draining", () -> program.log().contains("INFO draining unanswered=1"));
@@ -111,8 +127,8 @@
     }
 
     /**
-     * From SIGTERM to the process's end each request has its whole answer, and each connection in steady use ends behind an
-     * answer that says so: none crosses a request.
+     * From SIGTERM to the process's end each request has its whole answer, and each connection in steady use ends
+     * behind an answer that says so: none crosses a request.
      */
     @Test
     public void sendingOnToTheEndLosesNothing() throws Exception {
--- a/balancer/src/test/java/calicochute/process/ServeTest.java
+++ b/balancer/src/test/java/calicochute/process/ServeTest.java
@@ -56,8 +56,9 @@
         server.script = r -> Http.answer(503, "X-Turned-Away: 1\r\n", "");
         assertEquals(503, send("order").status());
         assertTrue(program.counter("dispatches_full") >= 1);
-        server.script = r -> server.requests.size() % 2 == 0 ? Http.answer(200, "", "ok")
-            : Http.answer(504, "X-Turned-Away: 1\r\n", "");
+        server.script = r -> server.requests.size() % 2 == 0
+                ? Http.answer(200, "", "ok")
+                : Http.answer(504, "X-Turned-Away: 1\r\n", "");
         assertEquals(200, send("order").status());
     }
 
@@ -122,14 +123,19 @@
         };
         program = program();
         await("heard", () -> discovery.requests.size() >= 2);
-        assertTrue(discovery.requests.get(1).firstLine(), discovery.requests.get(1).firstLine().contains("since=7&"));
+        assertTrue(
+                discovery.requests.get(1).firstLine(),
+                discovery.requests.get(1).firstLine().contains("since=7&"));
     }
 
-    /** At SIGTERM silent connections are ended, but not one on which half a head has come: the rest of it is answered. */
+    /**
+     * At SIGTERM silent connections are ended, but not one on which half a head has come: the rest of it is answered.
+     */
     @Test
     public void halfAHeadIsNoIdleConnection() throws Exception {
         byte[] view = Http.message(session(ID, "view"), new byte[0]);
-        try (Socket half = program.connect(); Socket silent = program.connect()) {
+        try (Socket half = program.connect();
+                Socket silent = program.connect()) {
             half.getOutputStream().write(view, 0, 50);
             program.signal("TERM");
             assertTrue(Program.ended(silent));
@@ -138,14 +144,21 @@
         }
     }
 
-    /** What a session held goes with its answer, however long its client would have waited: twice the heap passes through. */
+    /**
+     * What a session held goes with its answer, however long its client would have waited: twice the heap passes
+     * through.
+     */
     @Test
     public void anAnsweredSessionIsLetGo() throws Exception {
         program.stop();
         program = Program.withHeap("24m", discovery, server);
         for (int i = 0; i < 800; i++) {
-            assertEquals(200, program.send(session(String.format("%016x", i), "scan").replace(": 8000", ": 3600000"),
-                new byte[60_000]).status());
+            assertEquals(
+                    200,
+                    program.send(
+                                    session(String.format("%016x", i), "scan").replace(": 8000", ": 3600000"),
+                                    new byte[60_000])
+                            .status());
         }
         assertFalse(program.log(), program.log().contains("OutOfMemory"));
     }
@@ -212,7 +225,9 @@
             socket.close();
         }
         await("told", () -> program.log().contains("generation=2"));
-        assertEquals(503, program.send(session(ID, "view").replace(": 8000", ": 500")).status());
+        assertEquals(
+                503,
+                program.send(session(ID, "view").replace(": 8000", ": 500")).status());
         assertEquals(1, server.requests.size());
         assertTrue(discovery.requests.get(0).firstLine().contains("since=1"));
     }
@@ -239,7 +254,8 @@
         assertEquals(400, program.send(view.replace("library", "nobody")).status());
         assertEquals(400, program.send(view.replace(": 8000", ": soon")).status());
         assertEquals(400, program.send(view.replace(": 8000", ": -1")).status());
-        assertEquals(400, program.send(scan.replace("Idempotency-Key: k1\r\n", "")).status());
+        assertEquals(
+                400, program.send(scan.replace("Idempotency-Key: k1\r\n", "")).status());
         assertEquals(405, program.send(view.replace("GET", "POST")).status());
         assertEquals(400, program.send("no request at all\r\n").status());
         assertEquals(0, server.requests.size());
@@ -253,18 +269,21 @@
             release.await();
             return Http.answer(200, "", "late");
         };
-        try (Socket taken = program.connect(); Socket idle = program.connect()) {
+        try (Socket taken = program.connect();
+                Socket idle = program.connect()) {
             idle.getOutputStream().write(Http.message("GET /ready HTTP/1.1\r\nHost: a\r\n", new byte[0]));
             assertEquals(200, Http.read(idle.getInputStream()).status());
             taken.getOutputStream().write(Http.message(session(ID, "order"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
-            // Only now: a connection has its first request within 2.4 s, which the first dispatch of a process may take on a loaded machine.
+            // Only now: a connection has its first request within 2.4 s, which the first dispatch of a process may take
+            // on a loaded machine.
             try (Socket later = program.connect()) {
                 long told = System.nanoTime();
                 program.process.destroy();
                 await("draining", () -> program.log().contains("draining"));
                 later.getOutputStream().write(Http.message(session("0" + ID.substring(1), "order"), new byte[1]));
-                // Silent until then: past that time the program may have ended it, which only a test that runs late can meet.
+                // Silent until then: past that time the program may have ended it, which only a test that runs late can
+                // meet.
                 boolean inTime = System.nanoTime() - told < TAKEN_IN_NANOS;
                 if (inTime) {
                     await("accepted while draining", () -> server.requests.size() == 2);
@@ -295,14 +314,16 @@
             return Http.answer(200, "", "too late");
         };
         try (Socket before = program.connect()) {
-            before.getOutputStream().write(Http.message(session(ID, "order").replace(": 8000", ": 60000"), new byte[1]));
+            before.getOutputStream()
+                    .write(Http.message(session(ID, "order").replace(": 8000", ": 60000"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
             // Only now: silent for longer than a first dispatch takes on a loaded machine, it would be ended.
             try (Socket after = program.connect()) {
                 program.process.destroy();
                 await("draining", () -> program.log().contains("draining"));
-                after.getOutputStream().write(Http.message(session("0" + ID.substring(1), "view").replace(": 8000", ": 60000"),
-                    new byte[0]));
+                after.getOutputStream()
+                        .write(Http.message(
+                                session("0" + ID.substring(1), "view").replace(": 8000", ": 60000"), new byte[0]));
                 assertEquals(502, Http.read(before.getInputStream()).status());
                 assertEquals(502, Http.read(after.getInputStream()).status());
             }
@@ -318,7 +339,8 @@
             release.await();
             return Http.answer(200, "", "across the reload");
         };
-        try (Peer moved = new Peer(discovery.script); Socket taken = program.connect()) {
+        try (Peer moved = new Peer(discovery.script);
+                Socket taken = program.connect()) {
             taken.getOutputStream().write(Http.message(session(ID, "order"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
             await("watching", () -> discovery.requests.size() == 1);
@@ -338,7 +360,9 @@
         }
     }
 
-    /** A class gets another effect and a new one comes; what is open keeps its rules, and a bad file changes nothing. */
+    /**
+     * A class gets another effect and a new one comes; what is open keeps its rules, and a bad file changes nothing.
+     */
     @Test
     public void newSettingsCountFromTheHangupOn() throws Exception {
         server.script = r -> {
@@ -352,28 +376,45 @@
             String order = "\"effect\":\"once\",\"key_scope\":\"all\",\"name\":\"order\"";
             assertTrue(good.contains(order));
             String changed = good.replace(order, order.replace("once", "repeatable"))
-                .replace("\"name\":\"scan\"", "\"name\":\"sheet\"");
+                    .replace("\"name\":\"scan\"", "\"name\":\"sheet\"");
             int bad = 0;
-            for (String text : new String[] {"", changed.substring(0, changed.length() - 1),
-                changed.replace("\"tick\":5000,", ""), changed.replace("\"layer\":0", "\"layer\":1"), changed.replace("\"max_attempts\":3", "\"max_attempts\":0")}) {
+            for (String text : new String[] {
+                "",
+                changed.substring(0, changed.length() - 1),
+                changed.replace("\"tick\":5000,", ""),
+                changed.replace("\"layer\":0", "\"layer\":1"),
+                changed.replace("\"max_attempts\":3", "\"max_attempts\":0")
+            }) {
                 Files.writeString(program.config, text);
                 program.signal("HUP");
                 int expected = ++bad;
                 await("turned down", () -> program.counter("reloads_failed") == expected);
             }
-            assertEquals(405, program.send(session(ID.replace('9', '8'), "order").replace("POST", "GET")).status());
+            assertEquals(
+                    405,
+                    program.send(session(ID.replace('9', '8'), "order").replace("POST", "GET"))
+                            .status());
             Files.writeString(program.config, changed);
             program.signal("HUP");
             await("taken", () -> program.counter("reloads") == 1);
             release.countDown();
-            assertEquals("as it began: once", 502, Http.read(taken.getInputStream()).status());
+            assertEquals(
+                    "as it began: once", 502, Http.read(taken.getInputStream()).status());
             assertEquals(1, server.requests.size());
             server.script = r -> Http.answer(server.requests.size() == 2 ? 500 : 200, "", "");
-            assertEquals("as it is now: repeatable", 200,
-                program.send(session(ID, "order").replace("POST", "GET")).status());
+            assertEquals(
+                    "as it is now: repeatable",
+                    200,
+                    program.send(session(ID, "order").replace("POST", "GET")).status());
             assertEquals(3, server.requests.size());
-            assertEquals(200, program.send(session(ID, "scan").replace("X-Lane: scan", "X-Lane: sheet")).status());
-            assertEquals("dropped, but callers may not know yet", 200, program.send(session(ID, "scan")).status());
+            assertEquals(
+                    200,
+                    program.send(session(ID, "scan").replace("X-Lane: scan", "X-Lane: sheet"))
+                            .status());
+            assertEquals(
+                    "dropped, but callers may not know yet",
+                    200,
+                    program.send(session(ID, "scan")).status());
         }
     }
 
@@ -382,14 +423,23 @@
     public void theLogIsInUtcWhateverTheMachinesZone() throws Exception {
         Program away = new Program("export TZ=Asia/Tokyo; ", 1024, discovery, server);
         try {
-            String serving = away.log().lines().filter(l -> l.contains(" INFO serving ")).findFirst().orElseThrow();
-            assertTrue(serving, serving.matches("\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d\\.\\d{3}Z INFO serving name=.*"));
+            String serving = away.log()
+                    .lines()
+                    .filter(l -> l.contains(" INFO serving "))
+                    .findFirst()
+                    .orElseThrow();
+            assertTrue(
+                    serving,
+                    serving.matches("\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d\\.\\d{3}Z INFO serving name=.*"));
         } finally {
             away.stop();
         }
     }
 
-    /** Started under nohup it can't hear SIGHUP: it says so at once, rather than leaving staff with settings that never come. */
+    /**
+     * Started under nohup it can't hear SIGHUP: it says so at once, rather than leaving staff with settings that never
+     * come.
+     */
     @Test
     public void aStartWithSighupIgnoredIsTold() throws Exception {
         assertFalse(program.log().contains("hangup-ignored"));
@@ -401,7 +451,10 @@
         }
     }
 
-    /** The node's own denies too: over the bound on open sessions they say when to come back, unless the site has none of it. */
+    /**
+     * The node's own denies too: over the bound on open sessions they say when to come back, unless the site has none
+     * of it.
+     */
     @Test
     public void aDenyOverTheBoundSaysWhenToComeBack() throws Exception {
         String text = Files.readString(program.config).replace("\"max_open\":20000", "\"max_open\":0");
--- a/balancer/src/test/java/calicochute/process/SilentWatchTest.java
+++ b/balancer/src/test/java/calicochute/process/SilentWatchTest.java
@@ -19,11 +19,14 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 
-/** Watches that fall silent: {@code WatchClockTest} says when that is noticed, and here is what follows, at each point. */
+/**
+ * Watches that fall silent: {@code WatchClockTest} says when that is noticed, and here is what follows, at each point.
+ */
 public class SilentWatchTest {
     private static final String ID = "9b1f03aa5c7e2d41";
     /** Calls on a watch that stands are given 3.1 s at the least. */
     private static final long HELD_MS = 500;
+
     private final CountDownLatch release = new CountDownLatch(1);
 
     /** One program, whose first connection to discovery falls silent in its own way. */
@@ -55,7 +58,8 @@
                     release.await();
                 }
                 if (r.firstLine().contains("since=9&")) {
-                    // With nothing to tell. Not held back for as long as was asked: an answer that a loaded machine brings late would be a
+                    // With nothing to tell. Not held back for as long as was asked: an answer that a loaded machine
+                    // brings late would be a
                     // silence of its own, counted with the one that is looked at here.
                     release.await(HELD_MS, TimeUnit.MILLISECONDS);
                     return Http.answer(200, "", "{\"generation\":9,\"reset\":false,\"instances\":[]}");
@@ -65,7 +69,9 @@
             program = new Program(discovery, server);
         }
 
-        /** The change that was made meanwhile is in force, on another connection, without a failure told to the module. */
+        /**
+         * The change that was made meanwhile is in force, on another connection, without a failure told to the module.
+         */
         void check() throws Exception {
             await(point + ": told", () -> program.log().contains("generation=9"));
             assertEquals(point, 2, discovery.connections.size());
@@ -74,7 +80,10 @@
             assertEquals(point, 1, program.counter("discovery_reopened"));
             assertEquals(point, 1, program.counter("discovery_failures"));
             int before = server.requests.size();
-            assertEquals(point, 503, program.send(session(ID, "view").replace(": 8000", ": 300")).status());
+            assertEquals(
+                    point,
+                    503,
+                    program.send(session(ID, "view").replace(": 8000", ": 300")).status());
             assertEquals(point, before, server.requests.size());
         }
 
@@ -86,7 +95,10 @@
     }
 
     private static String indented(String list) {
-        return list.replace("{", "{\n\t").replace(",", ",\r\n    ").replace("\":", "\" : ").replace("]", "\n  ]\n");
+        return list.replace("{", "{\n\t")
+                .replace(",", ",\r\n    ")
+                .replace("\":", "\" : ")
+                .replace("]", "\n  ]\n");
     }
 
     /** All at once, so that their waits pass together. */
@@ -112,14 +124,18 @@
         }
     }
 
-    /** A connection that never comes up is no silent watch but a way that is down: it is tried again on a new one, and backs off. */
+    /**
+     * A connection that never comes up is no silent watch but a way that is down: it is tried again on a new one, and
+     * backs off.
+     */
     @Test
     public void aConnectionThatNeverComesUpIsTriedAgain() throws Exception {
         List<Socket> crowd = new ArrayList<>();
-        try (Peer discovery = Peer.silent(release); Peer server = new Peer(r -> Http.answer(200, "", "a map"));
-             ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+        try (Peer discovery = Peer.silent(release);
+                Peer server = new Peer(r -> Http.answer(200, "", "a map"));
+                ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Program program = new Program(discovery, server);
-            for (boolean more = true; more;) {
+            for (boolean more = true; more; ) {
                 Socket one = new Socket();
                 crowd.add(one);
                 try {
@@ -128,14 +144,16 @@
                     more = false;
                 }
             }
-            Files.writeString(program.config, Files.readString(program.config).replace(discovery.address(),
-                "127.0.0.1:" + full.getLocalPort()));
+            Files.writeString(
+                    program.config,
+                    Files.readString(program.config).replace(discovery.address(), "127.0.0.1:" + full.getLocalPort()));
             program.signal("HUP");
             await("given up twice", () -> program.counter("discovery_failures") >= 2);
             assertEquals(0, program.counter("discovery_reopened"));
             assertEquals(200, program.send(session(ID, "view")).status());
-            Files.writeString(program.config, Files.readString(program.config).replace("127.0.0.1:" + full.getLocalPort(),
-                discovery.address()));
+            Files.writeString(
+                    program.config,
+                    Files.readString(program.config).replace("127.0.0.1:" + full.getLocalPort(), discovery.address()));
             int before = discovery.requests.size();
             program.signal("HUP");
             await("back", () -> discovery.requests.size() > before);
@@ -152,14 +170,14 @@
     @Test
     public void pushedListsAreWatchedFromTheStart() throws Exception {
         try (Peer server = new Peer(r -> Http.answer(200, "", "a map"));
-             Peer discovery = new Peer(r -> {
-                 if (r.firstLine().contains("since=2&")) {
-                     release.await();
-                 }
-                 return Http.answer(200, "", list(2, "Terminating", server));
-             })) {
-            Program program = Program.edited(c -> c.replace("on_request", "pushed").replace("\"ask_every\":1000000,", ""),
-                discovery, server);
+                Peer discovery = new Peer(r -> {
+                    if (r.firstLine().contains("since=2&")) {
+                        release.await();
+                    }
+                    return Http.answer(200, "", list(2, "Terminating", server));
+                })) {
+            Program program = Program.edited(
+                    c -> c.replace("on_request", "pushed").replace("\"ask_every\":1000000,", ""), discovery, server);
             await("told", () -> program.log().contains("generation=2"));
             await("still watched", () -> discovery.requests.size() == 2);
             for (Socket socket : discovery.connections) {
@@ -175,7 +193,8 @@
     @Test
     public void answersThatDoNotWaitMakeNoStorm() throws Exception {
         try (Peer server = new Peer(r -> Http.answer(200, "", "a map"));
-             Peer discovery = new Peer(r -> Http.answer(200, "", "{\"generation\":1,\"reset\":false,\"instances\":[]}"))) {
+                Peer discovery =
+                        new Peer(r -> Http.answer(200, "", "{\"generation\":1,\"reset\":false,\"instances\":[]}"))) {
             Program program = new Program(discovery, server);
             long begun = System.nanoTime();
             await("called again and again", () -> discovery.requests.size() >= 12);
--- a/balancer/src/test/java/calicochute/process/SmallLimitsTest.java
+++ b/balancer/src/test/java/calicochute/process/SmallLimitsTest.java
@@ -13,21 +13,31 @@
 import java.util.regex.Pattern;
 import org.junit.Test;
 
-/** Another customer's limits: few descriptors, a small memory and short deadlines, under the very flags that the deploy file starts the program with. */
+/**
+ * Another customer's limits: few descriptors, a small memory and short deadlines, under the very flags that the deploy
+ * file starts the program with.
+ */
 public class SmallLimitsTest extends OneServer {
     private static final int DESCRIPTORS = 256;
     private static final int CLIENTS = 60;
 
     /** Without the archive and the place of the log's lines: both are of the built file, not of the flags' sizes. */
     private static String flags() throws Exception {
-        Matcher run = Pattern.compile("(?m)^run = \"exec java (.*) -jar ").matcher(Files.readString(Path.of("../deploy/balancer.toml")));
+        Matcher run = Pattern.compile("(?m)^run = \"exec java (.*) -jar ")
+                .matcher(Files.readString(Path.of("../deploy/balancer.toml")));
         assertTrue(run.find());
-        return run.group(1).replaceAll("-XX:SharedArchiveFile=\\S+|-Xlog:\\S+", "").trim();
+        return run.group(1)
+                .replaceAll("-XX:SharedArchiveFile=\\S+|-Xlog:\\S+", "")
+                .trim();
     }
 
     @Override
     Program program() throws Exception {
-        return new Program("ulimit -n " + DESCRIPTORS + "; export JAVA_TOOL_OPTIONS='" + flags() + "'; ", DESCRIPTORS, discovery, server);
+        return new Program(
+                "ulimit -n " + DESCRIPTORS + "; export JAVA_TOOL_OPTIONS='" + flags() + "'; ",
+                DESCRIPTORS,
+                discovery,
+                server);
     }
 
     /** Each client on a connection of its own, all open at once and held open; the second time on kept ones. */
@@ -37,10 +47,13 @@
         try {
             for (int i = 0; i < 2 * CLIENTS; i++) {
                 if (i < CLIENTS) {
-                    // Only now: a connection has its first request within 2.4 s, which those before it may take on a loaded machine.
+                    // Only now: a connection has its first request within 2.4 s, which those before it may take on a
+                    // loaded machine.
                     clients.add(program.connect());
                 }
-                clients.get(i % CLIENTS).getOutputStream().write(Http.message(session(String.format("%016x", i + 1), "scan"), new byte[1000]));
+                clients.get(i % CLIENTS)
+                        .getOutputStream()
+                        .write(Http.message(session(String.format("%016x", i + 1), "scan"), new byte[1000]));
                 Http answer = Http.read(clients.get(i % CLIENTS).getInputStream());
                 assertEquals(200, answer.status());
                 assertEquals("a map", new String(answer.body()));
--- a/balancer/src/test/java/calicochute/process/SpareTest.java
+++ b/balancer/src/test/java/calicochute/process/SpareTest.java
@@ -11,12 +11,13 @@
 public class SpareTest extends OneServer {
     /** A connection rests for 5 ms after an answer; and the pause after a spare that failed is 20 s. */
     private static final long RESTED_MS = 10;
+
     private static final long WITHIN_PAUSE_MS = 15_000;
     private int ids;
 
     /**
-     * Pairs of sessions, the second right behind the first, until that meets the connection still at rest and waits: which opens a spare.
-     * None follows then: what becomes of the spare is up to its server alone.
+     * Pairs of sessions, the second right behind the first, until that meets the connection still at rest and waits:
+     * which opens a spare. None follows then: what becomes of the spare is up to its server alone.
      */
     private void sessionsUntilOneWaits() throws Exception {
         await("a dispatch that waits", () -> {
@@ -47,13 +48,17 @@
         }
         assertEquals(0, program.counter("spares_failed"));
         // Nothing was sent twice: a request for each session.
-        assertEquals(ids, server.requests.stream().filter(r -> r.firstLine().contains("/api")).count());
+        assertEquals(
+                ids,
+                server.requests.stream()
+                        .filter(r -> r.firstLine().contains("/api"))
+                        .count());
     }
 
     /**
      * Guards against a server that takes one connection only: the end of a spare must not count as that of a kept
-     * connection (after which none is kept for 20 s), and no spare follows another into the same refusal. The spare ends unused here;
-     * EndedAtOnceTest has the order in which a call went out on it first.
+     * connection (after which none is kept for 20 s), and no spare follows another into the same refusal. The spare
+     * ends unused here; EndedAtOnceTest has the order in which a call went out on it first.
      */
     @Test
     public void aServerThatRefusesSparesIsServedOverWhatItTakes() throws Exception {
@@ -62,11 +67,18 @@
         long since = System.nanoTime();
         await("a failed spare", () -> program.counter("spares_failed") == 1);
         for (int i = 0; i < 30 && System.nanoTime() - since < WITHIN_PAUSE_MS * 1_000_000; i++) {
-            assertEquals(200, program.send(session(String.format("%016x", ++ids), "order")).status());
+            assertEquals(
+                    200,
+                    program.send(session(String.format("%016x", ++ids), "order"))
+                            .status());
         }
         assertEquals(1, program.counter("spares_opened"));
         assertEquals(0, program.counter("connections_ended_early"));
-        assertEquals(ids, server.requests.stream().filter(r -> r.firstLine().contains("/api")).count());
+        assertEquals(
+                ids,
+                server.requests.stream()
+                        .filter(r -> r.firstLine().contains("/api"))
+                        .count());
         assertEquals(2, server.connections.size());
     }
 }
--- a/balancer/src/test/java/calicochute/process/UpgradeTest.java
+++ b/balancer/src/test/java/calicochute/process/UpgradeTest.java
@@ -43,12 +43,16 @@
         return session(String.format("%016x", ++sent), "view");
     }
 
-    /** What the old one has taken it answers; a kept connection ends with an answer; the new one takes all that is new. */
+    /**
+     * What the old one has taken it answers; a kept connection ends with an answer; the new one takes all that is new.
+     */
     @Test
     public void nothingIsLostWhenTheNewOneTakesOver() throws Exception {
         int old = platform.start(freePort(), discovery, server);
         CountDownLatch answer = new CountDownLatch(1);
-        try (Socket kept = platform.connect(); Socket idle = platform.connect(); Socket open = platform.connect()) {
+        try (Socket kept = platform.connect();
+                Socket idle = platform.connect();
+                Socket open = platform.connect()) {
             for (Socket socket : new Socket[] {kept, idle}) {
                 socket.getOutputStream().write(Http.message(view(), new byte[0]));
                 assertEquals(200, Http.read(socket.getInputStream()).status());
@@ -82,7 +86,9 @@
         }
     }
 
-    /** A ban outlives the process that heard it, is lifted by a call to the other one, and a torn file changes nothing. */
+    /**
+     * A ban outlives the process that heard it, is lifted by a call to the other one, and a torn file changes nothing.
+     */
     @Test
     public void aBanHoldsAcrossAnUpgrade() throws Exception {
         int oldAdmin = freePort();
@@ -118,8 +124,10 @@
     public void whatWasLearntGoesOver() throws Exception {
         platform.start(freePort(), discovery, server);
         assertEquals(200, platform.send(view()).status());
-        await("it has noted an answer", () -> Files.readString(platform.shared().resolve("calicochute-n0.learnt"))
-            .contains("\"answers\":1"));
+        await(
+                "it has noted an answer",
+                () -> Files.readString(platform.shared().resolve("calicochute-n0.learnt"))
+                        .contains("\"answers\":1"));
         int next = platform.start(freePort(), discovery, server);
         assertTrue(platform.log(next), platform.log(next).contains("recalled"));
         platform.signal(0, "KILL");
@@ -132,12 +140,19 @@
         assertEquals(200, platform.send(view()).status());
     }
 
-    /** A class of the same name that may not run twice any more is another class: what was learnt of it and around it is not taken. */
+    /**
+     * A class of the same name that may not run twice any more is another class: what was learnt of it and around it is
+     * not taken.
+     */
     @Test
     public void whatWasLearntUnderOtherEffectsStaysBehind() throws Exception {
         platform.start(freePort(), discovery, server);
         await("it has noted", () -> Files.exists(platform.shared().resolve("calicochute-n0.learnt")));
-        int next = platform.start(text -> text.replace("\"effect\":\"repeatable\"", "\"effect\":\"once\""), freePort(), discovery, server);
+        int next = platform.start(
+                text -> text.replace("\"effect\":\"repeatable\"", "\"effect\":\"once\""),
+                freePort(),
+                discovery,
+                server);
         assertTrue(platform.log(next), platform.log(next).contains("learnt-foreign"));
         assertFalse(platform.log(next), platform.log(next).contains("recalled"));
         // Both accept at the one socket, and the first one still takes the class for what it was.
--- a/balancer/src/test/java/calicochute/settings/CustomerSettingsTest.java
+++ b/balancer/src/test/java/calicochute/settings/CustomerSettingsTest.java
@@ -37,8 +37,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Settings of customers who are not alike: legal ones from the edges, in files as a customer writes them, read as the program
- * reads them, handed to the real module, changed under load. Each action is held against the rules as stated here.
+ * Settings of customers who are not alike: legal ones from the edges, in files as a customer writes them, read as the
+ * program reads them, handed to the real module, changed under load. Each action is held against the rules as stated
+ * here.
  */
 class CustomerSettingsTest {
     private static final long MS = 1_000, SECOND = 1_000_000, EVER = Long.MAX_VALUE / 16;
@@ -66,14 +67,19 @@
         }
     }
 
-    /** A server that started by a clock a little ahead of this one: with no time to warm up it is not left out until this clock is there. */
+    /**
+     * A server that started by a clock a little ahead of this one: with no time to warm up it is not left out until
+     * this clock is there.
+     */
     @Test
     void aStartAheadOfThisClockIsNoReasonToWaitWhereNothingWarmsUp() throws Exception {
         SplittableRandom random = new SplittableRandom(1);
         Path file = folder.resolve("plain.json");
-        Files.writeString(file, "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\","
-            + "\"settings\":{\"classes\":[{\"name\":\"c0\","
-            + "\"deadline\":1000000}],\"obligations\":{\"warm_up\":0,\"fall\":3000000,\"fall_multiple\":3}}}");
+        Files.writeString(
+                file,
+                "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\","
+                        + "\"settings\":{\"classes\":[{\"name\":\"c0\","
+                        + "\"deadline\":1000000}],\"obligations\":{\"warm_up\":0,\"fall\":3000000,\"fall_multiple\":3}}}");
         World world = new World(random, Configuration.read(file));
         world.list(new Backend("b0", "", 0, 1, BackendState.READY, 0, "k"));
         for (int i = 0; i < 50; i++) {
@@ -106,50 +112,83 @@
         int count = (int) one(random, 1, 1, 2, 30);
         for (int i = 0; i < count; i++) {
             long deadline = one(random, 1, MS, 16 * MS, 40 * MS, 99 * MS, SECOND, 60 * SECOND, 86_400 * SECOND);
-            classes.append(i == 0 ? "" : ",").append("{\"name\":\"c").append(i).append("\",\"deadline\":").append(deadline)
-                .append(",\"effect\":\"").append(one(random, "repeatable", "once", "by_key")).append("\",\"key_scope\":\"")
-                .append(one(random, "all", "zone", "cell")).append('"');
+            classes.append(i == 0 ? "" : ",")
+                    .append("{\"name\":\"c")
+                    .append(i)
+                    .append("\",\"deadline\":")
+                    .append(deadline)
+                    .append(",\"effect\":\"")
+                    .append(one(random, "repeatable", "once", "by_key"))
+                    .append("\",\"key_scope\":\"")
+                    .append(one(random, "all", "zone", "cell"))
+                    .append('"');
             if (random.nextBoolean()) {
                 classes.append(",\"objective\":").append(Math.max(1, deadline / one(random, 1, 2, 1000)));
             }
             if (random.nextBoolean()) {
                 classes.append(",\"window\":").append(one(random, 0, 1, 9 * MS, 20 * MS, SECOND, EVER));
             }
-            classes.append(",\"points\":").append(one(random, "0", "1", "1e300")).append(",\"late_worth\":")
-                .append(one(random, "0", "0.5", "1e300")).append('}');
+            classes.append(",\"points\":")
+                    .append(one(random, "0", "1", "1e300"))
+                    .append(",\"late_worth\":")
+                    .append(one(random, "0", "0.5", "1e300"))
+                    .append('}');
         }
         StringBuilder tenants = new StringBuilder();
         int orgs = (int) one(random, 0, 1, 20);
         for (int i = 0; i < orgs; i++) {
-            tenants.append(i == 0 ? "" : ",").append("{\"name\":\"t").append(i).append("\",\"portion\":").append(one(random, "0", "0.05", "1"))
-                .append(random.nextBoolean() ? "" : ",\"allowance_per_s\":" + one(random, "0", "0.1", "1e308")).append('}');
-        }
-        String settings = "{\"balancers\":" + one(random, 0, 1, 100, Integer.MAX_VALUE) + ",\"me\":" + one(random, 0, 99, Integer.MAX_VALUE)
-            + ",\"layer\":" + tier + ",\"zone\":\"" + one(random, "", "z0", "z9") + "\",\"discovery\":\"" + one(random, "on_request", "pushed")
-            + "\",\"tick\":" + one(random, 1, 5 * MS, SECOND, EVER) + ",\"accounts\":[" + tenants + "],\"classes\":[" + classes + "],\"caps\":{"
-            + "\"cancel\":" + random.nextBoolean() + ",\"retry_after\":" + random.nextBoolean() + ",\"max_attempts\":"
-            + one(random, 1, 1, 2, 3, 1000) + ",\"max_open\":" + one(random, 0, 1, 5, Integer.MAX_VALUE) + ",\"connect_timeout\":"
-            + one(random, 0, 1, 200 * MS, EVER) + ",\"conn_idle\":" + one(random, 1, 50 * MS, EVER)
-            + ",\"max_retry_after\":" + one(random, 0, 1, EVER)
-            + "},\"obligations\":{" + (random.nextInt(3) == 0 ? "" : "\"ask_every\":" + one(random, 0, 1, 10 * MS, 3600 * SECOND, EVER) + ",")
-            + "\"cold_from\":" + one(random, "0", "0.3", "1", "1e300") + ",\"warm_up\":" + one(random, 0, 1, SECOND, EVER)
-            + ",\"fall\":" + one(random, 0, 1, SECOND, EVER) + ",\"fall_multiple\":" + one(random, "0", "1", "3", "1e300") + ",\"drain_grace\":0},"
-            + "\"goal\":{\"whole\":" + one(random, "0", "1") + "},\"prices\":{\"cross_zone\":" + one(random, "0", "0.2", "1e300") + "}}";
-        String limits = random.nextInt(3) == 0 ? "" : "\"limits\":{\"sockets\":" + one(random, 1, 256, 1 << 20)
-            + ",\"memory_mb\":" + one(random, 1, 32, 4096) + "},";
+            tenants.append(i == 0 ? "" : ",")
+                    .append("{\"name\":\"t")
+                    .append(i)
+                    .append("\",\"portion\":")
+                    .append(one(random, "0", "0.05", "1"))
+                    .append(random.nextBoolean() ? "" : ",\"allowance_per_s\":" + one(random, "0", "0.1", "1e308"))
+                    .append('}');
+        }
+        String settings = "{\"balancers\":" + one(random, 0, 1, 100, Integer.MAX_VALUE) + ",\"me\":"
+                + one(random, 0, 99, Integer.MAX_VALUE)
+                + ",\"layer\":" + tier + ",\"zone\":\"" + one(random, "", "z0", "z9") + "\",\"discovery\":\""
+                + one(random, "on_request", "pushed")
+                + "\",\"tick\":" + one(random, 1, 5 * MS, SECOND, EVER) + ",\"accounts\":[" + tenants
+                + "],\"classes\":[" + classes + "],\"caps\":{"
+                + "\"cancel\":" + random.nextBoolean() + ",\"retry_after\":" + random.nextBoolean()
+                + ",\"max_attempts\":"
+                + one(random, 1, 1, 2, 3, 1000) + ",\"max_open\":" + one(random, 0, 1, 5, Integer.MAX_VALUE)
+                + ",\"connect_timeout\":"
+                + one(random, 0, 1, 200 * MS, EVER) + ",\"conn_idle\":" + one(random, 1, 50 * MS, EVER)
+                + ",\"max_retry_after\":" + one(random, 0, 1, EVER)
+                + "},\"obligations\":{"
+                + (random.nextInt(3) == 0
+                        ? ""
+                        : "\"ask_every\":" + one(random, 0, 1, 10 * MS, 3600 * SECOND, EVER) + ",")
+                + "\"cold_from\":" + one(random, "0", "0.3", "1", "1e300") + ",\"warm_up\":"
+                + one(random, 0, 1, SECOND, EVER)
+                + ",\"fall\":" + one(random, 0, 1, SECOND, EVER) + ",\"fall_multiple\":"
+                + one(random, "0", "1", "3", "1e300") + ",\"drain_grace\":0},"
+                + "\"goal\":{\"whole\":" + one(random, "0", "1") + "},\"prices\":{\"cross_zone\":"
+                + one(random, "0", "0.2", "1e300") + "}}";
+        String limits = random.nextInt(3) == 0
+                ? ""
+                : "\"limits\":{\"sockets\":" + one(random, 1, 256, 1 << 20) + ",\"memory_mb\":"
+                        + one(random, 1, 32, 4096) + "},";
         Path file = folder.resolve("balancer.json");
-        Files.writeString(file, "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"seed\":\""
-            + Long.toHexString(random.nextLong())
-            + "\"," + limits + "\"settings\":" + settings + "}");
+        Files.writeString(
+                file,
+                "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"seed\":\""
+                        + Long.toHexString(random.nextLong())
+                        + "\"," + limits + "\"settings\":" + settings + "}");
         Configuration read = Configuration.read(file);
         Bounds bounds = read.bounds();
-        assertTrue(bounds.clientConnections() >= 16 && bounds.serverConnections() >= 16 && bounds.window() >= 8192 && bounds.window() <= Bounds.BODY);
+        assertTrue(bounds.clientConnections() >= 16
+                && bounds.serverConnections() >= 16
+                && bounds.window() >= 8192
+                && bounds.window() <= Bounds.BODY);
         assertEquals(count, read.settings().classes().size());
         assertEquals(orgs, read.settings().tenants().size());
         return read;
     }
 
-    private record Due(long at, long number, Runnable what) { }
+    private record Due(long at, long number, Runnable what) {}
 
     private static final class Session {
         final RequestClass of;
@@ -192,7 +231,8 @@
         final Map<Long, Session> sessions = new TreeMap<>();
         final Map<String, Backend> listed = new HashMap<>();
         final List<Try> out = new ArrayList<>();
-        final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
+        final PriorityQueue<Due> due =
+                new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
         Succession succession;
         long now = 1_700_000_000L * SECOND;
         long number;
@@ -217,8 +257,11 @@
                 if (dice < 45) {
                     arrive();
                 } else if (dice < 75 && !out.isEmpty()) {
-                    end(out.get(random.nextInt(out.size())), random.nextInt(3) > 0 ? Outcome.OK
-                        : Outcome.values()[random.nextInt(Outcome.values().length)]);
+                    end(
+                            out.get(random.nextInt(out.size())),
+                            random.nextInt(3) > 0
+                                    ? Outcome.OK
+                                    : Outcome.values()[random.nextInt(Outcome.values().length)]);
                 } else if (dice < 80) {
                     relist();
                 } else if (dice < 82 && !out.isEmpty()) {
@@ -249,7 +292,9 @@
                     tell(new ClientGone(id));
                 }
             });
-            list(new Backend("b0", "z0", 0, 1, BackendState.READY, 0, "k"), new Backend("b1", "z1", 1, 1, BackendState.READY, 0, "k"));
+            list(
+                    new Backend("b0", "z0", 0, 1, BackendState.READY, 0, "k"),
+                    new Backend("b1", "z1", 1, 1, BackendState.READY, 0, "k"));
             for (int i = 0; i < succession.current().classes().size(); i++) {
                 pass(11 * SECOND);
                 int before = sends;
@@ -262,7 +307,10 @@
         private void arrive() {
             List<RequestClass> classes = succession.current().classes();
             long deadline = Math.min(classes.get(random.nextInt(classes.size())).deadline(), 60 * SECOND);
-            arrive(random.nextInt(classes.size()), Math.max(0, deadline - one(random, 0, 0, 0, 15 * MS, SECOND)), random.nextInt(5) == 0);
+            arrive(
+                    random.nextInt(classes.size()),
+                    Math.max(0, deadline - one(random, 0, 0, 0, 15 * MS, SECOND)),
+                    random.nextInt(5) == 0);
         }
 
         private void arrive(int current, long left, boolean again) {
@@ -273,7 +321,8 @@
             int tenant = tenants == 0 ? -1 : succession.tenantIndex("t" + random.nextInt(tenants), now);
             assertTrue(tenants == 0 || tenant >= 0);
             long id = next++;
-            Session s = new Session(of, now + left, succession.current().limits().maxAttempts());
+            Session s =
+                    new Session(of, now + left, succession.current().limits().maxAttempts());
             sessions.put(id, s);
             tell(new Arrival(id, index, tenant, null, left, again));
             if (left == 0) {
@@ -305,8 +354,14 @@
             int servers = kind == ListKind.UNAVAILABLE ? 0 : (int) one(random, 0, 1, 3, 40);
             for (int i = 0; i < servers; i++) {
                 long started = one(random, 0, 0, now - SECOND, now, now + SECOND, -SECOND, now + EVER / 100);
-                entries.add(new Backend("b" + i, "z" + i % 3, i / 2, one(random, 1, 1, 0, -1, 1000),
-                    BackendState.values()[random.nextInt(3)], started, "k"));
+                entries.add(new Backend(
+                        "b" + i,
+                        "z" + i % 3,
+                        i / 2,
+                        one(random, 1, 1, 0, -1, 1000),
+                        BackendState.values()[random.nextInt(3)],
+                        started,
+                        "k"));
             }
             if (kind == ListKind.FULL || kind == ListKind.RESTORED) {
                 listed.clear();
@@ -354,8 +409,13 @@
             if (first != null) {
                 assertTrue(s.of.effect() != Effect.ONCE, "once sent twice");
                 assertTrue(s.of.effect() == Effect.REPEATABLE || now - first.sentAt < s.of.window(), "past the window");
-                assertTrue(s.of.effect() == Effect.REPEATABLE || s.of.scope() == KeyScope.ALL || (s.of.scope() == KeyScope.ZONE
-                    ? first.to.zone().equals(to.zone()) : first.to.cell() == to.cell()), "outside the group");
+                assertTrue(
+                        s.of.effect() == Effect.REPEATABLE
+                                || s.of.scope() == KeyScope.ALL
+                                || (s.of.scope() == KeyScope.ZONE
+                                        ? first.to.zone().equals(to.zone())
+                                        : first.to.cell() == to.cell()),
+                        "outside the group");
             }
             sends++;
             Try t = new Try(s, request, s.tries.size(), to, now);
@@ -372,9 +432,14 @@
         public void refuse(long request, long retryAfter) {
             Session s = answered(request);
             Limits limits = succession.current().limits();
-            assertTrue(retryAfter == (limits.retryAfter() ? limits.maxRetryAfter() : 0), "told to stay away though nothing may be told");
-            assertTrue(s.of.effect() == Effect.REPEATABLE || s.tries.stream().allMatch(t -> t.neverRan)
-                || s.of.effect() == Effect.KEYED && s.of.scope() == KeyScope.ALL, "harmful refusal");
+            assertTrue(
+                    retryAfter == (limits.retryAfter() ? limits.maxRetryAfter() : 0),
+                    "told to stay away though nothing may be told");
+            assertTrue(
+                    s.of.effect() == Effect.REPEATABLE
+                            || s.tries.stream().allMatch(t -> t.neverRan)
+                            || s.of.effect() == Effect.KEYED && s.of.scope() == KeyScope.ALL,
+                    "harmful refusal");
         }
 
         @Override
@@ -404,15 +469,16 @@
         public void timer(long delay, int purpose, long subject) {
             assertTrue(delay > 0, "a timer that is due at once, for ever");
             if (purpose == HELD) {
-                assertTrue(delay >= 10 * MS || sessions.get(subject).shortHolds++ == 0, "the decision thread does nothing but look at what it holds");
+                assertTrue(
+                        delay >= 10 * MS || sessions.get(subject).shortHolds++ == 0,
+                        "the decision thread does nothing but look at what it holds");
                 assertTrue(delay <= 100 * MS, "held though a server may have come");
             }
             at(now + delay, () -> tell(new Timer(purpose, subject)));
         }
 
         @Override
-        public void subscribe(boolean on) {
-        }
+        public void subscribe(boolean on) {}
 
         @Override
         public void fetchList() {
@@ -425,8 +491,7 @@
         }
 
         @Override
-        public void closeIdle(String backend) {
-        }
+        public void closeIdle(String backend) {}
 
         @Override
         public void tell(int peer, byte[] bytes) {
@@ -434,7 +499,6 @@
         }
 
         @Override
-        public void log(String text) {
-        }
+        public void log(String text) {}
     }
 }
--- a/balancer/src/test/java/calicochute/settings/SuccessionTest.java
+++ b/balancer/src/test/java/calicochute/settings/SuccessionTest.java
@@ -25,10 +25,23 @@
     }
 
     private static Settings settings(List<RequestClass> classes, String... tenants) {
-        return new Settings(1, 0, 1, 0, false, true, true, "z", 1, 1, List.of(), classes,
-            java.util.Arrays.stream(tenants).map(t -> new Tenant(t, 1, 1)).toList(),
-            new Limits(true, false, false, false, true, 3, 9, 1, 1, 1), new Rules(1, 1, 1, 1, 1, 1, 1),
-            new Goal(1, 0, 0, 0, 0, 0, 0));
+        return new Settings(
+                1,
+                0,
+                1,
+                0,
+                false,
+                true,
+                true,
+                "z",
+                1,
+                1,
+                List.of(),
+                classes,
+                java.util.Arrays.stream(tenants).map(t -> new Tenant(t, 1, 1)).toList(),
+                new Limits(true, false, false, false, true, 3, 9, 1, 1, 1),
+                new Rules(1, 1, 1, 1, 1, 1, 1),
+                new Goal(1, 0, 0, 0, 0, 0, 0));
     }
 
     /** Whatever files follow each other, an index once given means the same class for ever. */
@@ -41,11 +54,14 @@
         for (Set<Integer> file : files) {
             Succession before = now;
             // Three names, each under one of two rules; a name once in a file.
-            List<RequestClass> classes = file.stream().filter(i -> i < 3 || !file.contains(i - 3))
-                .map(i -> cls(List.of("a", "b", "c").get(i % 3), i < 3 ? Effect.ONCE : Effect.REPEATABLE)).toList();
+            List<RequestClass> classes = file.stream()
+                    .filter(i -> i < 3 || !file.contains(i - 3))
+                    .map(i -> cls(List.of("a", "b", "c").get(i % 3), i < 3 ? Effect.ONCE : Effect.REPEATABLE))
+                    .toList();
             time += Succession.GRACE / 2;
             now = before.next(settings(classes), time);
-            assertEquals(before.classes(), now.classes().subList(0, before.classes().size()));
+            assertEquals(
+                    before.classes(), now.classes().subList(0, before.classes().size()));
             for (RequestClass c : classes) {
                 assertEquals(c, now.classes().get(now.classIndex(c.name(), time)));
             }
@@ -63,7 +79,8 @@
         assertEquals(-1, next.classIndex("b", 100 + Succession.GRACE));
         Succession third = next.next(settings(List.of(cls("a", Effect.REPEATABLE))), 200);
         assertEquals(-1, third.classIndex("b", 100 + Succession.GRACE), "a further file gives no further grace");
-        assertEquals(1, third.next(settings(List.of(cls("b", Effect.KEYED))), 300).classIndex("b", 1L << 60));
+        assertEquals(
+                1, third.next(settings(List.of(cls("b", Effect.KEYED))), 300).classIndex("b", 1L << 60));
     }
 
     /** Like a class: refused after the grace, as it would be after a restart, and let in again under its old index. */
@@ -75,7 +92,10 @@
         assertEquals(-1, next.tenantIndex("s", 100 + Succession.GRACE));
         Succession third = next.next(settings(List.of(cls("a", Effect.ONCE)), "t"), 200);
         assertEquals(-1, third.tenantIndex("s", 100 + Succession.GRACE), "a further file gives no further grace");
-        assertEquals(0, third.next(settings(List.of(cls("a", Effect.ONCE)), "t", "s"), 300).tenantIndex("s", 1L << 60));
+        assertEquals(
+                0,
+                third.next(settings(List.of(cls("a", Effect.ONCE)), "t", "s"), 300)
+                        .tenantIndex("s", 1L << 60));
     }
 
     /** What the platform goes by when it ends a process: not a longer deadline that the file no longer has. */
@@ -85,14 +105,16 @@
         RequestClass quick = new RequestClass("slow", Effect.ONCE, KeyScope.ALL, 1, 1, 7, 1, 0, false);
         Succession first = Succession.of(settings(List.of(slow, cls("a", Effect.ONCE))));
         assertEquals(900, first.longestDeadline());
-        assertEquals(7, first.next(settings(List.of(quick, cls("a", Effect.ONCE))), 0).longestDeadline());
+        assertEquals(
+                7,
+                first.next(settings(List.of(quick, cls("a", Effect.ONCE))), 0).longestDeadline());
         assertEquals(1, first.next(settings(List.of(cls("a", Effect.ONCE))), 0).longestDeadline());
     }
 
     @Test
     void aTenantKeepsItsIndex() throws SettingsException {
         Succession next = Succession.of(settings(List.of(cls("a", Effect.ONCE)), "s", "t"))
-            .next(settings(List.of(cls("a", Effect.ONCE)), "t", "u"), 0);
+                .next(settings(List.of(cls("a", Effect.ONCE)), "t", "u"), 0);
         assertEquals(1, next.tenantIndex("t", 0));
         assertEquals(2, next.tenantIndex("u", 0));
         assertEquals(3, next.forModule().tenants().size());
--- a/balancer/src/test/java/calicochute/wire/HostTest.java
+++ b/balancer/src/test/java/calicochute/wire/HostTest.java
@@ -3,16 +3,16 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
+import calicochute.decision.Balancer;
+import calicochute.decision.Balancer.Actions;
+import calicochute.decision.Balancer.Event;
+import calicochute.decision.Balancer.Settings;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import calicochute.decision.Balancer;
-import calicochute.decision.Balancer.Actions;
-import calicochute.decision.Balancer.Event;
-import calicochute.decision.Balancer.Settings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -20,9 +20,9 @@
 /** The wire: every event read, every action written, malformed input named. */
 class HostTest {
     private static final String BORN = "born i=proxy/1 nonce64=5 me=1 balancers=4 layer=1 discovery=on_request"
-        + " classes.count=1 classes.0.name=read classes.0.effect=by_key classes.0.key_scope=zone"
-        + " classes.0.window=500 classes.0.objective=200 classes.0.deadline=900 classes.0.points=2.5"
-        + " accounts.count=1 accounts.0.name=t caps.max_attempts=3 caps.second_copies=true brand.new=1\n";
+            + " classes.count=1 classes.0.name=read classes.0.effect=by_key classes.0.key_scope=zone"
+            + " classes.0.window=500 classes.0.objective=200 classes.0.deadline=900 classes.0.points=2.5"
+            + " accounts.count=1 accounts.0.name=t caps.max_attempts=3 caps.second_copies=true brand.new=1\n";
     private final List<Event> events = new ArrayList<>();
     private Settings settings;
 
@@ -55,9 +55,10 @@
     private String talk(String input) throws IOException, WireException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new Host(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, s -> {
-            settings = s;
-            return new Recorder();
-        }).run();
+                    settings = s;
+                    return new Recorder();
+                })
+                .run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -75,27 +76,32 @@
         assertEquals(true, settings.subscribes());
         assertEquals(3, settings.limits().maxAttempts());
         assertEquals(false, settings.passesDeadline());
-        assertEquals(new Balancer.RequestClass("read", Balancer.Effect.KEYED, Balancer.KeyScope.ZONE, 500, 200, 900,
-            2.5, 0, false), settings.classes().get(0));
+        assertEquals(
+                new Balancer.RequestClass(
+                        "read", Balancer.Effect.KEYED, Balancer.KeyScope.ZONE, 500, 200, 900, 2.5, 0, false),
+                settings.classes().get(0));
     }
 
     @Test
     void everyEventIsTranslated() throws Exception {
         talk("batch time=1\n" + BORN
-            + "directory slot=3 lines=1\nrow backend=b1 zone=z cluster=2 capacity_hint=1.5 state=terminating machine=k\n"
-            + "discovery i=proxy/1 scope=restored seq_no=4 slot=3\n"
-            + "directory slot=3 lines=0\n"
-            + "discovery i=proxy/1 scope=update slot=3\n"
-            + "discovery i=proxy/1 scope=unavailable\n"
-            + "ring i=proxy/1 label=2:000000000000000a\n"
-            + "streaming i=proxy/1 xid=00000000000000ff wait_time=9 backend=b1 seq_no=1\n"
-            + "outcome seq_no=2 i=proxy/1 xid=ffffffffffffffff backend=b1 done_flag=1 state_code=5 wait_time=7"
-            + " metrics=1,2.5 later=x\n"
-            + "probe_done i=proxy/1 backend=b1 state_code=0 wait_time=14\n"
-            + "note_from i=proxy/1 sender=2 bytes=aGkgNw==\n"
-            + "commit\n");
-        assertEquals(new Balancer.BackendList(Balancer.ListKind.RESTORED, List.of(new Balancer.Backend("b1", "z", 2, 1.5,
-            Balancer.BackendState.DRAINING, 0, "k"))), events.get(0));
+                + "directory slot=3 lines=1\nrow backend=b1 zone=z cluster=2 capacity_hint=1.5 state=terminating machine=k\n"
+                + "discovery i=proxy/1 scope=restored seq_no=4 slot=3\n"
+                + "directory slot=3 lines=0\n"
+                + "discovery i=proxy/1 scope=update slot=3\n"
+                + "discovery i=proxy/1 scope=unavailable\n"
+                + "ring i=proxy/1 label=2:000000000000000a\n"
+                + "streaming i=proxy/1 xid=00000000000000ff wait_time=9 backend=b1 seq_no=1\n"
+                + "outcome seq_no=2 i=proxy/1 xid=ffffffffffffffff backend=b1 done_flag=1 state_code=5 wait_time=7"
+                + " metrics=1,2.5 later=x\n"
+                + "probe_done i=proxy/1 backend=b1 state_code=0 wait_time=14\n"
+                + "note_from i=proxy/1 sender=2 bytes=aGkgNw==\n"
+                + "commit\n");
+        assertEquals(
+                new Balancer.BackendList(
+                        Balancer.ListKind.RESTORED,
+                        List.of(new Balancer.Backend("b1", "z", 2, 1.5, Balancer.BackendState.DRAINING, 0, "k"))),
+                events.get(0));
         assertEquals(new Balancer.BackendList(Balancer.ListKind.CHANGES, List.of()), events.get(1));
         assertEquals(new Balancer.BackendList(Balancer.ListKind.UNAVAILABLE, List.of()), events.get(2));
         assertEquals(new Balancer.Timer(2, 10), events.get(3));
@@ -110,23 +116,26 @@
 
     @Test
     void everyActionIsWritten() throws Exception {
-        String reply = talk("batch time=1\n" + BORN
-            + "arrival i=proxy/1 xid=00ab000000000001 band=read billing=t affinity=k:1 patience_left=9 cost=3\ncommit\n");
+        String reply = talk(
+                "batch time=1\n" + BORN
+                        + "arrival i=proxy/1 xid=00ab000000000001 band=read billing=t affinity=k:1 patience_left=9 cost=3\ncommit\n");
         String at = " i=proxy/1";
         String xid = " xid=00ab000000000001";
-        assertEquals("relay" + at + xid + " backend=b1 within=80\n"
-            + "relay" + at + xid + " backend=b2\n"
-            + "say_no" + at + xid + " wait=250\n"
-            + "surrender" + at + xid + "\n"
-            + "undo_send" + at + xid + " seq_no=1\n"
-            + "remind" + at + " offset=500 label=2:ffffffffffffffff\n"
-            + "stream_changes" + at + " want=1\n"
-            + "snapshot" + at + "\n"
-            + "touch" + at + " backend=b1\n"
-            + "free_links" + at + " backend=b2\n"
-            + "broadcast_to" + at + " neighbour_id=-1 bytes=aGkgNw==\n"
-            + "broadcast_to" + at + " neighbour_id=2 bytes=-\n"
-            + "debug" + at + " body_text=two servers known\nnext\n", reply);
+        assertEquals(
+                "relay" + at + xid + " backend=b1 within=80\n"
+                        + "relay" + at + xid + " backend=b2\n"
+                        + "say_no" + at + xid + " wait=250\n"
+                        + "surrender" + at + xid + "\n"
+                        + "undo_send" + at + xid + " seq_no=1\n"
+                        + "remind" + at + " offset=500 label=2:ffffffffffffffff\n"
+                        + "stream_changes" + at + " want=1\n"
+                        + "snapshot" + at + "\n"
+                        + "touch" + at + " backend=b1\n"
+                        + "free_links" + at + " backend=b2\n"
+                        + "broadcast_to" + at + " neighbour_id=-1 bytes=aGkgNw==\n"
+                        + "broadcast_to" + at + " neighbour_id=2 bytes=-\n"
+                        + "debug" + at + " body_text=two servers known\nnext\n",
+                reply);
         assertEquals(new Balancer.Arrival(0x00ab000000000001L, 0, 0, "k:1", 9, false), events.get(0));
     }
 
@@ -138,11 +147,26 @@
         for (int step = 0; step < 60; step++) {
             String mine = step == 0 ? BORN + list("proxy/1") : arrival("proxy/1", step);
             String other = step == 0 ? BORN.replace("proxy/1", "proxy/2") + list("proxy/2") : arrival("proxy/2", step);
-            alone.append("batch time=").append(step * 1000).append('\n').append(mine).append("commit\n");
-            shared.append("batch time=").append(step * 1000).append('\n').append(other).append(mine).append("commit\n");
+            alone.append("batch time=")
+                    .append(step * 1000)
+                    .append('\n')
+                    .append(mine)
+                    .append("commit\n");
+            shared.append("batch time=")
+                    .append(step * 1000)
+                    .append('\n')
+                    .append(other)
+                    .append(mine)
+                    .append("commit\n");
         }
-        List<String> apart = real(alone.toString()).lines().filter(l -> l.contains("proxy/1")).toList();
-        List<String> together = real(shared.toString()).lines().filter(l -> l.contains("proxy/1")).toList();
+        List<String> apart = real(alone.toString())
+                .lines()
+                .filter(l -> l.contains("proxy/1"))
+                .toList();
+        List<String> together = real(shared.toString())
+                .lines()
+                .filter(l -> l.contains("proxy/1"))
+                .toList();
         assertEquals(apart, together);
         assertEquals(true, apart.size() >= 59);
     }
@@ -178,54 +202,61 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "hello|line 1: expected batch, got 'hello'",
-        "batch|line 1: batch lacks time",
-        "batch time=x1|line 1: time is not a whole number: 'x1'",
-        "batch time=1;halt i=proxy/1|line 3: input ends inside a batch",
-        "batch time=1;dance i=proxy/1;commit|line 2: unknown event 'dance'",
-        "batch time=1;ring i=proxy/9 label=1:00;commit|line 2: ring for proxy/9, which is not running",
-        "batch time=1;BORN;ring i=proxy/1 label=sweep;commit|line 3: label is none of ours: 'sweep'",
-        "batch time=1;BORN;ring label=1:00;commit|line 3: ring lacks i",
-        "batch time=1;BORN;arrival i=proxy/1 xid=12 band=read patience_left=5;commit"
-            + "|line 3: xid is not 16 hex digits: '12'",
-        "batch time=1;BORN;arrival i=proxy/1 xid=0000000000000001 band=odd patience_left=5;commit"
-            + "|line 3: unknown band 'odd'",
-        "batch time=1;BORN;arrival i=proxy/1 xid=0000000000000001 band=read;commit"
-            + "|line 3: arrival lacks patience_left",
-        "batch time=1;BORN;outcome i=proxy/1 xid=0000000000000001 backend=b state_code=8;commit"
-            + "|line 3: state_code is not 0 to 7: '8'",
-        "batch time=1;BORN;outcome i=proxy/1 xid=0000000000000001 backend=b state_code=0 done_flag=2;commit"
-            + "|line 3: done_flag is neither 0 nor 1: '2'",
-        "batch time=1;BORN;discovery i=proxy/1 scope=update slot=4;commit|line 3: slot names no directory: '4'",
-        "batch time=1;BORN;discovery i=proxy/1 scope=new slot=4;commit|line 3: unknown scope 'new'",
-        "batch time=1;directory slot=16 lines=0;commit|line 2: slot is not 0 to 15: '16'",
-        "batch time=1;directory slot=1 lines=2;row backend=b;commit|line 4: expected row 2 of 2, got 'commit'",
-        "batch time=1;directory slot=1 lines=1;row backend=b state=odd;commit|line 3: unknown state 'odd'",
-        "batch time=1;directory slot=1 lines=1;row backend=b capacity_hint=z;commit"
-            + "|line 3: capacity_hint is not a number: 'z'",
-        "batch time=1;born i=proxy/1;commit|line 2: born lacks nonce64",
-        "batch time=1;born i=proxy/1 nonce64=1 classes.count=1;commit|line 2: born lacks classes.0.name",
-        "batch time=1;born i=proxy/1 nonce64=1 me=x;commit|line 2: me is not a whole number: 'x'",
-        "batch time=1;halt proxy/1;commit|line 2: 'proxy/1' is not name=value",
-        "batch time=2;commit;batch time=1;commit|line 3: time goes back",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "hello|line 1: expected batch, got 'hello'",
+                "batch|line 1: batch lacks time",
+                "batch time=x1|line 1: time is not a whole number: 'x1'",
+                "batch time=1;halt i=proxy/1|line 3: input ends inside a batch",
+                "batch time=1;dance i=proxy/1;commit|line 2: unknown event 'dance'",
+                "batch time=1;ring i=proxy/9 label=1:00;commit|line 2: ring for proxy/9, which is not running",
+                "batch time=1;BORN;ring i=proxy/1 label=sweep;commit|line 3: label is none of ours: 'sweep'",
+                "batch time=1;BORN;ring label=1:00;commit|line 3: ring lacks i",
+                "batch time=1;BORN;arrival i=proxy/1 xid=12 band=read patience_left=5;commit"
+                        + "|line 3: xid is not 16 hex digits: '12'",
+                "batch time=1;BORN;arrival i=proxy/1 xid=0000000000000001 band=odd patience_left=5;commit"
+                        + "|line 3: unknown band 'odd'",
+                "batch time=1;BORN;arrival i=proxy/1 xid=0000000000000001 band=read;commit"
+                        + "|line 3: arrival lacks patience_left",
+                "batch time=1;BORN;outcome i=proxy/1 xid=0000000000000001 backend=b state_code=8;commit"
+                        + "|line 3: state_code is not 0 to 7: '8'",
+                "batch time=1;BORN;outcome i=proxy/1 xid=0000000000000001 backend=b state_code=0 done_flag=2;commit"
+                        + "|line 3: done_flag is neither 0 nor 1: '2'",
+                "batch time=1;BORN;discovery i=proxy/1 scope=update slot=4;commit|line 3: slot names no directory: '4'",
+                "batch time=1;BORN;discovery i=proxy/1 scope=new slot=4;commit|line 3: unknown scope 'new'",
+                "batch time=1;directory slot=16 lines=0;commit|line 2: slot is not 0 to 15: '16'",
+                "batch time=1;directory slot=1 lines=2;row backend=b;commit|line 4: expected row 2 of 2, got 'commit'",
+                "batch time=1;directory slot=1 lines=1;row backend=b state=odd;commit|line 3: unknown state 'odd'",
+                "batch time=1;directory slot=1 lines=1;row backend=b capacity_hint=z;commit"
+                        + "|line 3: capacity_hint is not a number: 'z'",
+                "batch time=1;born i=proxy/1;commit|line 2: born lacks nonce64",
+                "batch time=1;born i=proxy/1 nonce64=1 classes.count=1;commit|line 2: born lacks classes.0.name",
+                "batch time=1;born i=proxy/1 nonce64=1 me=x;commit|line 2: me is not a whole number: 'x'",
+                "batch time=1;halt proxy/1;commit|line 2: 'proxy/1' is not name=value",
+                "batch time=2;commit;batch time=1;commit|line 3: time goes back",
+            })
     void malformedInputIsNamedWithItsLine(String input, String message) {
         String lines = input.replace("BORN", BORN.trim()).replace(";", "\n") + "\n";
-        assertEquals(message, assertThrows(WireException.class, () -> talk(lines)).getMessage());
+        assertEquals(
+                message, assertThrows(WireException.class, () -> talk(lines)).getMessage());
     }
 
     @Test
     void inputCutInsideALineIsAnError() {
-        assertEquals("line 2: input ends in the middle of a line",
-            assertThrows(WireException.class, () -> talk("batch time=1\ncomm")).getMessage());
+        assertEquals(
+                "line 2: input ends in the middle of a line",
+                assertThrows(WireException.class, () -> talk("batch time=1\ncomm"))
+                        .getMessage());
     }
 
     @Test
     void veryLargeBatchesAreRead() throws Exception {
         StringBuilder batch = new StringBuilder("batch time=1\n" + BORN);
         for (int i = 0; i < 50_000; i++) {
-            batch.append("ring i=proxy/1 label=1:").append(Integer.toHexString(i)).append('\n');
+            batch.append("ring i=proxy/1 label=1:")
+                    .append(Integer.toHexString(i))
+                    .append('\n');
         }
         assertEquals("next\n", talk(batch + "commit\n"));
         assertEquals(50_000, events.size());
--- a/bandit/src/main/java/calicochute/bandit/Bandit.java
+++ b/bandit/src/main/java/calicochute/bandit/Bandit.java
@@ -15,10 +15,14 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** One balancer's reading of the fleet's outcomes: see the package. One thread; time is passed in; the same seed and calls give the same advice. */
+/**
+ * One balancer's reading of the fleet's outcomes: see the package. One thread; time is passed in; the same seed and
+ * calls give the same advice.
+ */
 public final class Bandit {
     /** A kind's level is no lower than this, lest one that is slow as a whole pass for a small one. */
     private static final double KIND_LEAST = -0.6;
+
     private static final double SICK_SPEED = 0.1;
     private final Setting setting;
     private final long seed;
@@ -53,10 +57,13 @@
                 known.put(l.id(), new Known(setting, l.startedAt(), k));
             }
         }
-        List<Row> rows = picture.rows(now).stream().filter(r -> now - (r.window() + 1) * setting.window() <= 4 * setting.age()).toList();
+        List<Row> rows = picture.rows(now).stream()
+                .filter(r -> now - (r.window() + 1) * setting.window() <= 4 * setting.age())
+                .toList();
         newest = rows.stream().mapToLong(Row::window).max().orElse(Long.MIN_VALUE);
         Map<String, TreeMap<Long, Sight>> sights = sights(rows);
-        known.forEach((server, k) -> k.see(now, sights.getOrDefault(server, new TreeMap<>()).values()));
+        known.forEach((server, k) ->
+                k.see(now, sights.getOrDefault(server, new TreeMap<>()).values()));
         judge();
         sights.forEach((server, of) -> known.get(server).health(of, level(server)));
         load(now, sights);
@@ -64,20 +71,25 @@
 
     private Map<String, TreeMap<Long, Sight>> sights(List<Row> rows) {
         Map<String, List<Double>> lanes = new HashMap<>();
-        rows.stream().filter(r -> r.clipped().speeds() > 0)
-            .forEach(r -> lanes.computeIfAbsent(r.subject().lane(), l -> new ArrayList<>()).add(Sight.log(r, setting)));
+        rows.stream()
+                .filter(r -> r.clipped().speeds() > 0)
+                .forEach(r -> lanes.computeIfAbsent(r.subject().lane(), l -> new ArrayList<>())
+                        .add(Sight.log(r, setting)));
         Map<String, Double> levels = new HashMap<>();
         lanes.forEach((lane, logs) -> levels.put(lane, middle(logs)));
         Map<String, TreeMap<Long, List<Row>>> by = new TreeMap<>();
         for (Row r : rows) {
             Known k = known.get(r.subject().server());
             if (k != null && k.startedAt == r.subject().startedAt()) {
-                by.computeIfAbsent(r.subject().server(), s -> new TreeMap<>()).computeIfAbsent(r.window(), w -> new ArrayList<>()).add(r);
+                by.computeIfAbsent(r.subject().server(), s -> new TreeMap<>())
+                        .computeIfAbsent(r.window(), w -> new ArrayList<>())
+                        .add(r);
             }
         }
         Map<String, TreeMap<Long, Sight>> sights = new TreeMap<>();
-        by.forEach((server, windows) -> windows.forEach((window, of) -> sights.computeIfAbsent(server, s -> new TreeMap<>())
-            .put(window, Sight.of(window, of, lane -> levels.getOrDefault(lane, 0.0), setting))));
+        by.forEach((server, windows) ->
+                windows.forEach((window, of) -> sights.computeIfAbsent(server, s -> new TreeMap<>())
+                        .put(window, Sight.of(window, of, lane -> levels.getOrDefault(lane, 0.0), setting))));
         return sights;
     }
 
@@ -97,7 +109,8 @@
         }
         kinds.clear();
         // A few servers say little of their kind: the fleet's level (0) stands for two more.
-        of.forEach((kind, logs) -> kinds.put(kind, Math.max(KIND_LEAST, middle(logs) * logs.size() / (logs.size() + 2.0))));
+        of.forEach((kind, logs) ->
+                kinds.put(kind, Math.max(KIND_LEAST, middle(logs) * logs.size() / (logs.size() + 2.0))));
         listed.forEach(l -> known.get(l.id()).judge(level(l.id()), 1));
     }
 
@@ -107,15 +120,31 @@
 
     /** The fleet's rate at a warm server, and how far each server's is from what its speed says. */
     private void load(long now, Map<String, TreeMap<Long, Sight>> sights) {
-        List<Listed> warm = listed.stream().filter(l -> l.ready() && !known.get(l.id()).sick
-            && (l.startedAt() <= 0 || now - l.startedAt() >= setting.warmUp()) && known.get(l.id()).dispatches > 0).toList();
-        double speeds = warm.stream().mapToDouble(l -> Math.exp(known.get(l.id()).mean)).average().orElse(1);
-        double all = warm.stream().mapToDouble(l -> known.get(l.id()).dispatches).average().orElse(0);
-        double windows = sights.values().stream().flatMap(s -> s.keySet().stream()).distinct()
-            .mapToDouble(w -> Math.exp(-(double) Math.max(0, now - (w + 1) * setting.window()) / setting.age())).sum();
+        List<Listed> warm = listed.stream()
+                .filter(l -> l.ready()
+                        && !known.get(l.id()).sick
+                        && (l.startedAt() <= 0 || now - l.startedAt() >= setting.warmUp())
+                        && known.get(l.id()).dispatches > 0)
+                .toList();
+        double speeds = warm.stream()
+                .mapToDouble(l -> Math.exp(known.get(l.id()).mean))
+                .average()
+                .orElse(1);
+        double all = warm.stream()
+                .mapToDouble(l -> known.get(l.id()).dispatches)
+                .average()
+                .orElse(0);
+        double windows = sights.values().stream()
+                .flatMap(s -> s.keySet().stream())
+                .distinct()
+                .mapToDouble(w -> Math.exp(-(double) Math.max(0, now - (w + 1) * setting.window()) / setting.age()))
+                .sum();
         warmRate = windows == 0 ? 0 : all / windows / (setting.window() / 1e6);
-        double fleet = windows == 0 ? 0 : known.values().stream().mapToDouble(k -> k.dispatches).sum() / windows / (setting.window() / 1e6);
-        long tried = known.values().stream().filter(k -> k.sick || k.samples < 1).count();
+        double fleet = windows == 0
+                ? 0
+                : known.values().stream().mapToDouble(k -> k.dispatches).sum() / windows / (setting.window() / 1e6);
+        long tried =
+                known.values().stream().filter(k -> k.sick || k.samples < 1).count();
         longer = tried * 1e6 / (setting.tryEvery() * Math.max(1e-9, fleet * setting.tryPart()));
         for (Listed l : warm) {
             Known k = known.get(l.id());
@@ -130,7 +159,11 @@
             return new Advices(List.of(), 0, share, until);
         }
         draw(Math.floorDiv(now, setting.window()));
-        double[] speeds = listed.stream().map(l -> known.get(l.id())).filter(k -> !k.sick).mapToDouble(k -> Math.exp(k.mean)).toArray();
+        double[] speeds = listed.stream()
+                .map(l -> known.get(l.id()))
+                .filter(k -> !k.sick)
+                .mapToDouble(k -> Math.exp(k.mean))
+                .toArray();
         double typical = Arrays.stream(speeds).average().orElse(1);
         List<Advice> of = new ArrayList<>();
         for (Listed l : listed) {
@@ -150,11 +183,19 @@
         double trouble = Math.max(0, Math.min(1, (Known.TROUBLE - below) / (Known.TROUBLE - Known.BROKEN)));
         double draw = draws.getOrDefault(l.id(), 0.0);
         // A share as the capacity: the softmax of 1 + tau ln x is as x.
-        double even = 1 + setting.tau() * (k.mean - Math.log(typical) + k.bias) + draw * Math.max(setting.width(), setting.tau() * k.width);
+        double even = 1
+                + setting.tau() * (k.mean - Math.log(typical) + k.bias)
+                + draw * Math.max(setting.width(), setting.tau() * k.width);
         double slow = Math.exp(k.mean + draw * k.width) / typical;
         double speed = ((1 - trouble) * even + trouble * slow) * k.success;
         boolean silent = k.samples < 1;
-        return new Advice(l.id(), l.startedAt(), Math.max(0, Math.min(3, speed)), k.worth(), false, silent && duty.mine(l.id(), now, longer, 1));
+        return new Advice(
+                l.id(),
+                l.startedAt(),
+                Math.max(0, Math.min(3, speed)),
+                k.worth(),
+                false,
+                silent && duty.mine(l.id(), now, longer, 1));
     }
 
     private void draw(long window) {
--- a/bandit/src/main/java/calicochute/bandit/Listed.java
+++ b/bandit/src/main/java/calicochute/bandit/Listed.java
@@ -7,4 +7,4 @@
  * @param kind what the operator calls servers that are alike; "" where it says nothing
  * @param ready whether new dispatches may go there
  */
-public record Listed(String id, long startedAt, String kind, String zone, double weight, boolean ready) { }
+public record Listed(String id, long startedAt, String kind, String zone, double weight, boolean ready) {}
--- a/bandit/src/main/java/calicochute/bandit/package-info.java
+++ b/bandit/src/main/java/calicochute/bandit/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What the fleet knows of each backend server, made into advice for one balancer's decision module; and who tries what. No I/O, no clock, no threads.
+ * What the fleet knows of each backend server, made into advice for one balancer's decision module; and who tries what.
+ * No I/O, no clock, no threads.
  *
  * <table>
  * <caption>Rules</caption>
--- a/bandit/src/test/java/calicochute/bandit/Adviser.java
+++ b/bandit/src/test/java/calicochute/bandit/Adviser.java
@@ -23,10 +23,14 @@
 
     static Adviser of(String rule, String me, long seed) {
         switch (rule) {
-            case "none": return new Plain(0, 0, 0);
-            case "epsilon": return new Plain(1, 0, 0.02);
-            case "ucb": return new Plain(1, 0.5, 0);
-            case "exp3": return new Exp3();
+            case "none":
+                return new Plain(0, 0, 0);
+            case "epsilon":
+                return new Plain(1, 0, 0.02);
+            case "ucb":
+                return new Plain(1, 0.5, 0);
+            case "exp3":
+                return new Exp3();
             default:
                 Bandit bandit = new Bandit(Setting.USUAL, me, seed);
                 return new Adviser() {
@@ -64,13 +68,20 @@
                 if (now - (r.window() + 4) * 2_000_000 <= 2_000_000) {
                     double[] sum = sums.computeIfAbsent(r.subject().server(), s -> new double[3]);
                     sum[0] += r.sum().total();
-                    sum[1] += Math.exp(r.sum().meanLogSpeed()) * (r.sum().of(End.IN_AIM) + r.sum().of(End.LATE));
+                    sum[1] += Math.exp(r.sum().meanLogSpeed())
+                            * (r.sum().of(End.IN_AIM) + r.sum().of(End.LATE));
                     all += r.sum().total();
                 }
             }
             double n = all;
             List<Advice> next = new ArrayList<>();
-            sums.forEach((s, sum) -> next.add(new Advice(s, 0, Math.min(3, sum[1] / sum[0] + bonus * Math.sqrt(Math.log(n) / sum[0])), sum[0], false, false)));
+            sums.forEach((s, sum) -> next.add(new Advice(
+                    s,
+                    0,
+                    Math.min(3, sum[1] / sum[0] + bonus * Math.sqrt(Math.log(n) / sum[0])),
+                    sum[0],
+                    false,
+                    false)));
             of = next;
         }
 
@@ -85,7 +96,10 @@
         }
     }
 
-    /** Weights by the fleet's importance-weighted rewards (speed up to 1), a tenth at random; the log of a weight is one of the softmax' odds. */
+    /**
+     * Weights by the fleet's importance-weighted rewards (speed up to 1), a tenth at random; the log of a weight is one
+     * of the softmax' odds.
+     */
     final class Exp3 implements Adviser {
         private final Map<String, Double> logs = new HashMap<>();
         private long seen = Long.MIN_VALUE;
@@ -100,12 +114,18 @@
                 seen = Math.max(seen, r.window());
                 if (r.window() > from) {
                     double p = 0.9 * Math.exp(logs.get(r.subject().server())) / total + 0.1 / many;
-                    double reward = r.sum().total() * Math.min(1, Math.exp(r.sum().meanLogSpeed())) * r.sum().speeds() / r.sum().total();
+                    double reward = r.sum().total()
+                            * Math.min(1, Math.exp(r.sum().meanLogSpeed()))
+                            * r.sum().speeds()
+                            / r.sum().total();
                     // A rate of 0.1 / many for each session of a server with an even share: fifteen or more a window.
                     logs.merge(r.subject().server(), Math.min(1, 0.002 * reward / (p * many)), Double::sum);
                 }
             }
-            double top = logs.values().stream().mapToDouble(Double::doubleValue).max().orElse(0);
+            double top = logs.values().stream()
+                    .mapToDouble(Double::doubleValue)
+                    .max()
+                    .orElse(0);
             logs.replaceAll((s, log) -> Math.max(-4, log - top));
         }
 
@@ -113,7 +133,13 @@
         public Advices advise(long now) {
             List<Advice> of = new ArrayList<>();
             double total = logs.values().stream().mapToDouble(Math::exp).sum();
-            logs.forEach((s, log) -> of.add(new Advice(s, 0, 1 + 0.04 * Math.log((0.9 * Math.exp(log) / total + 0.1 / logs.size()) * logs.size()), 200, false, false)));
+            logs.forEach((s, log) -> of.add(new Advice(
+                    s,
+                    0,
+                    1 + 0.04 * Math.log((0.9 * Math.exp(log) / total + 0.1 / logs.size()) * logs.size()),
+                    200,
+                    false,
+                    false)));
             return new Advices(of, 0, 1, now);
         }
     }
--- a/bandit/src/test/java/calicochute/bandit/BanditTest.java
+++ b/bandit/src/test/java/calicochute/bandit/BanditTest.java
@@ -124,9 +124,14 @@
     @Test
     void oneBadWitnessInAHundredMovesSharesByUnderTwoPercent() {
         Map<String, Seen> bad = Map.of(
-            "a third fails", (w, s, i) -> i < 99 ? usual(w, s, i) : s % 3 == 0 ? many(50, End.UNREACHABLE, Double.NaN) : many(2, End.IN_AIM, 0),
-            "a third is twenty times as fast", (w, s, i) -> i < 99 ? usual(w, s, i) : many(50, End.IN_AIM, s % 3 == 0 ? 3 : 0),
-            "a third is twenty times as slow", (w, s, i) -> i < 99 ? usual(w, s, i) : many(50, End.LATE, s % 3 == 0 ? -3 : 0));
+                "a third fails",
+                        (w, s, i) -> i < 99
+                                ? usual(w, s, i)
+                                : s % 3 == 0 ? many(50, End.UNREACHABLE, Double.NaN) : many(2, End.IN_AIM, 0),
+                "a third is twenty times as fast",
+                        (w, s, i) -> i < 99 ? usual(w, s, i) : many(50, End.IN_AIM, s % 3 == 0 ? 3 : 0),
+                "a third is twenty times as slow",
+                        (w, s, i) -> i < 99 ? usual(w, s, i) : many(50, End.LATE, s % 3 == 0 ? -3 : 0));
         bad.forEach((what, seen) -> {
             for (double samples : new double[] {0, 1, 12}) {
                 double moved = moved(seen, samples);
@@ -137,11 +142,14 @@
 
     @Test
     void aHundredThatAgreeAreBelievedAtOnceAndThoseThatDifferLess() {
-        Bandit agree = told("b1", rows(102, 102, 100, (w, s, i) -> s == 5 ? many(2, End.IN_AIM, -1.6) : usual(w, s, i)));
+        Bandit agree =
+                told("b1", rows(102, 102, 100, (w, s, i) -> s == 5 ? many(2, End.IN_AIM, -1.6) : usual(w, s, i)));
         Advice slow = advised(agree, NOW).get("s5");
         assertTrue(slow.sick() && slow.speed() < 0.3 && slow.worth() > 50, slow.toString());
         assertTrue(advised(agree, NOW).get("s4").worth() > 50);
-        Bandit differ = told("b1", rows(102, 102, 100, (w, s, i) -> s == 5 && i % 3 == 0 ? many(2, End.IN_AIM, -1.6) : usual(w, s, i)));
+        Bandit differ = told(
+                "b1",
+                rows(102, 102, 100, (w, s, i) -> s == 5 && i % 3 == 0 ? many(2, End.IN_AIM, -1.6) : usual(w, s, i)));
         Advice path = advised(differ, NOW).get("s5");
         assertTrue(!path.sick() && path.worth() < 5, path.toString());
     }
@@ -153,7 +161,11 @@
         for (int i = 0; i < 2; i++) {
             Bandit bandit = new Bandit(Setting.USUAL, "b1", 7);
             for (long w = 98; w <= 102; w++) {
-                bandit.heard((w + 2) * W, Pictures.of(rows(w - 2, w, 20, i == 0 ? crowded : BanditTest::usual)), fleet(20), listed(1));
+                bandit.heard(
+                        (w + 2) * W,
+                        Pictures.of(rows(w - 2, w, 20, i == 0 ? crowded : BanditTest::usual)),
+                        fleet(20),
+                        listed(1));
             }
             speeds[i] = advised(bandit, NOW).get("s3").speed();
         }
@@ -180,7 +192,6 @@
         return turns;
     }
 
-
     @Test
     void triesAreTheFleetsAndDoNotGrowWithIt() {
         for (int balancers : new int[] {30, 300}) {
@@ -214,7 +225,9 @@
         Bandit bandit = told("b1", rows(100, 102, 30, dead(5)));
         assertTrue(advised(bandit, NOW).get("s5").sick());
         // The return falls into the window: two tries failed and two went well.
-        Seen mixed = (w, s, i) -> s != 5 ? usual(w, s, i) : i >= 4 ? null : i < 2 ? Tally.of(End.RESET, Double.NaN) : Tally.of(End.IN_AIM, 0);
+        Seen mixed = (w, s, i) -> s != 5
+                ? usual(w, s, i)
+                : i >= 4 ? null : i < 2 ? Tally.of(End.RESET, Double.NaN) : Tally.of(End.IN_AIM, 0);
         bandit.heard(NOW + W, Pictures.of(rows(103, 103, 30, mixed)), fleet(30), listed(1));
         Advice back = advised(bandit, NOW + W).get("s5");
         assertTrue(!back.sick() && back.speed() > 0.93 && back.worth() > 3, back.toString());
@@ -254,7 +267,10 @@
         assertNotEquals(first, advised(one, NOW + W).get("s5").speed());
         Set<String> best = new HashSet<>();
         for (String me : fleet(40)) {
-            best.add(told(me, rows).advise(NOW).of().stream().max(java.util.Comparator.comparing(Advice::speed)).orElseThrow().server());
+            best.add(told(me, rows).advise(NOW).of().stream()
+                    .max(java.util.Comparator.comparing(Advice::speed))
+                    .orElseThrow()
+                    .server());
         }
         assertTrue(best.size() >= 3, "all on " + best);
     }
@@ -263,6 +279,8 @@
     void loadIsMoreEvenThanAloneInASimulatedFleet() {
         double[] alone = new Simulation("none", 30, 1).evenness();
         double[] advised = new Simulation("thompson", 30, 1).evenness();
-        assertTrue(advised[0] < 0.8 * alone[0] && advised[1] > alone[1] + 0.15, advised[0] + " " + advised[1] + " against " + alone[0] + " " + alone[1]);
+        assertTrue(
+                advised[0] < 0.8 * alone[0] && advised[1] > alone[1] + 0.15,
+                advised[0] + " " + advised[1] + " against " + alone[0] + " " + alone[1]);
     }
 }
--- a/bandit/src/test/java/calicochute/bandit/Chooser.java
+++ b/bandit/src/test/java/calicochute/bandit/Chooser.java
@@ -7,7 +7,10 @@
 import java.util.TreeMap;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** A simple stand-in of one balancer's decision module: aged speeds, softmax, its subset, own dispatches out; and how advice is used. */
+/**
+ * A simple stand-in of one balancer's decision module: aged speeds, softmax, its subset, own dispatches out; and how
+ * advice is used.
+ */
 final class Chooser {
     private static final double TAU = 0.04;
     private final UniformRandomProvider random;
--- a/bandit/src/test/java/calicochute/bandit/Simulation.java
+++ b/bandit/src/test/java/calicochute/bandit/Simulation.java
@@ -19,7 +19,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** A fleet in virtual time: thin uneven traffic, FIFO servers of two cores, rows 2 s after their window, a tenth of them missing at each reader. */
+/**
+ * A fleet in virtual time: thin uneven traffic, FIFO servers of two cores, rows 2 s after their window, a tenth of them
+ * missing at each reader.
+ */
 final class Simulation {
     static final int SERVERS = 60;
     static final double[] KINDS = {0.64, 0.8, 0.95, 1.1};
@@ -27,12 +30,14 @@
     private static final long WINDOW = 2_000_000;
     /** When a few servers become slow and well again: in each seed at another part of a window. */
     final long slow;
+
     final long well;
     final int balancers;
     final double base;
     final double[] capacity = new double[SERVERS];
     /** Dispatches by server and tenth of a second; latencies of sessions in the quiet part. */
     final int[][] sent = new int[SERVERS][(int) (OVER / STEP) + 1];
+
     final List<Double> latencies = new ArrayList<>();
     final List<Double> sickLatencies = new ArrayList<>();
     private final List<Listed> listed = new ArrayList<>();
@@ -42,7 +47,8 @@
     private final UniformRandomProvider service;
     private final UniformRandomProvider loss;
 
-    private record Event(long at, long number, int balancer, int server, long sentAt, boolean failed) implements Comparable<Event> {
+    private record Event(long at, long number, int balancer, int server, long sentAt, boolean failed)
+            implements Comparable<Event> {
         @Override
         public int compareTo(Event o) {
             return at != o.at ? Long.compare(at, o.at) : Long.compare(number, o.number);
@@ -92,8 +98,9 @@
             }
             if (e.server >= 0) {
                 double log = choosers[e.balancer].ended(e.at, e.server, e.sentAt, e.failed);
-                tallies.computeIfAbsent(e.sentAt / WINDOW, w -> new TreeMap<>()).computeIfAbsent(e.server, s -> new TreeMap<>())
-                    .merge(e.balancer, Tally.of(e.failed ? End.TIMED_OUT : End.IN_AIM, log), Tally::plus);
+                tallies.computeIfAbsent(e.sentAt / WINDOW, w -> new TreeMap<>())
+                        .computeIfAbsent(e.server, s -> new TreeMap<>())
+                        .merge(e.balancer, Tally.of(e.failed ? End.TIMED_OUT : End.IN_AIM, log), Tally::plus);
                 continue;
             }
             int s = choosers[e.balancer].pick(e.at, advisers[e.balancer].anywhere());
@@ -101,7 +108,8 @@
             sent[s][(int) (e.at / STEP)]++;
             long took = serve(e.at, s) - e.at;
             if (e.at > 20_000_000) {
-                (e.at < slow ? latencies : e.at < well ? sickLatencies : new ArrayList<Double>()).add(Math.min(took, DEADLINE) / 1e3);
+                (e.at < slow ? latencies : e.at < well ? sickLatencies : new ArrayList<Double>())
+                        .add(Math.min(took, DEADLINE) / 1e3);
             }
             events.add(new Event(e.at + Math.min(took, DEADLINE), number++, e.balancer, s, e.at, took > DEADLINE));
             events.add(new Event(e.at + gap(arrivals, rates[e.balancer]), number++, e.balancer, -1, 0, false));
@@ -131,11 +139,18 @@
             List<Row> rows = new ArrayList<>();
             tallies.forEach((w, of) -> {
                 if (w <= newest) {
-                    of.forEach((s, by) -> rows.add(Pictures.row(new Subject("server-" + s, 0, "lane", ""), w, by.values())));
+                    of.forEach((s, by) ->
+                            rows.add(Pictures.row(new Subject("server-" + s, 0, "lane", ""), w, by.values())));
                 }
             });
             for (Adviser a : advisers) {
-                a.heard(now, Pictures.of(rows.stream().filter(r -> loss.nextDouble() >= 0.1).toList()), live, listed);
+                a.heard(
+                        now,
+                        Pictures.of(rows.stream()
+                                .filter(r -> loss.nextDouble() >= 0.1)
+                                .toList()),
+                        live,
+                        listed);
             }
         }
         for (int b = 0; b < balancers; b++) {
@@ -160,13 +175,17 @@
 
     /** Greatest and least load by capacity, by the mean, over 10 s. */
     double[] evenness() {
-        return evenness(s -> new double[] {sent(x -> x == s, 20_000_000, 30_000_000), sent(x -> x == s, 30_000_000, 40_000_000)});
+        return evenness(s ->
+                new double[] {sent(x -> x == s, 20_000_000, 30_000_000), sent(x -> x == s, 30_000_000, 40_000_000)});
     }
 
     private double[] evenness(java.util.function.IntFunction<double[]> of) {
         double[] result = new double[2];
         for (int bin = 0; bin < 2; bin++) {
-            double all = 0, most = 0, least = Double.MAX_VALUE, room = Arrays.stream(capacity).sum();
+            double all = 0,
+                    most = 0,
+                    least = Double.MAX_VALUE,
+                    room = Arrays.stream(capacity).sum();
             for (int s = 0; s < SERVERS; s++) {
                 double many = of.apply(s)[bin];
                 all += many;
@@ -229,21 +248,33 @@
 
     /** The table of docs/bandit.md: three seeds each. */
     public static void main(String[] args) {
-        System.out.println("| balancers | rule | max/mean | min/mean | leaves (s) | returns (s) | tries a minute | p50/p99 quiet (ms) | p50/p99 slow (ms) |");
+        System.out.println(
+                "| balancers | rule | max/mean | min/mean | leaves (s) | returns (s) | tries a minute | p50/p99 quiet (ms) | p50/p99 slow (ms) |");
         for (int balancers : new int[] {30, 100, 300}) {
-            for (String rule : args.length > 0 ? args : new String[] {"chance", "none", "thompson", "ucb", "exp3", "epsilon"}) {
+            for (String rule :
+                    args.length > 0 ? args : new String[] {"chance", "none", "thompson", "ucb", "exp3", "epsilon"}) {
                 double[] sum = new double[9];
                 for (int seed = 1; seed <= 3; seed++) {
                     Simulation sim = new Simulation(rule.equals("chance") ? "none" : rule, balancers, seed);
                     double[] even = rule.equals("chance") ? sim.chance() : sim.evenness();
-                    double[] of = {even[0], even[1], sim.leaves(), sim.returns(), sim.tries(), quantile(sim.latencies, 0.5), quantile(sim.latencies, 0.99),
-                        quantile(sim.sickLatencies, 0.5), quantile(sim.sickLatencies, 0.99)};
+                    double[] of = {
+                        even[0],
+                        even[1],
+                        sim.leaves(),
+                        sim.returns(),
+                        sim.tries(),
+                        quantile(sim.latencies, 0.5),
+                        quantile(sim.latencies, 0.99),
+                        quantile(sim.sickLatencies, 0.5),
+                        quantile(sim.sickLatencies, 0.99)
+                    };
                     for (int i = 0; i < of.length; i++) {
                         sum[i] += of[i] / 3;
                     }
                 }
-                System.out.println(String.format("| %d | %s | %.2f | %.2f | %.1f | %.1f | %.0f | %.0f / %.0f | %.0f / %.0f |", balancers, rule, sum[0], sum[1], sum[2],
-                    sum[3], sum[4], sum[5], sum[6], sum[7], sum[8]));
+                System.out.println(String.format(
+                        "| %d | %s | %.2f | %.2f | %.1f | %.1f | %.0f | %.0f / %.0f | %.0f / %.0f |",
+                        balancers, rule, sum[0], sum[1], sum[2], sum[3], sum[4], sum[5], sum[6], sum[7], sum[8]));
             }
         }
     }
--- a/decision/src/main/java/calicochute/decision/Admission.java
+++ b/decision/src/main/java/calicochute/decision/Admission.java
@@ -1,8 +1,8 @@
 package calicochute.decision;
 
-import java.util.Arrays;
 import calicochute.decision.Balancer.Arrival;
 import calicochute.decision.Balancer.RequestClass;
+import java.util.Arrays;
 
 /** Who is taken in: a limit on open requests follows what answers take of their aim; worth ranks near it. */
 record Admission(Known known) {
@@ -10,6 +10,7 @@
     private static final double AIM_SHARE = 0.3;
     /** The least worthy request is refused this far below the limit. */
     private static final double WORTH_SPREAD = 0.3;
+
     private static final int LIMIT_MIN = 8;
     /** Least time between cuts of the limit. */
     private static final long CUT_GAP = 250_000;
@@ -21,7 +22,9 @@
         Seen seen = known.seen[e.classIndex()];
         long deadline = known.classes[e.classIndex()].deadline();
         boolean usual = Math.abs(e.timeLeft() - seen.patience) < deadline / 50;
-        if (!usual && seen.votes == 0) { seen.patience = e.timeLeft(); }
+        if (!usual && seen.votes == 0) {
+            seen.patience = e.timeLeft();
+        }
         seen.votes = Math.max(0, Math.min(seen.votes, MOST_VOTES) + (usual ? 1 : -1));
         boolean later = !usual && (known.settings.marksRetries() ? e.retry() : seen.votes > VOTES);
         return later ? Math.max(0, deadline - e.timeLeft()) : 0;
@@ -49,7 +52,9 @@
             double rate = known.settings.tenants().get(i).allowancePerSecond() / known.settings.balancers();
             tokens[i] = Math.min(Math.max(1, rate), tokens[i] + seconds * rate);
         }
-        if (tenant < 0 || tokens[tenant] < 1) { return tenant >= 0; }
+        if (tenant < 0 || tokens[tenant] < 1) {
+            return tenant >= 0;
+        }
         tokens[tenant] -= 1;
         return false;
     }
@@ -83,5 +88,7 @@
     }
 
     /** What has come in counts ever less. */
-    void age() { Arrays.setAll(known.arrivals, i -> known.arrivals[i] * 0.9); }
+    void age() {
+        Arrays.setAll(known.arrivals, i -> known.arrivals[i] * 0.9);
+    }
 }
--- a/decision/src/main/java/calicochute/decision/Attempt.java
+++ b/decision/src/main/java/calicochute/decision/Attempt.java
@@ -6,6 +6,7 @@
     final Server server;
     /** Its backend as it was listed then: one that has moved since remembers no key where it is now. */
     final Balancer.Backend to;
+
     final int number;
     long sentAt;
     boolean out = true, mayHaveRun = true, begun;
@@ -24,7 +25,15 @@
         out = false;
         mayHaveRun = !provesNotRun;
         server.out--;
-        if (older == null) { server.oldest = newer; } else { older.newer = newer; }
-        if (newer == null) { server.newest = older; } else { newer.older = older; }
+        if (older == null) {
+            server.oldest = newer;
+        } else {
+            older.newer = newer;
+        }
+        if (newer == null) {
+            server.newest = older;
+        } else {
+            newer.older = older;
+        }
     }
 }
--- a/decision/src/main/java/calicochute/decision/ColdStarts.java
+++ b/decision/src/main/java/calicochute/decision/ColdStarts.java
@@ -6,12 +6,14 @@
     private static final double CAUTION = 0.5;
 
     /**
-     * DANGER: everyone's first call at once topples a cold backend. Each spends what accrues of its own part,
-     * from a random start on, so that parts add up to the whole however many callers there are. What is left
-     * after a fall span lapses by whole sends: saved up by hundreds, it would come at once.
+     * DANGER: everyone's first call at once topples a cold backend. Each spends what accrues of its own part, from a
+     * random start on, so that parts add up to the whole however many callers there are. What is left after a fall span
+     * lapses by whole sends: saved up by hundreds, it would come at once.
      */
     boolean allows(Server s) {
-        if (!cold(s)) { return true; }
+        if (!cold(s)) {
+            return true;
+        }
         var rules = known.settings.rules();
         double age = Math.max(0.0, known.now - s.entry.startedAt()) / rules.warmUp();
         double warmth = rules.coldFrom() + (1 - rules.coldFrom()) * age;
@@ -24,13 +26,16 @@
 
     /** What a warm one of its size takes from here, or a mean one if less: idle ones may be listed large. */
     private double part(Server s) {
-        if (known.warmRate > 0) { return known.warmRate * Math.min(s.size(), known.warmSize); }
+        if (known.warmRate > 0) {
+            return known.warmRate * Math.min(s.size(), known.warmSize);
+        }
         // DANGER: where none was ever warm nothing tells what they bear, and nobody would be served. A tier
         // bears about what is asked of it while all its backends are there.
         return s.size() * known.askedRate * known.settings.balancers() / (known.callers * known.mostReady);
     }
 
     boolean cold(Server s) {
-        return s.entry.startedAt() > 0 && known.now < s.entry.startedAt() + known.settings.rules().warmUp();
+        return s.entry.startedAt() > 0
+                && known.now < s.entry.startedAt() + known.settings.rules().warmUp();
     }
 }
--- a/decision/src/main/java/calicochute/decision/Estimates.java
+++ b/decision/src/main/java/calicochute/decision/Estimates.java
@@ -1,8 +1,8 @@
 package calicochute.decision;
 
-import java.util.Arrays;
 import calicochute.decision.Balancer.AttemptEnded;
 import calicochute.decision.Balancer.Outcome;
+import java.util.Arrays;
 
 /** How fast each backend is. Times in microseconds, speeds relative to the class's latency (1 = typical). */
 record Estimates(Known known, ColdStarts coldStarts) {
@@ -42,7 +42,9 @@
         double usual = known.typical * (fleet != null ? fleet.speed() : careful && !s.polled ? UNKNOWN : 1);
         // DANGER: a path broken here alone is no matter of the fleet's: what failed here is not outweighed.
         double own = s.samples * keep;
-        if (fleet != null && s.speed >= SICK * known.typical) { keep *= own / (own + fleet.worth() + 1e-9); }
+        if (fleet != null && s.speed >= SICK * known.typical) {
+            keep *= own / (own + fleet.worth() + 1e-9);
+        }
         double speed = s.speed * keep + usual * (1 - keep);
         // DANGER: a hung backend keeps its score until time-outs; the age of what is out speaks sooner.
         return s.oldest == null ? speed : Math.min(speed, PATIENCE * bound(s.oldest));
@@ -56,10 +58,19 @@
 
     /** Takes in how an attempt ended; true where its backend failed it. */
     boolean learn(Attempt a, AttemptEnded e) {
-        if (e.outcome() == Outcome.OK && !a.begun) { answered(a, e.elapsed()); }
-        if (e.outcome() == Outcome.CONNECT_FAILED) { known.unconnectedAt = known.now; }
-        boolean failed = switch (e.outcome()) { case OK, CANCELLED, MOOT -> false; default -> true; };
-        if (failed) { blend(a.server, 0, ALPHA_FAIL); }
+        if (e.outcome() == Outcome.OK && !a.begun) {
+            answered(a, e.elapsed());
+        }
+        if (e.outcome() == Outcome.CONNECT_FAILED) {
+            known.unconnectedAt = known.now;
+        }
+        boolean failed = switch (e.outcome()) {
+            case OK, CANCELLED, MOOT -> false;
+            default -> true;
+        };
+        if (failed) {
+            blend(a.server, 0, ALPHA_FAIL);
+        }
         return failed;
     }
 
@@ -78,7 +89,9 @@
     /** DANGER: a silent backend has only its attempts' age against it: keep that when they are withdrawn. */
     void withdrawn(Attempt a) {
         double bound = bound(a);
-        if (Double.isFinite(bound)) { blend(a.server, Math.min(a.server.speed, bound), 0); }
+        if (Double.isFinite(bound)) {
+            blend(a.server, Math.min(a.server.speed, bound), 0);
+        }
     }
 
     private void blend(Server s, double speed, double atLeast) {
@@ -99,7 +112,10 @@
 
     /** Renews what is typical and how fast answers come; how many of the backends in use are sick. */
     int review(double seconds, double weight) {
-        var speeds = Arrays.stream(known.use).filter(s -> s.polled).mapToDouble(s -> s.speed).average();
+        var speeds = Arrays.stream(known.use)
+                .filter(s -> s.polled)
+                .mapToDouble(s -> s.speed)
+                .average();
         known.typical = Math.max(0.01, speeds.orElse(known.typical));
         var warm = Known.sizes(known.use, s -> !coldStarts.cold(s));
         // Where all are cold, what warm ones took is still the best guide.
@@ -111,6 +127,8 @@
         known.answerRate += weight * (known.allAnswers / seconds - known.answerRate);
         known.warmAnswers = known.allAnswers = known.asked = 0;
         double sick = known.typical * SICK;
-        return (int) Arrays.stream(known.use).filter(s -> s.polled && alone(s, false) < sick).count();
+        return (int) Arrays.stream(known.use)
+                .filter(s -> s.polled && alone(s, false) < sick)
+                .count();
     }
 }
--- a/decision/src/main/java/calicochute/decision/Handover.java
+++ b/decision/src/main/java/calicochute/decision/Handover.java
@@ -4,8 +4,7 @@
 
 /** Moves what a module has learnt to the one that takes over; decides nothing. */
 public final class Handover {
-    private Handover() {
-    }
+    private Handover() {}
 
     /** What the module knows as it counts now: aged, and bounded by the attempts that are out. */
     public static Learnt of(Balancer balancer) {
@@ -14,14 +13,25 @@
         var servers = new TreeMap<String, Learnt.OfServer>();
         for (Server s : from.servers.values()) {
             // Without the discount for the attempts out: the other module has none.
-            servers.put(s.id, new Learnt.OfServer(estimates.effective(s, false) * (1 + Estimates.CROWD * s.out), s.polled,
-                s.entry.startedAt()));
+            servers.put(
+                    s.id,
+                    new Learnt.OfServer(
+                            estimates.effective(s, false) * (1 + Estimates.CROWD * s.out),
+                            s.polled,
+                            s.entry.startedAt()));
         }
         var classes = new TreeMap<String, Learnt.OfClass>();
-        from.named.forEach((name, c) ->
-            classes.put(name, new Learnt.OfClass(c.latency, c.base, c.answers, c.patience, c.votes)));
-        return new Learnt(servers, classes, from.typical, from.limit, from.aimRatio,
-            from.warmRate * from.warmSize, from.answerRate, from.retryTokens);
+        from.named.forEach(
+                (name, c) -> classes.put(name, new Learnt.OfClass(c.latency, c.base, c.answers, c.patience, c.votes)));
+        return new Learnt(
+                servers,
+                classes,
+                from.typical,
+                from.limit,
+                from.aimRatio,
+                from.warmRate * from.warmSize,
+                from.answerRate,
+                from.retryTokens);
     }
 
     /** Takes it over as if learnt {@code age} ago, where this module has learnt nothing itself; after its list. */
--- a/decision/src/main/java/calicochute/decision/Legality.java
+++ b/decision/src/main/java/calicochute/decision/Legality.java
@@ -20,10 +20,14 @@
     }
 
     /** DANGER: a copy of a late attempt is mostly one of slow work, when nothing bears more. */
-    private static boolean noCopyOut(Request r) { return !r.out(); }
+    private static boolean noCopyOut(Request r) {
+        return !r.out();
+    }
 
     private boolean effectAllows(Request r, Server s) {
-        if (runsFreely(r)) { return true; }
+        if (runsFreely(r)) {
+            return true;
+        }
         Attempt first = r.firstThatMayHaveRun();
         RequestClass c = known.classOf(r);
         return bound(r) && known.now - first.sentAt < c.window() && sameGroup(c, first.to, s.entry);
--- a/decision/src/main/java/calicochute/decision/Pick.java
+++ b/decision/src/main/java/calicochute/decision/Pick.java
@@ -9,30 +9,43 @@
     private static final double ABROAD = 0.35;
     /** Headroom is the time left over this many best latencies; bands and temperatures as in the design. */
     private static final double MULTIPLE = 5;
+
     private static final double LOW = 0.3, TARGET = 0.5, HIGH = 0.8, TAU_TARGET = 0.04, TAU_FULL = 0.07;
 
     /** Null where none may be sent to. */
     Server of(Request r) {
         boolean bound = legality.bound(r);
         Server[] from = bound ? known.ranked : known.use;
-        if (r.arm != 0 && !bound) { from = known.armed.getOrDefault(r.arm, Known.NONE); }
+        if (r.arm != 0 && !bound) {
+            from = known.armed.getOrDefault(r.arm, Known.NONE);
+        }
         // One first call to each backend in use, paced to every second request.
         known.pollNext = !known.pollNext;
         Server poll = known.pollNext || legality.careful(r) ? null : anyLegal(r, from, true);
-        if (poll != null) { return poll; }
+        if (poll != null) {
+            return poll;
+        }
         // DANGER: one zone refuses while the next one idles: home comes first only far from the limit.
         boolean home = known.settings.goal().crossZonePrice() > 0 && admission.farFromLimit();
         double top = score(r, from, home ? ABROAD : 1);
-        if (top == 0) { return anyLegal(r, from, false); }
+        if (top == 0) {
+            return anyLegal(r, from, false);
+        }
         double room = headroom(r, top);
         // An arm crowded by own dispatches has no room; one that is slow by itself keeps its requests.
-        if (room < LOW && r.arm != 0 && headroom(r, alone(from)) >= LOW) { return null; }
+        if (room < LOW && r.arm != 0 && headroom(r, alone(from)) >= LOW) {
+            return null;
+        }
         if (room < LOW && !bound && r.arm == 0) {
             // DANGER: own dispatches that crowd home look like little time: they spill; no walk herds them.
-            if (home) { top = score(r, from, 1); }
+            if (home) {
+                top = score(r, from, 1);
+            }
             Server next = headroom(r, alone(from)) < LOW ? walk(r) : null;
             // DANGER: where own dispatches crowd them all none is in time; any may be one that fails at once.
-            if (next != null) { return next; }
+            if (next != null) {
+                return next;
+            }
         }
         return softmax(from, top, room < HIGH ? TAU_TARGET : TAU_FULL);
     }
@@ -60,14 +73,18 @@
         int start = from.length == 0 ? 0 : known.random.nextInt(from.length);
         for (int i = 0; i < from.length; i++) {
             Server s = from[(start + i) % from.length];
-            if (!(unpolledOnly && s.polled) && legality.maySend(r, s)) { return s; }
+            if (!(unpolledOnly && s.polled) && legality.maySend(r, s)) {
+                return s;
+            }
         }
         return null;
     }
 
     private double headroom(Request r, double best) {
         boolean told = known.settings.tier() == 0 || known.settings.passesDeadline();
-        if (!told || known.seen(r).answers == 0) { return TARGET; }
+        if (!told || known.seen(r).answers == 0) {
+            return TARGET;
+        }
         return Math.min(1, (r.deadline - known.now) * best / (MULTIPLE * known.seen(r).latency));
     }
 
@@ -80,7 +97,9 @@
         double at = known.random.nextDouble() * total;
         Server chosen = null;
         for (Server s : from) {
-            if (s.score > 0 && at >= 0) { chosen = s; }
+            if (s.score > 0 && at >= 0) {
+                chosen = s;
+            }
             at -= s.score;
         }
         return chosen;
@@ -93,7 +112,9 @@
                 Server s = known.walk[known.walkAt];
                 double speed = estimates.effective(s, legality.careful(r));
                 boolean inTime = known.seen(r).latency / speed <= r.deadline - known.now;
-                if (inTime && legality.maySend(r, s) && !r.tried(s)) { return s; }
+                if (inTime && legality.maySend(r, s) && !r.tried(s)) {
+                    return s;
+                }
             }
             known.walk = known.use.clone();
             // Ties stay in this instance's own order, lest all instances take one server first.
@@ -105,6 +126,8 @@
 
     /** The walk leaves a backend that has failed. */
     void leave(Server s) {
-        if (known.walkAt < known.walk.length && known.walk[known.walkAt] == s) { known.walkAt++; }
+        if (known.walkAt < known.walk.length && known.walk[known.walkAt] == s) {
+            known.walkAt++;
+        }
     }
 }
--- a/decision/src/main/java/calicochute/decision/Request.java
+++ b/decision/src/main/java/calicochute/decision/Request.java
@@ -10,6 +10,7 @@
     Attempt[] attempts = new Attempt[2];
     /** Attempts sent, and how many it may have, as the settings were when it arrived. */
     int sent, most;
+
     boolean ended;
     /** The arm it belongs in; 0 for any backend. */
     int arm;
@@ -23,11 +24,17 @@
     }
 
     Attempt send(Server server, long now) {
-        if (sent == attempts.length) { attempts = Arrays.copyOf(attempts, sent * 2); }
+        if (sent == attempts.length) {
+            attempts = Arrays.copyOf(attempts, sent * 2);
+        }
         Attempt a = new Attempt(this, server, sent, now);
         attempts[sent++] = a;
         a.older = server.newest;
-        if (a.older == null) { server.oldest = a; } else { a.older.newer = a; }
+        if (a.older == null) {
+            server.oldest = a;
+        } else {
+            a.older.newer = a;
+        }
         server.newest = a;
         server.out++;
         server.peak = Math.max(server.peak, server.out);
@@ -39,22 +46,36 @@
     void whole(long now) {
         deadline += now - arrivedAt;
         arrivedAt = now;
-        if (out()) { newest().sentAt = now; }
+        if (out()) {
+            newest().sentAt = now;
+        }
     }
 
     /** One is: the newest, since none goes out beside another. */
-    boolean out() { return sent > 0 && newest().out; }
+    boolean out() {
+        return sent > 0 && newest().out;
+    }
 
-    Attempt newest() { return attempts[sent - 1]; }
+    Attempt newest() {
+        return attempts[sent - 1];
+    }
 
     boolean tried(Server server) {
-        for (int i = 0; i < sent; i++) { if (attempts[i].server == server) { return true; } }
+        for (int i = 0; i < sent; i++) {
+            if (attempts[i].server == server) {
+                return true;
+            }
+        }
         return false;
     }
 
     /** The first attempt that is out or may have taken effect; null if there is none. */
     Attempt firstThatMayHaveRun() {
-        for (int i = 0; i < sent; i++) { if (attempts[i].mayHaveRun) { return attempts[i]; } }
+        for (int i = 0; i < sent; i++) {
+            if (attempts[i].mayHaveRun) {
+                return attempts[i];
+            }
+        }
         return null;
     }
 }
--- a/decision/src/main/java/calicochute/decision/Subset.java
+++ b/decision/src/main/java/calicochute/decision/Subset.java
@@ -1,34 +1,44 @@
 package calicochute.decision;
 
+import calicochute.decision.Balancer.Backend;
+import calicochute.decision.Balancer.BackendList;
+import calicochute.decision.Balancer.BackendState;
+import calicochute.decision.Balancer.ListKind;
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.Predicate;
 import java.util.stream.Stream;
-import calicochute.decision.Balancer.Backend;
-import calicochute.decision.Balancer.BackendList;
-import calicochute.decision.Balancer.BackendState;
-import calicochute.decision.Balancer.ListKind;
 
 /** The list of backends, when to ask for it, and which of them this instance uses and stays connected to. */
 record Subset(Known known) {
     /** Callers for each backend (tables of connections are small), and backends a caller needs. */
     private static final double CALLERS = 8;
+
     private static final int LEAST = 12;
     private static final double GOLDEN = 0.6180339887498949;
     /** Share of them that is at home, where crossing zones is priced. */
     private static final double AT_HOME = 2.0 / 3;
+
     static final int TIMER_SUBSCRIBE = 2;
 
     void list(BackendList e) {
         boolean lost = e.kind() == ListKind.UNAVAILABLE;
         known.subscribed = !lost && e.kind() != ListKind.RESTORED;
         known.failedCalls = lost ? known.failedCalls : 0;
-        if (lost || !known.subscribed && known.settings.subscribes()) { subscribeLater(); }
-        if (lost) { return; }
-        if (e.kind() != ListKind.CHANGES) { known.servers.values().forEach(s -> s.listed = false); }
-        for (Backend b : e.entries()) { entry(b); }
+        if (lost || !known.subscribed && known.settings.subscribes()) {
+            subscribeLater();
+        }
+        if (lost) {
+            return;
+        }
+        if (e.kind() != ListKind.CHANGES) {
+            known.servers.values().forEach(s -> s.listed = false);
+        }
+        for (Backend b : e.entries()) {
+            entry(b);
+        }
         known.servers.values().removeIf(s -> !s.listed);
         known.ranked = known.servers.values().toArray(new Server[0]);
         Arrays.sort(known.ranked, Comparator.comparingLong((Server s) -> s.rank).thenComparing(s -> s.id));
@@ -44,12 +54,20 @@
 
     private void entry(Backend b) {
         Server s = known.servers.get(b.id());
-        if (b.state() == BackendState.GONE && s != null) { s.listed = false; }
-        if (b.state() == BackendState.GONE) { return; }
-        if (s == null) { known.servers.put(b.id(), s = new Server(b.id())); }
+        if (b.state() == BackendState.GONE && s != null) {
+            s.listed = false;
+        }
+        if (b.state() == BackendState.GONE) {
+            return;
+        }
+        if (s == null) {
+            known.servers.put(b.id(), s = new Server(b.id()));
+        }
         // A random allowance spreads the first calls of many instances over time.
         boolean fresh = s.entry == null || s.entry.startedAt() != b.startedAt();
-        if (fresh) { s.started(known.now, known.typical, known.random.nextDouble()); }
+        if (fresh) {
+            s.started(known.now, known.typical, known.random.nextDouble());
+        }
         s.entry = b;
         s.listed = true;
     }
@@ -68,7 +86,9 @@
             }
         }
         int want = size() + sick, used = known.use.length;
-        if (want > used && used < known.ranked.length || want < used * 2 / 3) { choose(want); }
+        if (want > used && used < known.ranked.length || want < used * 2 / 3) {
+            choose(want);
+        }
     }
 
     /** DANGER: of one that the fleet holds for sick one instance at a time finds out how it is. */
@@ -89,7 +109,9 @@
         take(in, home.negate(), size);
         take(in, home, size);
         for (Server s : known.use) {
-            if (s.listed && !in.contains(s)) { known.actions.closeIdle(s.id); }
+            if (s.listed && !in.contains(s)) {
+                known.actions.closeIdle(s.id);
+            }
         }
         known.use = in.toArray(Known.NONE);
         known.shared(Known.sizes(known.ranked, Legality::notDraining));
--- a/decision/src/test/java/calicochute/decision/AdmissionTest.java
+++ b/decision/src/test/java/calicochute/decision/AdmissionTest.java
@@ -9,12 +9,12 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
 import calicochute.decision.Balancer.Effect;
 import calicochute.decision.Balancer.KeyScope;
 import calicochute.decision.Balancer.Outcome;
 import calicochute.decision.Balancer.RequestClass;
 import calicochute.decision.Balancer.Settings;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Whom admission takes, whom it refuses first, and what it takes for overload. */
@@ -68,8 +68,10 @@
     void brokenConnectionsAreNoLoad() {
         Fixture f = new MechanismTest().steady(Effect.ONCE);
         for (int i = 0; i < 200; i++) {
-            one(f, i % 4 == 0 ? Outcome.CONNECT_FAILED : i % 4 == 2 ? Outcome.TIMED_OUT : Outcome.OK,
-                i % 4 == 0 ? 1_000 : i % 4 == 2 ? SECOND : 100_000);
+            one(
+                    f,
+                    i % 4 == 0 ? Outcome.CONNECT_FAILED : i % 4 == 2 ? Outcome.TIMED_OUT : Outcome.OK,
+                    i % 4 == 0 ? 1_000 : i % 4 == 2 ? SECOND : 100_000);
             for (int n = 1; n < f.sent.size() && f.choice.known().servers.get("b0").out > 0; n++) {
                 f.outcome(n, Outcome.OK, 100_000);
             }
@@ -82,8 +84,9 @@
     }
 
     /**
-     * DANGER: where all hang or are swamped nothing is answered, so nothing else tells of it: while each time-out was put down to a
-     * hung server, one of three balancers went on sending all it got for three seconds to servers from which no answer came.
+     * DANGER: where all hang or are swamped nothing is answered, so nothing else tells of it: while each time-out was
+     * put down to a hung server, one of three balancers went on sending all it got for three seconds to servers from
+     * which no answer came.
      */
     @Test
     void timeOutsOfAllAreLoad() {
@@ -127,7 +130,9 @@
             f.arrive(nextRequest++, 3 * SECOND);
             f.now += 40_000;
             // Fifteen are out at any time: each takes 0.6 of the aim.
-            if (i >= 14) { f.answerOldest(); }
+            if (i >= 14) {
+                f.answerOldest();
+            }
         }
         assertTrue(f.said.stream().noneMatch(s -> s.startsWith("refuse")));
     }
@@ -194,7 +199,9 @@
             f.on(new Balancer.Arrival(nextRequest++, 0, -1, null, 3 * SECOND, i % 2 == 1));
             refused[i % 2] += f.said.get(said).startsWith("refuse") ? 1 : 0;
             f.now += 45_000;
-            if (i % 4 < 2) { f.answerOldest(); }
+            if (i % 4 < 2) {
+                f.answerOldest();
+            }
         }
         assertTrue(refused[1] > 2 * refused[0] && refused[1] > 300, refused[0] + " first, " + refused[1] + " again");
     }
@@ -202,8 +209,23 @@
     private static Settings clients(boolean marks) {
         RequestClass c = new RequestClass("c", Effect.REPEATABLE, KeyScope.ALL, 0, SECOND, 4 * SECOND, 1, 0, false);
         Balancer.Limits single = new Balancer.Limits(true, false, false, false, false, 4, 1000, 1, 0, 0);
-        return new Settings(1, 0, 1, 0, true, false, marks, "z", 5000, 1, List.of(), List.of(c), List.of(), single,
-            Fixture.RULES, new Balancer.Goal(1, 0, 0, 0, 0, 0, 0));
+        return new Settings(
+                1,
+                0,
+                1,
+                0,
+                true,
+                false,
+                marks,
+                "z",
+                5000,
+                1,
+                List.of(),
+                List.of(c),
+                List.of(),
+                single,
+                Fixture.RULES,
+                new Balancer.Goal(1, 0, 0, 0, 0, 0, 0));
     }
 
     private void arriveAgain(Fixture f, long left) {
@@ -214,10 +236,29 @@
     @Test
     void homeComesFirstOnlyWhileAdmissionIsFarOff() {
         Settings s = settings(List.of(requestClass(Effect.ONCE, KeyScope.ALL)), Fixture.LIMITS);
-        Settings priced = new Settings(s.seed(), 0, 1, 0, true, false, true, "home", s.tick(), 1, List.of(), s.classes(),
-            List.of(), s.limits(), s.rules(), new Balancer.Goal(1, 0, 0, 0, 0.01, 0, 0));
-        Fixture f = new Fixture(priced).list(backend("h1", "home", 0), backend("h2", "home", 0),
-            backend("a1", "abroad", 0), backend("a2", "abroad", 0));
+        Settings priced = new Settings(
+                s.seed(),
+                0,
+                1,
+                0,
+                true,
+                false,
+                true,
+                "home",
+                s.tick(),
+                1,
+                List.of(),
+                s.classes(),
+                List.of(),
+                s.limits(),
+                s.rules(),
+                new Balancer.Goal(1, 0, 0, 0, 0.01, 0, 0));
+        Fixture f = new Fixture(priced)
+                .list(
+                        backend("h1", "home", 0),
+                        backend("h2", "home", 0),
+                        backend("a1", "abroad", 0),
+                        backend("a2", "abroad", 0));
         assertTrue(abroad(f, 2, 100_000) < 0.05);
         // Answers take nine tenths of the aim: the limit closes in on the requests open.
         abroad(f, 8, 900_000);
--- a/decision/src/test/java/calicochute/decision/Agenda.java
+++ b/decision/src/test/java/calicochute/decision/Agenda.java
@@ -7,9 +7,9 @@
     long now;
     private long asked;
     private final PriorityQueue<Due> due =
-        new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
 
-    private record Due(long at, long order, Runnable what) { }
+    private record Due(long at, long order, Runnable what) {}
 
     Agenda(long now) {
         this.now = now;
--- a/decision/src/test/java/calicochute/decision/ColdFleetTest.java
+++ b/decision/src/test/java/calicochute/decision/ColdFleetTest.java
@@ -36,7 +36,8 @@
     void noneIsLeftIdleWhereSessionsAreDenied(int balancers, double perBalancer) {
         for (Day day : new Day[] {Day.ROLL, Day.LOST, Day.WHOLE}) {
             Result r = play(day, balancers, perBalancer, 0.6);
-            assertTrue(r.use() > (day == Day.ROLL ? 0.5 : 0.7), () -> "cold servers are hardly used on " + day + ": " + r);
+            assertTrue(
+                    r.use() > (day == Day.ROLL ? 0.5 : 0.7), () -> "cold servers are hardly used on " + day + ": " + r);
             assertTrue(r.idle() < 2.5, () -> "a cold server idles on " + day + ": " + r);
         }
     }
@@ -45,6 +46,8 @@
     @ParameterizedTest
     @CsvSource({"WHOLE, 20", "WHOLE, 30", "LOST, 100", "KILLED, 300"})
     void smallOnesStartInTheirOwnBudget(Day day, int balancers) {
-        for (int seed = 1; seed <= 2; seed++) { play(ColdSitesTable.draw(day, Sizes.TOLD, balancers, seed)); }
+        for (int seed = 1; seed <= 2; seed++) {
+            play(ColdSitesTable.draw(day, Sizes.TOLD, balancers, seed));
+        }
     }
 }
--- a/decision/src/test/java/calicochute/decision/ColdMachine.java
+++ b/decision/src/test/java/calicochute/decision/ColdMachine.java
@@ -1,15 +1,15 @@
 package calicochute.decision;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.List;
 import calicochute.decision.Balancer.Backend;
 import calicochute.decision.Balancer.BackendState;
 import calicochute.decision.Balancer.Rules;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
 
 /**
- * One process of a server: slots with a queue, slower while cold; one ill fails all calls at once or is a tenth as fast.
- * It never falls; what would have felled it is counted.
+ * One process of a server: slots with a queue, slower while cold; one ill fails all calls at once or is a tenth as
+ * fast. It never falls; what would have felled it is counted.
  */
 final class ColdMachine {
     static final int SLOTS = 4;
@@ -17,9 +17,13 @@
     private static final long SECOND = 1_000_000;
 
     /** Work is in sessions of mean work; {@code told}: its sender knew of the start. */
-    private record Landed(long at, double work, boolean told) { }
+    private record Landed(long at, double work, boolean told) {}
 
-    enum Illness { NONE, FAILS, SLOW }
+    enum Illness {
+        NONE,
+        FAILS,
+        SLOW
+    }
 
     final String id;
     private final String zone;
@@ -29,6 +33,7 @@
     private final double weight;
     /** 0: long ago, warm from the beginning. */
     final long startedAt;
+
     private final Agenda agenda;
     private final Rules rules;
     private final List<Landed> landed = new ArrayList<>();
@@ -37,10 +42,19 @@
     boolean lost;
     /** Replaced: what knows of that calls it no more. */
     boolean gone;
+
     Illness illness = Illness.NONE;
     long idleSince;
 
-    ColdMachine(String id, String zone, long startedAt, double unit, double size, double weight, Rules rules, Agenda agenda) {
+    ColdMachine(
+            String id,
+            String zone,
+            long startedAt,
+            double unit,
+            double size,
+            double weight,
+            Rules rules,
+            Agenda agenda) {
         this.id = id;
         this.zone = zone;
         this.startedAt = startedAt;
@@ -67,21 +81,29 @@
 
     /** False where it is gone or full. */
     boolean take(double work, boolean told, Runnable done) {
-        if (lost) { return false; }
+        if (lost) {
+            return false;
+        }
         landed.add(new Landed(agenda.now, work, told));
-        if (illness == Illness.FAILS || busy >= slots() && queue.size() == QUEUE) { return false; }
+        if (illness == Illness.FAILS || busy >= slots() && queue.size() == QUEUE) {
+            return false;
+        }
         double speed = unit * warmth(agenda.now) * (illness == Illness.SLOW ? 0.1 : 1);
         queue.add(() -> agenda.after((long) (SLOTS * work / speed * SECOND), () -> {
             busy--;
             idleSince = agenda.now;
-            if (!lost) { done.run(); }
+            if (!lost) {
+                done.run();
+            }
             next();
         }));
         next();
         return true;
     }
 
-    private long slots() { return Math.round(SLOTS * capacity / unit); }
+    private long slots() {
+        return Math.round(SLOTS * capacity / unit);
+    }
 
     private void next() {
         if (busy < slots() && !queue.isEmpty()) {
@@ -96,7 +118,10 @@
     }
 
     double came(long span) {
-        return landed.stream().filter(l -> l.at > agenda.now - span).mapToDouble(Landed::work).sum();
+        return landed.stream()
+                .filter(l -> l.at > agenda.now - span)
+                .mapToDouble(Landed::work)
+                .sum();
     }
 
     /** What may reach it within a fall span: N = multiple x present capacity x span, and the slack for chance. */
@@ -106,17 +131,20 @@
     }
 
     /**
-     * The worst fall span while it was cold, as a share of the budget at its end: of all that came, and of what came from
-     * senders that knew. By the rule it is broken where all is over the budget and over two thirds came from those.
+     * The worst fall span while it was cold, as a share of the budget at its end: of all that came, and of what came
+     * from senders that knew. By the rule it is broken where all is over the budget and over two thirds came from
+     * those.
      */
-    record Worst(double all, double told, boolean broken) { }
+    record Worst(double all, double told, boolean broken) {}
 
     Worst worst() {
         double all = 0, told = 0, most = 0, mostTold = 0;
         boolean broken = false;
         int from = 0;
         for (Landed l : landed) {
-            if (!cold(l.at)) { break; }
+            if (!cold(l.at)) {
+                break;
+            }
             all += l.work;
             told += l.told ? l.work : 0;
             for (; landed.get(from).at <= l.at - rules.fall(); from++) {
--- a/decision/src/test/java/calicochute/decision/EdgeTest.java
+++ b/decision/src/test/java/calicochute/decision/EdgeTest.java
@@ -41,7 +41,9 @@
     private long nextRequest = 1;
 
     private static Backend[] startedAt(long at, Backend... fleet) {
-        return Arrays.stream(fleet).map(b -> Fixture.with(b, BackendState.READY, at)).toArray(Backend[]::new);
+        return Arrays.stream(fleet)
+                .map(b -> Fixture.with(b, BackendState.READY, at))
+                .toArray(Backend[]::new);
     }
 
     private String one(Fixture f, Outcome outcome, long elapsed) {
@@ -59,12 +61,22 @@
     private static void mustBeFinite(Choice c) {
         for (Server s : c.known().servers.values()) {
             double effective = c.estimates().effective(s, false);
-            assertTrue(Double.isFinite(s.speed) && s.speed >= 0 && Double.isFinite(effective) && effective > 0
-                && Double.isFinite(s.allowance), () -> s.id + " " + s.speed + " " + s.allowance);
+            assertTrue(
+                    Double.isFinite(s.speed)
+                            && s.speed >= 0
+                            && Double.isFinite(effective)
+                            && effective > 0
+                            && Double.isFinite(s.allowance),
+                    () -> s.id + " " + s.speed + " " + s.allowance);
         }
         for (Seen s : c.known().named.values()) {
-            assertTrue(Double.isFinite(s.latency) && s.latency >= 0 && Double.isFinite(s.base) && s.answers >= 0
-                && s.votes >= 0, () -> s.latency + " " + s.base + " " + s.answers + " " + s.votes);
+            assertTrue(
+                    Double.isFinite(s.latency)
+                            && s.latency >= 0
+                            && Double.isFinite(s.base)
+                            && s.answers >= 0
+                            && s.votes >= 0,
+                    () -> s.latency + " " + s.base + " " + s.answers + " " + s.votes);
         }
         Known k = c.known();
         for (double value : new double[] {k.limit, k.typical, k.warmRate, k.answerRate, k.retryTokens}) {
@@ -97,13 +109,15 @@
     }
 
     /**
-     * EXPECTED TO FAIL (docs/hardening-review.md, finding 2): a server that failed and then was silent has been forgiven by time;
-     * a good answer must not take that back. Says so as soon as it holds.
+     * EXPECTED TO FAIL (docs/hardening-review.md, finding 2): a server that failed and then was silent has been
+     * forgiven by time; a good answer must not take that back. Says so as soon as it holds.
      */
     @Test
     void aGoodAnswerAfterASilenceIsNoSetback() {
-        assertThrows(AssertionFailedError.class, this::goodAnswerAfterASilence,
-            "it holds now: call it plainly, and close finding 2");
+        assertThrows(
+                AssertionFailedError.class,
+                this::goodAnswerAfterASilence,
+                "it holds now: call it plainly, and close finding 2");
     }
 
     private void goodAnswerAfterASilence() {
@@ -118,7 +132,9 @@
         f.now += 100_000;
         double before = f.choice.estimates().effective(s, false) * (1 + Estimates.CROWD);
         f.outcome(0, Outcome.OK, 100_000);
-        assertTrue(f.choice.estimates().effective(s, false) >= before, before + " became " + f.choice.estimates().effective(s, false));
+        assertTrue(
+                f.choice.estimates().effective(s, false) >= before,
+                before + " became " + f.choice.estimates().effective(s, false));
     }
 
     /** Counts that only grow must not turn over: in daily service they are never set back. */
@@ -165,7 +181,10 @@
         sent.forEach((id, n) -> assertTrue(n >= 3 && n <= most, id + " got " + n + " of " + most));
     }
 
-    /** Speeds are divided by the best and not by the mean: slow servers beside them change nothing between two fast ones. */
+    /**
+     * Speeds are divided by the best and not by the mean: slow servers beside them change nothing between two fast
+     * ones.
+     */
     @Test
     void sharesOfTheFastDoNotHangOnTheSlow() {
         Fixture f = steady(6);
@@ -181,7 +200,9 @@
         assertEquals(promised, got.get("b1") / (double) got.get("b0"), 0.04);
     }
 
-    /** A client goes and its dispatch ends later: one session less, not two, or the limit would never be reached again. */
+    /**
+     * A client goes and its dispatch ends later: one session less, not two, or the limit would never be reached again.
+     */
     @Test
     void aSessionIsCountedOutOnce() {
         Fixture f = steady(3);
@@ -233,16 +254,27 @@
         assertEquals(5, met.size(), "each finds a way back");
     }
 
-    /** Any order of events with any times: no exception, all numbers finite, one end for each session, every send legal. */
+    /**
+     * Any order of events with any times: no exception, all numbers finite, one end for each session, every send legal.
+     */
     @Property(tries = 150, seed = "20261201")
     void anyOrderKeepsAllNumbersFinite(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
         Random random = new Random(seed);
         List<RequestClass> classes = new ArrayList<>();
         for (Effect effect : Effect.values()) {
-            classes.add(new RequestClass(effect.name(), effect, KeyScope.ALL, random.nextInt(2) * SECOND,
-                random.nextInt(3) * 500_000, 1 + random.nextInt(4) * SECOND, random.nextInt(3), random.nextInt(2), false));
+            classes.add(new RequestClass(
+                    effect.name(),
+                    effect,
+                    KeyScope.ALL,
+                    random.nextInt(2) * SECOND,
+                    random.nextInt(3) * 500_000,
+                    1 + random.nextInt(4) * SECOND,
+                    random.nextInt(3),
+                    random.nextInt(2),
+                    false));
         }
-        Settings first = settings(classes, Fixture.LIMITS, random.nextBoolean(), random.nextInt(9), 1 + random.nextInt(40));
+        Settings first =
+                settings(classes, Fixture.LIMITS, random.nextBoolean(), random.nextInt(9), 1 + random.nextInt(40));
         Fixture f = new Fixture(first);
         Map<Long, Integer> ends = new HashMap<>();
         for (int i = 0; i < 250; i++) {
@@ -253,15 +285,23 @@
             };
             f.pass(f.now);
             switch (random.nextInt(10)) {
-                case 0 -> f.list(random.nextBoolean() ? ListKind.FULL : ListKind.UNAVAILABLE,
-                    startedAt(random.nextBoolean() ? 0 : f.now, fleet(random.nextInt(16))));
+                case 0 ->
+                    f.list(
+                            random.nextBoolean() ? ListKind.FULL : ListKind.UNAVAILABLE,
+                            startedAt(random.nextBoolean() ? 0 : f.now, fleet(random.nextInt(16))));
                 case 1 -> {
                     classes.add(new RequestClass("new" + i, Effect.REPEATABLE, KeyScope.ALL, 0, 1, 1, 1, 0, false));
                     f.on(new Retuned(settings(classes, Fixture.LIMITS)));
                 }
                 case 2 -> f.on(new ClientGone(random.nextInt((int) nextRequest)));
-                case 3, 4, 5, 6 -> f.on(new Arrival(nextRequest++, random.nextInt(classes.size()), -1, null,
-                    new long[] {0, 1, 1000, SECOND, 3_600 * SECOND}[random.nextInt(5)], random.nextBoolean()));
+                case 3, 4, 5, 6 ->
+                    f.on(new Arrival(
+                            nextRequest++,
+                            random.nextInt(classes.size()),
+                            -1,
+                            null,
+                            new long[] {0, 1, 1000, SECOND, 3_600 * SECOND}[random.nextInt(5)],
+                            random.nextBoolean()));
                 default -> end(f, random);
             }
             mustBeFinite(f.choice);
@@ -281,14 +321,23 @@
             if (s.oldest != null) {
                 Outcome[] all = Outcome.values();
                 Outcome how = all[random.nextInt(all.length)];
-                f.on(new AttemptEnded(s.oldest.request.id, s.oldest.number, s.id, how == Outcome.OK, how,
-                    random.nextInt(3) * (f.now - s.oldest.sentAt), null));
+                f.on(new AttemptEnded(
+                        s.oldest.request.id,
+                        s.oldest.number,
+                        s.id,
+                        how == Outcome.OK,
+                        how,
+                        random.nextInt(3) * (f.now - s.oldest.sentAt),
+                        null));
                 return;
             }
         }
     }
 
-    /** Own dispatches crowd every healthy server, so that none seems in time: the one that fails at once has none out, and gets none. */
+    /**
+     * Own dispatches crowd every healthy server, so that none seems in time: the one that fails at once has none out,
+     * and gets none.
+     */
     @Test
     void aServerThatFailsAtOnceIsNotTheWayOutOfACrowd() {
         Fixture f = Fixture.of(Effect.ONCE, KeyScope.ALL).list(fleet(4));
@@ -300,11 +349,14 @@
         for (int i = 0; i < 30; i++) {
             f.arrive(100 + i, 120_000);
         }
-        Map<String, Long> got = f.sent.stream().collect(Collectors.groupingBy(Fixture.Sent::backend, Collectors.counting()));
+        Map<String, Long> got =
+                f.sent.stream().collect(Collectors.groupingBy(Fixture.Sent::backend, Collectors.counting()));
         assertEquals(Map.of("b1", 10L, "b2", 10L, "b3", 10L), got);
     }
 
-    /** Queues that take a third of the slack between 100 ms and the aim of 1 s are too long: admission begins to close. */
+    /**
+     * Queues that take a third of the slack between 100 ms and the aim of 1 s are too long: admission begins to close.
+     */
     @Test
     void admissionClosesBeforeQueuesTakeAThirdOfTheSlack() {
         Fixture f = Fixture.of(Effect.REPEATABLE, KeyScope.ALL).list(fleet(4));
@@ -314,7 +366,10 @@
         assertTrue(f.choice.known().limit < 1000, "limit " + f.choice.known().limit);
     }
 
-    /** Own dispatches alone make headroom look small: what comes next is spread, not herded on one server as a walk would. */
+    /**
+     * Own dispatches alone make headroom look small: what comes next is spread, not herded on one server as a walk
+     * would.
+     */
     @Test
     void aCrowdOfOwnDispatchesIsNoLittleTime() {
         Fixture f = steady(4);
@@ -322,7 +377,10 @@
         for (int i = 0; i < 140; i++) {
             f.arrive(100 + i, 2_500_000);
         }
-        int most = f.choice.known().servers.values().stream().mapToInt(s -> s.out).max().orElseThrow();
+        int most = f.choice.known().servers.values().stream()
+                .mapToInt(s -> s.out)
+                .max()
+                .orElseThrow();
         assertTrue(most <= 37, most + " of 140 out at one of four alike");
     }
 }
--- a/decision/src/test/java/calicochute/decision/Fixture.java
+++ b/decision/src/test/java/calicochute/decision/Fixture.java
@@ -1,10 +1,5 @@
 package calicochute.decision;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Map;
 import calicochute.decision.Balancer.Actions;
 import calicochute.decision.Balancer.Arrival;
 import calicochute.decision.Balancer.AttemptEnded;
@@ -22,6 +17,11 @@
 import calicochute.decision.Balancer.Rules;
 import calicochute.decision.Balancer.Settings;
 import calicochute.decision.Balancer.Timer;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
 
 /** One instance under test with a host that only writes down what it is asked to do. */
 final class Fixture implements Actions {
@@ -29,9 +29,9 @@
     static final Limits LIMITS = new Limits(true, true, false, false, false, 4, 1000, 1, 200_000, SECOND);
     static final Rules RULES = new Rules(20_000, 10 * SECOND, 0.2, 20 * SECOND, SECOND, 3, 2 * SECOND);
 
-    record Sent(long request, String backend, long timeout) { }
+    record Sent(long request, String backend, long timeout) {}
 
-    record Set(long at, Timer timer) { }
+    record Set(long at, Timer timer) {}
 
     final List<Sent> sent = new ArrayList<>();
     final List<Set> timers = new ArrayList<>();
@@ -58,9 +58,25 @@
         return settings(42, classes, limits, subscribes, me, balancers);
     }
 
-    static Settings settings(long seed, List<RequestClass> classes, Limits limits, boolean subscribes, int me, int balancers) {
-        return new Settings(seed, me, balancers, 0, true, subscribes, true, "z", 5_000, 0.1, List.of(), classes, List.of(),
-            limits, RULES, new Goal(1, 0, 0, 0, 0, 0, 0));
+    static Settings settings(
+            long seed, List<RequestClass> classes, Limits limits, boolean subscribes, int me, int balancers) {
+        return new Settings(
+                seed,
+                me,
+                balancers,
+                0,
+                true,
+                subscribes,
+                true,
+                "z",
+                5_000,
+                0.1,
+                List.of(),
+                classes,
+                List.of(),
+                limits,
+                RULES,
+                new Goal(1, 0, 0, 0, 0, 0, 0));
     }
 
     static Fixture of(Effect effect, KeyScope scope) {
@@ -135,7 +151,8 @@
     void timeOutOldest(long age) {
         for (Sent s : List.copyOf(sent)) {
             if (sentAt.get(s.request) <= now - age && open.remove(s.request)) {
-                on(new AttemptEnded(s.request, 0, s.backend, false, Outcome.TIMED_OUT, now - sentAt.get(s.request), null));
+                on(new AttemptEnded(
+                        s.request, 0, s.backend, false, Outcome.TIMED_OUT, now - sentAt.get(s.request), null));
             }
         }
     }
--- a/decision/src/test/java/calicochute/decision/FleetEvidenceTest.java
+++ b/decision/src/test/java/calicochute/decision/FleetEvidenceTest.java
@@ -24,7 +24,8 @@
 /** What the fleet knows, arms of experiments, and what may not run twice. */
 class FleetEvidenceTest {
     private static final RequestClass VIEW = requestClass(Effect.REPEATABLE, KeyScope.ALL);
-    private static final RequestClass ORDER = new RequestClass("o", Effect.ONCE, KeyScope.ALL, 0, SECOND, 4 * SECOND, 5, 0, false);
+    private static final RequestClass ORDER =
+            new RequestClass("o", Effect.ONCE, KeyScope.ALL, 0, SECOND, 4 * SECOND, 5, 0, false);
     private static final int VIEWS = 0, ORDERS = 1;
     private final Fixture f = new Fixture(Fixture.settings(List.of(VIEW, ORDER), Fixture.LIMITS));
     private long next = 1;
@@ -46,7 +47,9 @@
     }
 
     private void learn(int rounds) {
-        for (int i = 0; i < rounds; i++) { ask(VIEWS, 0, Outcome.OK); }
+        for (int i = 0; i < rounds; i++) {
+            ask(VIEWS, 0, Outcome.OK);
+        }
     }
 
     @Test
@@ -54,9 +57,13 @@
         f.list(backend("old", "z", 0));
         learn(20);
         f.list(backend("old", "z", 0), backend("new", "z", 1));
-        for (int i = 0; i < 20; i++) { assertEquals("old", ask(ORDERS, 0, Outcome.OK)); }
+        for (int i = 0; i < 20; i++) {
+            assertEquals("old", ask(ORDERS, 0, Outcome.OK));
+        }
         Set<String> met = new HashSet<>();
-        for (int i = 0; i < 4; i++) { met.add(ask(VIEWS, 0, Outcome.OK)); }
+        for (int i = 0; i < 4; i++) {
+            met.add(ask(VIEWS, 0, Outcome.OK));
+        }
         assertTrue(met.contains("new"), "a class that may run again finds out");
     }
 
@@ -69,7 +76,9 @@
         pass(15 * SECOND);
         double other = f.choice.estimates().effective(bad, false);
         assertTrue(f.choice.estimates().effective(bad, true) < other / 2, "it takes it for half as well at most");
-        for (int i = 0; i < 20; i++) { assertEquals("good", ask(ORDERS, 0, Outcome.OK)); }
+        for (int i = 0; i < 20; i++) {
+            assertEquals("good", ask(ORDERS, 0, Outcome.OK));
+        }
     }
 
     @Test
@@ -86,7 +95,10 @@
             assertEquals("t0", ask(i % 2, 2, Outcome.OK));
             assertTrue(Set.of("c0", "c1").contains(ask(i % 2, 1, Outcome.OK)));
         }
-        f.list(backend("c0", "z", 0), backend("c1", "z", 1), Fixture.with(backend("t0", "z", 2), BackendState.DRAINING, 0));
+        f.list(
+                backend("c0", "z", 0),
+                backend("c1", "z", 1),
+                Fixture.with(backend("t0", "z", 2), BackendState.DRAINING, 0));
         assertTrue(Set.of("c0", "c1").contains(ask(VIEWS, 2, Outcome.OK)), "an experiment denies nothing");
     }
 
@@ -115,7 +127,9 @@
         double own = f.choice.estimates().alone(b, false);
         advise(0.05, 50, false);
         assertTrue(f.choice.estimates().alone(b, false) < 0.5 * own, "believed");
-        for (int i = 0; i < 20; i++) { assertEquals("a", ask(VIEWS, 0, Outcome.OK)); }
+        for (int i = 0; i < 20; i++) {
+            assertEquals("a", ask(VIEWS, 0, Outcome.OK));
+        }
         pass(4 * SECOND);
         assertTrue(f.choice.estimates().alone(b, false) > 0.7 * own, "alone again");
     }
@@ -128,7 +142,9 @@
         b.speed = 0.01;
         b.sampledAt = f.now;
         advise(1.5, 1000, false);
-        for (int i = 0; i < 20; i++) { assertEquals("a", ask(VIEWS, 0, Outcome.OK)); }
+        for (int i = 0; i < 20; i++) {
+            assertEquals("a", ask(VIEWS, 0, Outcome.OK));
+        }
     }
 
     @Test
@@ -136,10 +152,14 @@
         f.list(backend("a", "z", 0), backend("b", "z", 1));
         learn(20);
         advise(0.05, 50, false);
-        for (int i = 0; i < 10; i++) { assertEquals("a", ask(VIEWS, 0, Outcome.OK)); }
+        for (int i = 0; i < 10; i++) {
+            assertEquals("a", ask(VIEWS, 0, Outcome.OK));
+        }
         advise(0.05, 50, true);
         int tries = 0;
-        for (int i = 0; i < 10; i++) { tries += ask(i % 2 == 0 ? VIEWS : ORDERS, 0, Outcome.OK).equals("b") ? 1 : 0; }
+        for (int i = 0; i < 10; i++) {
+            tries += ask(i % 2 == 0 ? VIEWS : ORDERS, 0, Outcome.OK).equals("b") ? 1 : 0;
+        }
         assertEquals(1, tries);
     }
 
--- a/decision/src/test/java/calicochute/decision/ListChangeTest.java
+++ b/decision/src/test/java/calicochute/decision/ListChangeTest.java
@@ -4,10 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
 import calicochute.decision.Balancer.AttemptEnded;
 import calicochute.decision.Balancer.Backend;
 import calicochute.decision.Balancer.BackendState;
@@ -15,16 +11,36 @@
 import calicochute.decision.Balancer.KeyScope;
 import calicochute.decision.Balancer.ListKind;
 import calicochute.decision.Balancer.Outcome;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** All short rows of list changes, ends of attempts, arrivals and moments that pass: no send or answer breaks a rule. */
+/**
+ * All short rows of list changes, ends of attempts, arrivals and moments that pass: no send or answer breaks a rule.
+ */
 class ListChangeTest {
     private static final long WINDOW = 2 * Fixture.SECOND;
     private static final int LENGTH = 4;
 
-    /** What befalls server a, which holds two requests at first (none where time is short), or the oldest attempt out. */
-    private enum Step { DRAINS, GOES, STARTS_ANEW, MOVES, IS_BACK, NOT_LISTED, ALL_LISTED, NOT_RUN, MAY_HAVE_RUN, ARRIVAL, MOMENT }
+    /**
+     * What befalls server a, which holds two requests at first (none where time is short), or the oldest attempt out.
+     */
+    private enum Step {
+        DRAINS,
+        GOES,
+        STARTS_ANEW,
+        MOVES,
+        IS_BACK,
+        NOT_LISTED,
+        ALL_LISTED,
+        NOT_RUN,
+        MAY_HAVE_RUN,
+        ARRIVAL,
+        MOMENT
+    }
 
     /** Whom an attempt went to, as listed then, and when; what may have become of it. */
     private static final class Try {
@@ -59,7 +75,11 @@
             this.hurried = hurried;
             f = Fixture.of(effect, scope);
             list(ListKind.FULL, a);
-            if (hurried) { walk(); } else { step(Step.ARRIVAL); }
+            if (hurried) {
+                walk();
+            } else {
+                step(Step.ARRIVAL);
+            }
             step(Step.ARRIVAL);
             step(Step.ALL_LISTED);
         }
@@ -98,7 +118,9 @@
         }
 
         private Backend[] others() {
-            return new Backend[] {Fixture.backend("b", "z", 0), Fixture.backend("c", "z", 1), Fixture.backend("d", "y", 2)};
+            return new Backend[] {
+                Fixture.backend("b", "z", 0), Fixture.backend("c", "z", 1), Fixture.backend("d", "y", 2)
+            };
         }
 
         private void startAnew(int cell, String zone) {
@@ -108,8 +130,12 @@
         }
 
         private void list(ListKind kind, Backend... entries) {
-            if (kind == ListKind.FULL) { listed.clear(); }
-            for (Backend b : entries) { listed.put(b.id(), b); }
+            if (kind == ListKind.FULL) {
+                listed.clear();
+            }
+            for (Backend b : entries) {
+                listed.put(b.id(), b);
+            }
             f.list(kind, entries);
         }
 
@@ -121,7 +147,8 @@
                     last.out = false;
                     last.mayHaveRun = !how.provesNotRun();
                     answers.merge(r, how == Outcome.OK ? 1 : 0, Integer::sum);
-                    f.on(new AttemptEnded(r, of.size() - 1, last.to.id(), how == Outcome.OK, how, f.now - last.at, null));
+                    f.on(new AttemptEnded(
+                            r, of.size() - 1, last.to.id(), how == Outcome.OK, how, f.now - last.at, null));
                     return;
                 }
             }
@@ -131,7 +158,9 @@
         private void readOn() {
             for (; read < f.said.size(); read++) {
                 String[] said = f.said.get(read).split(" ");
-                if (said[0].equals("close")) { continue; }
+                if (said[0].equals("close")) {
+                    continue;
+                }
                 long request = Long.parseLong(said[1]);
                 assertEquals(0, answers.getOrDefault(request, 0), "one final answer, and nothing after it");
                 if (said[0].equals("send")) {
@@ -139,7 +168,9 @@
                 } else {
                     answers.put(request, 1);
                     boolean may = effect == Effect.REPEATABLE || effect == Effect.KEYED && scope == KeyScope.ALL;
-                    assertTrue(may || said[0].equals("fail") || first(tries.get(request)) == null, "refused, and may have run");
+                    assertTrue(
+                            may || said[0].equals("fail") || first(tries.get(request)) == null,
+                            "refused, and may have run");
                 }
             }
         }
@@ -152,8 +183,8 @@
             if (first != null && effect != Effect.REPEATABLE) {
                 assertEquals(Effect.KEYED, effect, "sent twice what may run once");
                 assertTrue(f.now - first.at < WINDOW, "after the window");
-                boolean same = scope == KeyScope.ALL || (scope == KeyScope.ZONE ? first.to.zone().equals(to.zone())
-                    : first.to.cell() == to.cell());
+                boolean same = scope == KeyScope.ALL
+                        || (scope == KeyScope.ZONE ? first.to.zone().equals(to.zone()) : first.to.cell() == to.cell());
                 assertTrue(same, "to a group that knows nothing of the key");
             }
             before.add(new Try(to, f.now));
@@ -165,7 +196,9 @@
 
         /** All that is out is answered, what is held has its timers: none is left without an answer. */
         void finish() {
-            for (int i = 0; i < 200 && answers.values().stream().filter(n -> n > 0).count() < requests; i++) {
+            for (int i = 0;
+                    i < 200 && answers.values().stream().filter(n -> n > 0).count() < requests;
+                    i++) {
                 end(Outcome.OK);
                 f.pass(f.now + 50_000);
                 readOn();
@@ -175,14 +208,22 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"REPEATABLE, ALL, false", "REPEATABLE, ALL, true", "ONCE, ALL, false", "KEYED, ALL, false", "KEYED, ZONE, true",
-        "KEYED, CELL, false"})
+    @CsvSource({
+        "REPEATABLE, ALL, false",
+        "REPEATABLE, ALL, true",
+        "ONCE, ALL, false",
+        "KEYED, ALL, false",
+        "KEYED, ZONE, true",
+        "KEYED, CELL, false"
+    })
     void noOrderOfListChangesAndRetriesBreaksARule(Effect effect, KeyScope scope, boolean hurried) {
         int steps = Step.values().length;
         int rows = (int) Math.pow(steps, LENGTH);
         for (int row = 0; row < rows; row++) {
             List<Step> of = new ArrayList<>();
-            for (int i = 0, rest = row; i < LENGTH; i++, rest /= steps) { of.add(Step.values()[rest % steps]); }
+            for (int i = 0, rest = row; i < LENGTH; i++, rest /= steps) {
+                of.add(Step.values()[rest % steps]);
+            }
             try {
                 Play p = new Play(effect, scope, hurried);
                 of.forEach(p::step);
--- a/decision/src/test/java/calicochute/decision/LockstepTest.java
+++ b/decision/src/test/java/calicochute/decision/LockstepTest.java
@@ -29,8 +29,14 @@
     /** Balancers that have learnt the same: forty answers of each server, all alike. */
     private void learnt(boolean seedsDiffer) {
         for (int me = 0; me < BALANCERS; me++) {
-            Fixture f = new Fixture(Fixture.settings(seedsDiffer ? 1000 + me : 42,
-                List.of(requestClass(Effect.REPEATABLE, KeyScope.ALL)), Fixture.LIMITS, true, me, BALANCERS)).list(fleet(SERVERS));
+            Fixture f = new Fixture(Fixture.settings(
+                            seedsDiffer ? 1000 + me : 42,
+                            List.of(requestClass(Effect.REPEATABLE, KeyScope.ALL)),
+                            Fixture.LIMITS,
+                            true,
+                            me,
+                            BALANCERS))
+                    .list(fleet(SERVERS));
             for (int i = 0; i < 40 * SERVERS; i++) {
                 f.one(nextRequest++, Outcome.OK, 100_000);
             }
@@ -48,7 +54,9 @@
         return got.values().stream().mapToInt(n -> n).max().orElseThrow() / (double) BALANCERS;
     }
 
-    /** One server is fast in all their eyes: together they put on it no more than softmax gives it, which is not all. */
+    /**
+     * One server is fast in all their eyes: together they put on it no more than softmax gives it, which is not all.
+     */
     @Test
     void aFastServerIsNotTakenByAllAtOnce() {
         learnt(true);
@@ -58,7 +66,8 @@
         double share = greatestShare(4 * SECOND);
         double weight = Math.exp(0.04 / 1.04 / 0.07);
         double promised = weight / (weight + SERVERS - 1);
-        assertTrue(share < promised + 3 * Math.sqrt(promised / BALANCERS), share + " where " + promised + " is promised");
+        assertTrue(
+                share < promised + 3 * Math.sqrt(promised / BALANCERS), share + " where " + promised + " is promised");
     }
 
     /** With one seed for all, still: the subset's order and what each has met differ, but the draw does not. */
@@ -81,7 +90,10 @@
         assertTrue(greatestShare(120_000) < 0.5);
     }
 
-    /** A server comes back cold and all hear of it at once: the first calls are spread over time and stay within the budget. */
+    /**
+     * A server comes back cold and all hear of it at once: the first calls are spread over time and stay within the
+     * budget.
+     */
     @Test
     void aReturningServerIsNotMetByAllInOneTick() {
         learnt(true);
--- a/decision/src/test/java/calicochute/decision/MechanismTest.java
+++ b/decision/src/test/java/calicochute/decision/MechanismTest.java
@@ -9,18 +9,18 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.Arrays;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import calicochute.decision.Balancer.Backend;
 import calicochute.decision.Balancer.Effect;
 import calicochute.decision.Balancer.KeyScope;
 import calicochute.decision.Balancer.Outcome;
 import calicochute.decision.Balancer.RequestClass;
 import calicochute.decision.Balancer.Settings;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
 import org.junit.jupiter.api.Test;
 
 /** The parts of the mechanism, against numbers worked out by hand. */
@@ -117,8 +117,26 @@
     void headroomIsFixedBelowTheFirstTierWithoutDeadlines() {
         Settings s = settings(List.of(requestClass(Effect.ONCE, KeyScope.ALL)), Fixture.LIMITS);
         for (long left : new long[] {140_000, 4 * SECOND}) {
-            checkSoftmax(new Fixture(new Settings(1, 0, 1, 1, false, false, true, "z", 5000, 1, List.of(), s.classes(),
-                List.of(), s.limits(), s.rules(), s.goal())), left, 0.04);
+            checkSoftmax(
+                    new Fixture(new Settings(
+                            1,
+                            0,
+                            1,
+                            1,
+                            false,
+                            false,
+                            true,
+                            "z",
+                            5000,
+                            1,
+                            List.of(),
+                            s.classes(),
+                            List.of(),
+                            s.limits(),
+                            s.rules(),
+                            s.goal())),
+                    left,
+                    0.04);
         }
     }
 
@@ -311,7 +329,9 @@
         assertEquals("fail " + (nextRequest + 2), f.lastSaid(), "its new effect forbids another attempt");
     }
 
-    /** A body in pieces: times count from its last byte, and once some of it is handed on there is no further attempt. */
+    /**
+     * A body in pieces: times count from its last byte, and once some of it is handed on there is no further attempt.
+     */
     @Test
     void aBodyInPiecesIsTimedFromItsEndAndNotRepeated() {
         Fixture f = new Fixture(settings(List.of(REPEATABLE), Fixture.LIMITS));
@@ -346,7 +366,10 @@
         assertEquals(before, speed(f, backend));
     }
 
-    /** DANGER: a newcomer's first call to each server is one to a hung one, again and again, and all clients are its own. */
+    /**
+     * DANGER: a newcomer's first call to each server is one to a hung one, again and again, and all clients are its
+     * own.
+     */
     @Test
     void whatOneModuleHasLearntHoldsForTheNext() {
         Fixture old = new Fixture(settings(List.of(REPEATABLE), Fixture.LIMITS));
@@ -357,7 +380,8 @@
         }
         Learnt learnt = Handover.of(old.choice);
         assertTrue(learnt.sane());
-        assertTrue(learnt.servers().get("b1").speed() < learnt.servers().get("b0").speed() * 0.8);
+        assertTrue(
+                learnt.servers().get("b1").speed() < learnt.servers().get("b0").speed() * 0.8);
         Fixture next = new Fixture(settings(List.of(REPEATABLE), Fixture.LIMITS));
         next.now = old.now;
         Backend[] fleet = fleet(3);
@@ -367,7 +391,11 @@
         assertEquals(learnt.servers().get("b1").speed(), speed(next, "b1"));
         Fixture late = new Fixture(settings(List.of(REPEATABLE), Fixture.LIMITS)).list(fleet(3));
         Handover.recall(late.choice, learnt, late.now, 100 * SECOND);
-        assertEquals(late.choice.known().typical, late.choice.estimates().effective(late.choice.known().servers.get("b1"), false), 0.01, "mostly forgotten since");
+        assertEquals(
+                late.choice.known().typical,
+                late.choice.estimates().effective(late.choice.known().servers.get("b1"), false),
+                0.01,
+                "mostly forgotten since");
         assertTrue(!next.choice.known().servers.get("b2").polled, "started since: not the server that was known");
         int slow = 0;
         for (int i = 0; i < 50; i++) {
@@ -377,7 +405,10 @@
         assertTrue(slow < 10, "sent " + slow + " of 50 to the slow one");
     }
 
-    /** What a mean warm server took is noted, not what it took for each unit of a size that may be told otherwise by then. */
+    /**
+     * What a mean warm server took is noted, not what it took for each unit of a size that may be told otherwise by
+     * then.
+     */
     @Test
     void whatWarmOnesTookOutlivesAnotherScaleOfSizes() {
         Fixture old = new Fixture(settings(List.of(REPEATABLE), Fixture.LIMITS)).list(sized(2));
@@ -394,8 +425,9 @@
     }
 
     private static Backend[] sized(double size) {
-        return Arrays.stream(fleet(3)).map(b -> new Backend(b.id(), b.zone(), b.cell(), size, b.state(), 0, "k"))
-            .toArray(Backend[]::new);
+        return Arrays.stream(fleet(3))
+                .map(b -> new Backend(b.id(), b.zone(), b.cell(), size, b.state(), 0, "k"))
+                .toArray(Backend[]::new);
     }
 
     private String oneOn(Fixture f) {
--- a/decision/src/test/java/calicochute/decision/PropertyTest.java
+++ b/decision/src/test/java/calicochute/decision/PropertyTest.java
@@ -4,11 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Random;
 import calicochute.decision.Balancer.Actions;
 import calicochute.decision.Balancer.Arrival;
 import calicochute.decision.Balancer.AttemptEnded;
@@ -24,6 +19,11 @@
 import calicochute.decision.Balancer.RequestClass;
 import calicochute.decision.Balancer.StreamStarted;
 import calicochute.decision.Balancer.Timer;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -53,8 +53,8 @@
         }
     }
 
-    private record Try(long request, int number, Backend to, long sentAt, long expires, boolean[] out,
-                       boolean[] neverRan) { }
+    private record Try(
+            long request, int number, Backend to, long sentAt, long expires, boolean[] out, boolean[] neverRan) {}
 
     private static final class World implements Actions {
         final Random random;
@@ -75,8 +75,16 @@
             limits = new Limits(true, seed % 2 == 0, false, false, false, 2 + (int) (seed % 4), 1000, 1, 0, 0);
             for (Effect effect : Effect.values()) {
                 for (KeyScope scope : KeyScope.values()) {
-                    classes.add(new RequestClass(effect + "-" + scope, effect, scope, SECOND / 2, SECOND, 4 * SECOND,
-                        1, seed % 3 == 0 ? 0 : 0.3, true));
+                    classes.add(new RequestClass(
+                            effect + "-" + scope,
+                            effect,
+                            scope,
+                            SECOND / 2,
+                            SECOND,
+                            4 * SECOND,
+                            1,
+                            seed % 3 == 0 ? 0 : 0.3,
+                            true));
                 }
             }
             choice = Choice.of(Fixture.settings(classes, limits));
@@ -151,8 +159,8 @@
                 if (kind == ListKind.CHANGES && dice < 7) {
                     continue;
                 }
-                BackendState state = dice == 9 ? BackendState.GONE : dice == 8 ? BackendState.DRAINING
-                    : BackendState.READY;
+                BackendState state =
+                        dice == 9 ? BackendState.GONE : dice == 8 ? BackendState.DRAINING : BackendState.READY;
                 Backend b = new Backend(id, "z" + i / 6, i / 3, 1, state, 0, "k");
                 if (kind == ListKind.FULL && state == BackendState.GONE) {
                     unfitSince.putIfAbsent(id, now);
@@ -201,8 +209,9 @@
 
         private void tell(Balancer.Event event) {
             choice.on(now, event, this);
-            known.forEach((id, k) -> assertTrue(k.answered || k.gone || now <= k.deadline + Fixture.RULES.answerSlack(),
-                () -> "request " + id + " is overdue"));
+            known.forEach((id, k) -> assertTrue(
+                    k.answered || k.gone || now <= k.deadline + Fixture.RULES.answerSlack(),
+                    () -> "request " + id + " is overdue"));
         }
 
         @Override
@@ -225,15 +234,17 @@
 
         private void mayRepeat(Known k, Try first, Backend to) {
             switch (k.cls.effect()) {
-                case REPEATABLE -> { }
+                case REPEATABLE -> {}
                 case ONCE -> throw new AssertionError("once sent twice");
                 case KEYED -> {
                     assertTrue(now - first.sentAt < k.cls.window(), "after the window");
-                    assertTrue(switch (k.cls.scope()) {
-                        case ALL -> true;
-                        case ZONE -> first.to.zone().equals(to.zone());
-                        case CELL -> first.to.cell() == to.cell();
-                    }, "outside the group");
+                    assertTrue(
+                            switch (k.cls.scope()) {
+                                case ALL -> true;
+                                case ZONE -> first.to.zone().equals(to.zone());
+                                case CELL -> first.to.cell() == to.cell();
+                            },
+                            "outside the group");
                 }
             }
         }
@@ -242,8 +253,11 @@
         public void refuse(long request, long retryAfter) {
             Known k = answer(request);
             boolean mayHaveRun = k.tries.stream().anyMatch(t -> !t.neverRan[0]);
-            assertTrue(!mayHaveRun || k.cls.effect() == Effect.REPEATABLE
-                || k.cls.effect() == Effect.KEYED && k.cls.scope() == KeyScope.ALL, "harmful refusal");
+            assertTrue(
+                    !mayHaveRun
+                            || k.cls.effect() == Effect.REPEATABLE
+                            || k.cls.effect() == Effect.KEYED && k.cls.scope() == KeyScope.ALL,
+                    "harmful refusal");
         }
 
         @Override
--- a/decision/src/test/java/calicochute/decision/RulesTest.java
+++ b/decision/src/test/java/calicochute/decision/RulesTest.java
@@ -9,10 +9,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Set;
 import calicochute.decision.Balancer.Backend;
 import calicochute.decision.Balancer.BackendState;
 import calicochute.decision.Balancer.ClientGone;
@@ -21,6 +17,10 @@
 import calicochute.decision.Balancer.Limits;
 import calicochute.decision.Balancer.ListKind;
 import calicochute.decision.Balancer.Outcome;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -60,8 +60,10 @@
     void effectIsNeverDoubled(Effect effect, KeyScope scope, Outcome outcome, String other, long later, String then) {
         Fixture f = Fixture.of(effect, scope).list(A);
         f.arrive(1, 4 * SECOND);
-        Backend second = List.of(SAME_CELL, SAME_ZONE, ELSEWHERE).stream().filter(b -> b.id().equals(other))
-            .findFirst().orElseThrow();
+        Backend second = List.of(SAME_CELL, SAME_ZONE, ELSEWHERE).stream()
+                .filter(b -> b.id().equals(other))
+                .findFirst()
+                .orElseThrow();
         f.list(ListKind.CHANGES, second, with(A, BackendState.DRAINING, 0));
         f.now += later;
         f.outcome(0, outcome, later);
@@ -151,14 +153,16 @@
         double share = 0.2 + 0.8 * 6 / 20;
         assertFalse(sends.isEmpty());
         for (long from : sends) {
-            long within = sends.stream().filter(t -> t >= from && t < from + 2 * SECOND).count();
+            long within = sends.stream()
+                    .filter(t -> t >= from && t < from + 2 * SECOND)
+                    .count();
             assertTrue(within <= 3 * share * warmPerSecond * 2, () -> within + " sends in one window");
         }
     }
 
     /**
-     * DANGER: what warm ones take fells one a quarter as large. A larger one is held to the mean, lest lists that lower sizes by
-     * load show all idle ones large; a size that makes no sense is none.
+     * DANGER: what warm ones take fells one a quarter as large. A larger one is held to the mean, lest lists that lower
+     * sizes by load show all idle ones large; a size that makes no sense is none.
      */
     @ParameterizedTest
     @CsvSource({"0.25, 0.25", "0.5, 0.5", "8, 1", "0, 1", "-3, 1", "NaN, 1"})
@@ -169,19 +173,38 @@
 
     private static final int CROWD = 40;
 
-    /** Sends of a crowd to one of this size that starts at the sixth of twelve seconds, beside three warm ones of size 1. */
+    /**
+     * Sends of a crowd to one of this size that starts at the sixth of twelve seconds, beside three warm ones of size
+     * 1.
+     */
     private static List<Long> crowdsSends(double weight) {
         int crowd = CROWD;
         long started = 1000 * SECOND + 6 * SECOND;
         List<Long> sends = new ArrayList<>();
         for (int me = 0; me < crowd; me++) {
-            Fixture f = new Fixture(new Balancer.Settings(me, me, crowd, 0, true, false, true, "z", 5000, 1, List.of(),
-                List.of(requestClass(Effect.REPEATABLE, KeyScope.ALL)), List.of(), Fixture.LIMITS, Fixture.RULES,
-                new Balancer.Goal(1, 0, 0, 0, 0, 0, 0)));
+            Fixture f = new Fixture(new Balancer.Settings(
+                    me,
+                    me,
+                    crowd,
+                    0,
+                    true,
+                    false,
+                    true,
+                    "z",
+                    5000,
+                    1,
+                    List.of(),
+                    List.of(requestClass(Effect.REPEATABLE, KeyScope.ALL)),
+                    List.of(),
+                    Fixture.LIMITS,
+                    Fixture.RULES,
+                    new Balancer.Goal(1, 0, 0, 0, 0, 0, 0)));
             f.list(backend("w1", "z", 0), backend("w2", "z", 0), backend("w3", "z", 0));
             for (int i = 0; i < 240; i++) {
                 if (i == 120) {
-                    f.list(ListKind.CHANGES, new Balancer.Backend("cold", "z", 0, weight, BackendState.READY, started, "k"));
+                    f.list(
+                            ListKind.CHANGES,
+                            new Balancer.Backend("cold", "z", 0, weight, BackendState.READY, started, "k"));
                 }
                 f.arrive(i, SECOND);
                 if (f.lastBackend().equals("cold")) {
@@ -209,12 +232,16 @@
         assertEquals(3, f.said.stream().filter("subscribe true"::equals).count());
     }
 
-    /** What the list service has to tell counts as told 6 s after it can be reached: no pause takes more than half of that. */
+    /**
+     * What the list service has to tell counts as told 6 s after it can be reached: no pause takes more than half of
+     * that.
+     */
     @Test
     void pausesAreSpreadAndShortHoweverOftenTheListServiceFailed() {
         Set<Long> pauses = new HashSet<>();
         for (int seed = 0; seed < 20; seed++) {
-            Fixture f = new Fixture(settings(seed, List.of(requestClass(Effect.ONCE, KeyScope.ALL)), Fixture.LIMITS, true, 0, 4));
+            Fixture f = new Fixture(
+                    settings(seed, List.of(requestClass(Effect.ONCE, KeyScope.ALL)), Fixture.LIMITS, true, 0, 4));
             for (int i = 0; i < 20; i++) {
                 f.list(ListKind.UNAVAILABLE);
                 long pause = f.timers.get(f.timers.size() - 1).at() - f.now;
--- a/decision/src/test/java/calicochute/decision/ShapeTest.java
+++ b/decision/src/test/java/calicochute/decision/ShapeTest.java
@@ -20,14 +20,27 @@
     private static final Path ROOT = Path.of("..");
     private static final Path FOLDER = Path.of("src/main/java/calicochute/decision");
     /** The contract with the hosts, and plain data. */
-    private static final Set<String> DECIDING_NOTHING = Set.of("Balancer.java", "Handover.java", "Learnt.java",
-        "Known.java", "Server.java", "Seen.java", "Attempt.java", "Request.java");
+    private static final Set<String> DECIDING_NOTHING = Set.of(
+            "Balancer.java",
+            "Handover.java",
+            "Learnt.java",
+            "Known.java",
+            "Server.java",
+            "Seen.java",
+            "Attempt.java",
+            "Request.java");
 
     /** The files that deploy/balancer.toml names as the policy. */
     private static List<Path> policy() throws IOException {
         String line = Files.readAllLines(ROOT.resolve("deploy/balancer.toml")).stream()
-            .filter(l -> l.startsWith("policy")).findFirst().orElseThrow();
-        return Pattern.compile("\"([^\"]+)\"").matcher(line).results().map(m -> ROOT.resolve(m.group(1))).toList();
+                .filter(l -> l.startsWith("policy"))
+                .findFirst()
+                .orElseThrow();
+        return Pattern.compile("\"([^\"]+)\"")
+                .matcher(line)
+                .results()
+                .map(m -> ROOT.resolve(m.group(1)))
+                .toList();
     }
 
     @Test
@@ -46,7 +59,9 @@
         Set<String> files = new TreeSet<>(DECIDING_NOTHING);
         policy().forEach(file -> files.add(file.getFileName().toString()));
         try (Stream<Path> there = Files.list(FOLDER)) {
-            assertEquals(files, there.map(file -> file.getFileName().toString()).collect(Collectors.toCollection(TreeSet::new)));
+            assertEquals(
+                    files,
+                    there.map(file -> file.getFileName().toString()).collect(Collectors.toCollection(TreeSet::new)));
         }
     }
 }
--- a/errors/src/main/java/calicochute/errors/Fault.java
+++ b/errors/src/main/java/calicochute/errors/Fault.java
@@ -1,8 +1,8 @@
 package calicochute.errors;
 
 /**
- * An error of this program: each has a code, what was seen, where, and what an operator can do. An interface, since some
- * of them must also be what a library's signatures allow ({@link java.io.IOException}).
+ * An error of this program: each has a code, what was seen, where, and what an operator can do. An interface, since
+ * some of them must also be what a library's signatures allow ({@link java.io.IOException}).
  */
 public interface Fault {
     /** Which of the errors listed in docs/errors.md it is. */
