--- a/errors/src/test/java/calicochute/ci/KnownRedTest.java
+++ b/errors/src/test/java/calicochute/ci/KnownRedTest.java
@@ -15,23 +15,30 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What `.ci/run` makes of a build with KNOWN-RED.txt, in a tree of one module; a stand-in says and leaves what Maven does. */
+/**
+ * What `.ci/run` makes of a build with KNOWN-RED.txt, in a tree of one module; a stand-in says and leaves what Maven
+ * does.
+ */
 class KnownRedTest {
     private static final String LISTED = "ATest#red | the clock is read twice | issue 7\n";
     private static final String FAILED = "FAILURE";
     private static final String BROKEN = "ERROR";
     private static final String SKIPPED = "SKIPPED";
     private static final String PASSED = "PASSED";
+
     @TempDir
     private Path root;
     /** Outcomes by class and method. */
     private final Map<String, Map<String, String>> tests = new TreeMap<>();
+
     private int status;
 
     @BeforeEach
     void layOut() throws IOException {
         write(".ci/run", Files.readString(Path.of("../.ci/run")));
-        write("bin/mvn", "#!/bin/sh\necho \"$@\" >arguments\ncp made/*.xml m/target/surefire-reports/\ncat made/said\nexit ${BUILT:-0}\n");
+        write(
+                "bin/mvn",
+                "#!/bin/sh\necho \"$@\" >arguments\ncp made/*.xml m/target/surefire-reports/\ncat made/said\nexit ${BUILT:-0}\n");
         assertTrue(root.resolve("bin/mvn").toFile().setExecutable(true));
         is("a.ATest", "red", FAILED);
         is("a.ATest", "green", PASSED);
@@ -49,33 +56,51 @@
     }
 
     private long count(String outcome) {
-        return tests.values().stream().flatMap(t -> t.values().stream()).filter(outcome::equals).count();
+        return tests.values().stream()
+                .flatMap(t -> t.values().stream())
+                .filter(outcome::equals)
+                .count();
     }
 
     /** What is printed by a run with that list; null for no list. */
     private String run(String list) throws Exception {
-        StringBuilder console = new StringBuilder("[INFO] Tests run: 7, Failures: 7, Errors: 0, Skipped: 0, Time elapsed: 1.5 s -- in a.ATest\n");
+        StringBuilder console = new StringBuilder(
+                "[INFO] Tests run: 7, Failures: 7, Errors: 0, Skipped: 0, Time elapsed: 1.5 s -- in a.ATest\n");
         for (Map.Entry<String, Map<String, String>> of : tests.entrySet()) {
             write("m/src/test/java/" + of.getKey().replace('.', '/') + ".java", "");
-            write("made/TEST-" + of.getKey() + ".xml", of.getValue().keySet().stream()
-                .map(t -> "  <testcase name=\"" + t + "\" classname=\"" + of.getKey() + "\" time=\"0.1\">\n").collect(Collectors.joining()));
+            write(
+                    "made/TEST-" + of.getKey() + ".xml",
+                    of.getValue().keySet().stream()
+                            .map(t ->
+                                    "  <testcase name=\"" + t + "\" classname=\"" + of.getKey() + "\" time=\"0.1\">\n")
+                            .collect(Collectors.joining()));
             of.getValue().forEach((test, outcome) -> {
                 if (outcome.equals(FAILED) || outcome.equals(BROKEN)) {
-                    console.append("[ERROR] ").append(of.getKey()).append(test.isEmpty() ? "" : "." + test).append(" -- Time elapsed: 0.267 s <<< ")
-                        .append(outcome).append("!\n");
+                    console.append("[ERROR] ")
+                            .append(of.getKey())
+                            .append(test.isEmpty() ? "" : "." + test)
+                            .append(" -- Time elapsed: 0.267 s <<< ")
+                            .append(outcome)
+                            .append("!\n");
                 }
             });
         }
         // Of two modules, the first without tests that fail.
-        write("made/said", console + "[WARNING] Tests run: 5, Failures: 0, Errors: 0, Skipped: 1\n[ERROR] Tests run: "
-            + tests.values().stream().mapToInt(Map::size).sum() + ", Failures: " + count(FAILED) + ", Errors: " + count(BROKEN) + ", Skipped: " + count(SKIPPED) + "\n");
+        write(
+                "made/said",
+                console + "[WARNING] Tests run: 5, Failures: 0, Errors: 0, Skipped: 1\n[ERROR] Tests run: "
+                        + tests.values().stream().mapToInt(Map::size).sum() + ", Failures: " + count(FAILED)
+                        + ", Errors: " + count(BROKEN) + ", Skipped: " + count(SKIPPED) + "\n");
         // Of an earlier run: must not count.
         write("m/target/surefire-reports/TEST-c.DiedTest.xml", "");
         if (list != null) {
             write("KNOWN-RED.txt", list);
         }
         File said = root.resolve("said").toFile();
-        ProcessBuilder check = new ProcessBuilder("bash", root.resolve(".ci/run").toString()).redirectErrorStream(true).redirectOutput(said);
+        ProcessBuilder check = new ProcessBuilder(
+                        "bash", root.resolve(".ci/run").toString())
+                .redirectErrorStream(true)
+                .redirectOutput(said);
         check.environment().merge("PATH", root.resolve("bin") + ":", (path, bin) -> bin + path);
         Process process = check.start();
         assertTrue(process.waitFor(60, TimeUnit.SECONDS));
@@ -105,7 +130,9 @@
     void aListedFailureIsPrintedAndPassedOver() throws Exception {
         is("b.BTest", "later", SKIPPED);
         is("a.ATest", "red", BROKEN);
-        passes(LISTED, "known-red: ATest#red: failed: the clock is read twice (issue 7)\nknown-red: 6 passed, 1 failed, 2 skipped, of the failed 1 listed; 0 faults");
+        passes(
+                LISTED,
+                "known-red: ATest#red: failed: the clock is read twice (issue 7)\nknown-red: 6 passed, 1 failed, 2 skipped, of the failed 1 listed; 0 faults");
         passes("a.ATest#red\tthe clock is read twice\tissue 7", "0 faults");
     }
 
@@ -122,14 +149,22 @@
     @Test
     void aFailureThatNoReportNamesFails() throws Exception {
         is("b.BTest", "green", FAILED);
-        write("bin/mvn", Files.readString(root.resolve("bin/mvn")).replace("cat", "rm m/target/surefire-reports/TEST-b.BTest.xml; touch m/target/surefire-reports/TEST-b.BTest.xml; cat"));
+        write(
+                "bin/mvn",
+                Files.readString(root.resolve("bin/mvn"))
+                        .replace(
+                                "cat",
+                                "rm m/target/surefire-reports/TEST-b.BTest.xml; touch m/target/surefire-reports/TEST-b.BTest.xml; cat"));
         fails(LISTED, "b.BTest.green failed and is not listed");
     }
 
     /** What Maven counts and its lines do not name can't be told from what is listed. */
     @Test
     void aFailureThatNoLineNamesFails() throws Exception {
-        write("bin/mvn", Files.readString(root.resolve("bin/mvn")).replace("cat made/said", "sed 's/Failures: 1,/Failures: 2,/' made/said"));
+        write(
+                "bin/mvn",
+                Files.readString(root.resolve("bin/mvn"))
+                        .replace("cat made/said", "sed 's/Failures: 1,/Failures: 2,/' made/said"));
         fails(LISTED, "Maven counts 2 failures");
     }
 
--- a/errors/src/test/java/calicochute/errors/PageTest.java
+++ b/errors/src/test/java/calicochute/errors/PageTest.java
@@ -13,13 +13,19 @@
     @Test
     void thePageListsEachErrorWithItsRemedy() throws Exception {
         List<String> rows = Files.readAllLines(Path.of("../docs/errors.md")).stream()
-            .filter(l -> l.matches("\\| C\\d+ .*")).map(l -> l.replaceAll("\\|[^|]*\\|$", "|")).toList();
-        List<String> wanted = Arrays.stream(Code.values()).map(c -> "| " + c.id() + " | " + c + " | " + c.remedy() + " |").toList();
+                .filter(l -> l.matches("\\| C\\d+ .*"))
+                .map(l -> l.replaceAll("\\|[^|]*\\|$", "|"))
+                .toList();
+        List<String> wanted = Arrays.stream(Code.values())
+                .map(c -> "| " + c.id() + " | " + c + " | " + c.remedy() + " |")
+                .toList();
         assertEquals(wanted, rows);
     }
 
     @Test
     void noNumberStandsForTwoErrors() {
-        assertEquals(Code.values().length, Arrays.stream(Code.values()).map(Code::id).distinct().count());
+        assertEquals(
+                Code.values().length,
+                Arrays.stream(Code.values()).map(Code::id).distinct().count());
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/Arm.java
+++ b/experiment/src/main/java/calicochute/experiment/Arm.java
@@ -1,4 +1,7 @@
 package calicochute.experiment;
 
 /** The two sides of an experiment. */
-public enum Arm { CONTROL, TREATMENT }
+public enum Arm {
+    CONTROL,
+    TREATMENT
+}
--- a/experiment/src/main/java/calicochute/experiment/Assignment.java
+++ b/experiment/src/main/java/calicochute/experiment/Assignment.java
@@ -4,12 +4,12 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Which arm a unit is in: by hash alone, so that every balancer says the same, after a restart too, without a word between them.
- * A unit's place in [0, 1) never moves; the treatment is what lies below the share, so that a greater share only moves units
- * from control to treatment.
+ * Which arm a unit is in: by hash alone, so that every balancer says the same, after a restart too, without a word
+ * between them. A unit's place in [0, 1) never moves; the treatment is what lies below the share, so that a greater
+ * share only moves units from control to treatment.
  */
 public final class Assignment {
-    private Assignment() { }
+    private Assignment() {}
 
     public static Arm of(Experiment e, String unit, double share) {
         return place(e, unit, "") < share ? Arm.TREATMENT : Arm.CONTROL;
@@ -18,8 +18,8 @@
     /** In [0, 1), uniform over units; another purpose gives a place that has nothing to do with the first. */
     static double place(Experiment e, String unit, String purpose) {
         // Lengths keep ("a", "bc") and ("ab", "c") apart.
-        return fraction(e.name().length() + ":" + e.name() + e.salt().length() + ":" + e.salt() + purpose.length() + ":" + purpose
-            + unit);
+        return fraction(e.name().length() + ":" + e.name() + e.salt().length() + ":" + e.salt() + purpose.length() + ":"
+                + purpose + unit);
     }
 
     static double fraction(String text) {
--- a/experiment/src/main/java/calicochute/experiment/Counts.java
+++ b/experiment/src/main/java/calicochute/experiment/Counts.java
@@ -47,7 +47,9 @@
         out.put((byte) cells.size());
         cells.forEach((cell, sums) -> {
             out.put((byte) (cell.lane() << 1 | cell.arm().ordinal()));
-            for (long value : new long[] {sums.n(), sums.sum(), sums.squares(), sums.failures(), sums.crossed(), sums.repeats()}) {
+            for (long value :
+                    new long[] {sums.n(), sums.sum(), sums.squares(), sums.failures(), sums.crossed(), sums.repeats()
+                    }) {
                 put(out, value);
             }
         });
@@ -72,7 +74,9 @@
             double asked = in.getDouble();
             double cut = in.getDouble();
             int many = in.get();
-            check(window >= 0 && share >= 0 && share <= 1 && asked >= 0 && asked < 1e18 && cut >= 0 && cut <= asked, "window, share or worth");
+            check(
+                    window >= 0 && share >= 0 && share <= 1 && asked >= 0 && asked < 1e18 && cut >= 0 && cut <= asked,
+                    "window, share or worth");
             check(many >= 0 && many <= 2 * ExperimentCheck.MOST_LANES, "number of cells");
             Map<Cell, Sums> cells = new TreeMap<>();
             for (int i = 0; i < many; i++) {
@@ -87,7 +91,12 @@
                 parts.add(take(in));
             }
             for (int i = 0; i < 4 * PARTS; i += 2) {
-                check(parts.get(i) >= 0 && parts.get(i) < 1L << 32 && parts.get(i + 1) >= 0 && parts.get(i + 1) <= parts.get(i) * Sums.PARTS, "parts");
+                check(
+                        parts.get(i) >= 0
+                                && parts.get(i) < 1L << 32
+                                && parts.get(i + 1) >= 0
+                                && parts.get(i + 1) <= parts.get(i) * Sums.PARTS,
+                        "parts");
             }
             check(!in.hasRemaining(), "length");
             return new Counts(window, share, cells, parts, asked, cut);
--- a/experiment/src/main/java/calicochute/experiment/Experiment.java
+++ b/experiment/src/main/java/calicochute/experiment/Experiment.java
@@ -8,8 +8,8 @@
 import java.util.TreeSet;
 
 /**
- * An experiment as the operator wrote it. What is left out is null or 0 in what a reader binds and gets its default here; whether
- * it makes sense is {@link ExperimentCheck}'s matter.
+ * An experiment as the operator wrote it. What is left out is null or 0 in what a reader binds and gets its default
+ * here; whether it makes sense is {@link ExperimentCheck}'s matter.
  *
  * @param salt drawn into the assignment: the same experiment run again under another salt splits the units anew
  * @param share of the units that go to the treatment, at first
@@ -19,13 +19,30 @@
  * @param error of all verdicts, at most this part are false
  * @param longest after which it ends undecided
  */
-public record Experiment(String name, String salt, Unit unit, Selector control, Selector treatment, double share,
-                         Set<String> lanes, Set<String> tenants, Measure measure, double least, double error,
-                         List<Guard> guards, Duration longest, After after) {
+public record Experiment(
+        String name,
+        String salt,
+        Unit unit,
+        Selector control,
+        Selector treatment,
+        double share,
+        Set<String> lanes,
+        Set<String> tenants,
+        Measure measure,
+        double least,
+        double error,
+        List<Guard> guards,
+        Duration longest,
+        After after) {
     /** What is assigned as a whole: each call (with its retries), or each tenant. */
-    public enum Unit { SESSION, TENANT }
+    public enum Unit {
+        SESSION,
+        TENANT
+    }
 
-    /** Servers by what the list says of them; an empty part takes all. In `id`, `*` stands for any run of characters. */
+    /**
+     * Servers by what the list says of them; an empty part takes all. In `id`, `*` stands for any run of characters.
+     */
     public record Selector(String kind, String cell, String zone, String id) {
         public Selector {
             kind = kind == null ? "" : kind;
@@ -35,8 +52,10 @@
         }
 
         public boolean takes(Server server) {
-            return (kind.isEmpty() || kind.equals(server.kind())) && (cell.isEmpty() || cell.equals(server.cell()))
-                && (zone.isEmpty() || zone.equals(server.zone())) && (id.isEmpty() || matches(id, server.id()));
+            return (kind.isEmpty() || kind.equals(server.kind()))
+                    && (cell.isEmpty() || cell.equals(server.cell()))
+                    && (zone.isEmpty() || zone.equals(server.zone()))
+                    && (id.isEmpty() || matches(id, server.id()));
         }
 
         /** Linear but for the last star's retries: no pattern can make it run away. */
@@ -67,7 +86,7 @@
     }
 
     /** A server as discovery lists it. */
-    public record Server(String id, String kind, String cell, String zone, double weight) { }
+    public record Server(String id, String kind, String cell, String zone, double weight) {}
 
     /**
      * Worth served within the aim, of the worth asked for.
@@ -81,14 +100,17 @@
             List<Double> sorted = new ArrayList<>(worths);
             sorted.sort(null);
             int at = (int) Math.ceil(quantile * sorted.size()) - 1;
-            return new Measure(sorted.isEmpty() ? 0 : sorted.get(Math.max(0, Math.min(sorted.size() - 1, at))), quantile);
+            return new Measure(
+                    sorted.isEmpty() ? 0 : sorted.get(Math.max(0, Math.min(sorted.size() - 1, at))), quantile);
         }
     }
 
     /** Failures of a lane may be at most `worse` (0.01: one point) more often in the treatment. */
-    public record Guard(String lane, double worse) { }
+    public record Guard(String lane, double worse) {}
 
-    /** What follows a verdict for the treatment: nothing (no steps), or the shares to go through, each held for a time. */
+    /**
+     * What follows a verdict for the treatment: nothing (no steps), or the shares to go through, each held for a time.
+     */
     public record After(List<Double> steps, Duration each) {
         public After {
             steps = steps == null ? List.of() : List.copyOf(steps);
--- a/experiment/src/main/java/calicochute/experiment/Gathered.java
+++ b/experiment/src/main/java/calicochute/experiment/Gathered.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 
 /**
- * Counts of several balancers, by origin and window. Joining is a map union; of two different ones under one key the greater by
- * its bytes is kept: any order, loss and repetition gives the same. Immutable.
+ * Counts of several balancers, by origin and window. Joining is a map union; of two different ones under one key the
+ * greater by its bytes is kept: any order, loss and repetition gives the same. Immutable.
  *
  * @param clashes keys under which two different ones were seen: a balancer that counts wrongly or a name in use twice
  */
@@ -35,7 +35,8 @@
             Counts old = all.get(entry.getKey());
             if (old == null || !old.equals(entry.getValue())) {
                 clashing += old == null ? 0 : 1;
-                boolean greater = old == null || Arrays.compareUnsigned(old.bytes(), entry.getValue().bytes()) < 0;
+                boolean greater = old == null
+                        || Arrays.compareUnsigned(old.bytes(), entry.getValue().bytes()) < 0;
                 all.put(entry.getKey(), greater ? entry.getValue() : old);
             }
         }
--- a/experiment/src/main/java/calicochute/experiment/Ledger.java
+++ b/experiment/src/main/java/calicochute/experiment/Ledger.java
@@ -4,7 +4,10 @@
 import calicochute.experiment.Sealed.Total;
 import java.util.List;
 
-/** Adds a sealed window to a state: evidence and sums, and then what the tests foresee of the next window, learned from all before it. */
+/**
+ * Adds a sealed window to a state: evidence and sums, and then what the tests foresee of the next window, learned from
+ * all before it.
+ */
 final class Ledger {
     /** A predictor forgets beyond this many sessions, to follow the load. */
     private static final float MEMORY = 1000;
@@ -60,7 +63,8 @@
                 Total t = sealed.totals[g][lane][1];
                 Total c = sealed.totals[g][lane][0];
                 double squares = EffectTest.squares(t, c, p, bT, bC);
-                s.groups[g * 3] += (float) (h * (t.n + c.n) * (bT - bC) + (1 - p) * (t.sum - t.n * bT) - p * (c.sum - c.n * bC));
+                s.groups[g * 3] +=
+                        (float) (h * (t.n + c.n) * (bT - bC) + (1 - p) * (t.sum - t.n * bT) - p * (c.sum - c.n * bC));
                 s.groups[g * 3 + 1] += (float) (h * (t.n + c.n));
                 s.groups[g * 3 + 2] += (float) squares;
                 s.spread[0] += (float) (squares / h);
@@ -74,8 +78,16 @@
         halve(s.spread, 1e6f);
         double control = sealed.sessions(Arm.CONTROL);
         double treatment = sealed.sessions(Arm.TREATMENT);
-        double[] add = {treatment - p * (control + treatment), control + treatment, control, treatment, sealed.crossed[0], sealed.crossed[1],
-            sealed.asked, sealed.cut};
+        double[] add = {
+            treatment - p * (control + treatment),
+            control + treatment,
+            control,
+            treatment,
+            sealed.crossed[0],
+            sealed.crossed[1],
+            sealed.asked,
+            sealed.cut
+        };
         for (int i = 0; i < add.length; i++) {
             s.totals[i] += add[i];
         }
--- a/experiment/src/main/java/calicochute/experiment/Notes.java
+++ b/experiment/src/main/java/calicochute/experiment/Notes.java
@@ -12,7 +12,7 @@
     /** Sessions at which the split's test is sharpest, over 4. */
     private static final double SPLIT_SCALE = 500;
 
-    private Notes() { }
+    private Notes() {}
 
     /** Before a verdict is looked for. */
     static void look(State s) {
@@ -40,7 +40,8 @@
     /** Robbins' normal mixture for sums of values within a range of 1 (variance at most 1/4). */
     private static boolean uneven(State s) {
         double v = s.totals[1] / 4;
-        return s.totals[0] * s.totals[0] / (2 * (v + SPLIT_SCALE)) + StrictMath.log(SPLIT_SCALE / (v + SPLIT_SCALE)) / 2 >= LOG_SPLIT;
+        return s.totals[0] * s.totals[0] / (2 * (v + SPLIT_SCALE)) + StrictMath.log(SPLIT_SCALE / (v + SPLIT_SCALE)) / 2
+                >= LOG_SPLIT;
     }
 
     private static int groupsCounting(State s) {
--- a/experiment/src/main/java/calicochute/experiment/Sealed.java
+++ b/experiment/src/main/java/calicochute/experiment/Sealed.java
@@ -9,13 +9,13 @@
 import java.util.TreeSet;
 
 /**
- * The counts of one sealed window added up, in five groups of balancers: what one balancer counts lies in one group, so that a
- * verdict can be asked for that stands without any one of them. Sums are of values in [0, 1].
+ * The counts of one sealed window added up, in five groups of balancers: what one balancer counts lies in one group, so
+ * that a verdict can be asked for that stands without any one of them. Sums are of values in [0, 1].
  *
- * What is left out: counts of an unknown balancer, and those assigned with another share than the window's (a balancer that had
- * not heard of a move). One balancer's part is at most {@link #MOST_MEDIANS} times the median: beyond it all its sums are scaled
- * down alike, which depends on its number of sessions only, not on arms or outcomes, and so keeps the evidence valid
- * (E exp(f x) is at most (E exp x)^f for f up to 1).
+ * <p>What is left out: counts of an unknown balancer, and those assigned with another share than the window's (a
+ * balancer that had not heard of a move). One balancer's part is at most {@link #MOST_MEDIANS} times the median: beyond
+ * it all its sums are scaled down alike, which depends on its number of sessions only, not on arms or outcomes, and so
+ * keeps the evidence valid (E exp(f x) is at most (E exp x)^f for f up to 1).
  */
 public final class Sealed {
     static final int GROUPS = 5;
@@ -60,7 +60,8 @@
      * @param counts of the window, by origin
      * @param peers all configured balancers: their places give the groups
      */
-    public static Sealed of(Experiment e, long window, double share, Map<String, Counts> counts, Collection<String> peers) {
+    public static Sealed of(
+            Experiment e, long window, double share, Map<String, Counts> counts, Collection<String> peers) {
         Sealed sealed = new Sealed(window, e.lanes().size());
         List<String> places = List.copyOf(new TreeSet<>(peers));
         List<Long> sizes = new ArrayList<>();
@@ -77,7 +78,9 @@
             }
         }
         sizes.sort(null);
-        double most = sizes.size() < 3 ? Double.MAX_VALUE : Math.max(FEWEST, MOST_MEDIANS * sizes.get((sizes.size() - 1) / 2));
+        double most = sizes.size() < 3
+                ? Double.MAX_VALUE
+                : Math.max(FEWEST, MOST_MEDIANS * sizes.get((sizes.size() - 1) / 2));
         for (String origin : taken) {
             sealed.add(counts.get(origin), Collections.binarySearch(places, origin) % GROUPS, most);
         }
@@ -90,7 +93,8 @@
         for (Map.Entry<Cell, Sums> entry : c.cells().entrySet()) {
             if (entry.getKey().lane() < totals[group].length) {
                 Sums sums = entry.getValue();
-                Total total = totals[group][entry.getKey().lane()][entry.getKey().arm().ordinal()];
+                Total total = totals[group][entry.getKey().lane()][
+                        entry.getKey().arm().ordinal()];
                 total.n += f * sums.n();
                 total.sum += f * sums.sum() / Sums.PARTS;
                 total.squares += f * sums.squares() / Sums.PARTS / Sums.PARTS;
--- a/experiment/src/main/java/calicochute/experiment/State.java
+++ b/experiment/src/main/java/calicochute/experiment/State.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * All a stopper knows after a sealed window; of the size of a datagram, whatever the number of balancers, servers and sessions.
- * Not changed once handed out ({@link Stopper} works on a copy). Figures are kept as floats where they are, and counted on from
- * the floats: a state read from bytes goes on exactly as the one written.
+ * All a stopper knows after a sealed window; of the size of a datagram, whatever the number of balancers, servers and
+ * sessions. Not changed once handed out ({@link Stopper} works on a copy). Figures are kept as floats where they are,
+ * and counted on from the floats: a state read from bytes goes on exactly as the one written.
  */
 public final class State {
     /** Floats of a predictor: mean and weight of the treatment, then of the control. */
@@ -30,6 +30,7 @@
     final float[] wealth;
     /** Evidence of harm, {@link HarmTest}. */
     final float[] harm;
+
     final float[] lanes;
     final float[] guards;
     /** Squares of residuals over h, and sessions. */
@@ -38,7 +39,10 @@
     final float[] groups;
     /** For each arm four parts of its servers: sessions and sum, in turn. */
     final float[] parts;
-    /** Treatment's sessions beyond the drawn ones, sessions; of control and treatment: sessions, crossed; worth asked for, cut. */
+    /**
+     * Treatment's sessions beyond the drawn ones, sessions; of control and treatment: sessions, crossed; worth asked
+     * for, cut.
+     */
     final double[] totals;
 
     State(int definition, long first, int lanes, int guards) {
@@ -96,7 +100,8 @@
 
     /** True once nothing more is to be sealed: there is a verdict, and no steps whose guards have to be watched. */
     public boolean over(Experiment e) {
-        return verdict != Verdict.NONE && (verdict != Verdict.TREATMENT || e.after().steps().isEmpty() || notes.contains(Note.TURNED_BACK));
+        return verdict != Verdict.NONE
+                && (verdict != Verdict.TREATMENT || e.after().steps().isEmpty() || notes.contains(Note.TURNED_BACK));
     }
 
     /** The window at which the verdict fell; -1: none yet. */
--- a/experiment/src/main/java/calicochute/experiment/StateBytes.java
+++ b/experiment/src/main/java/calicochute/experiment/StateBytes.java
@@ -9,13 +9,21 @@
     static final int MOST = 900;
     private static final byte VERSION = 1;
 
-    private StateBytes() { }
+    private StateBytes() {}
 
     static byte[] of(State s) {
         ByteBuffer out = ByteBuffer.allocate(MOST);
         out.put(VERSION).put((byte) (s.lanes.length / State.OF_LANE)).put((byte) (s.guards.length / State.OF_LANE));
-        out.putInt(s.definition).putLong(s.first).putLong(s.window).putDouble(s.share).putDouble(s.nextShare).putLong(s.nextFrom);
-        out.put((byte) s.verdict.ordinal()).putLong(s.decided).put((byte) s.guard).put((byte) s.step);
+        out.putInt(s.definition)
+                .putLong(s.first)
+                .putLong(s.window)
+                .putDouble(s.share)
+                .putDouble(s.nextShare)
+                .putLong(s.nextFrom);
+        out.put((byte) s.verdict.ordinal())
+                .putLong(s.decided)
+                .put((byte) s.guard)
+                .put((byte) s.step);
         int notes = 0;
         for (Note note : s.notes) {
             notes |= 1 << note.ordinal();
@@ -40,13 +48,20 @@
             check(bytes.length <= MOST && in.get() == VERSION, "version or length");
             int lanes = in.get();
             int guards = in.get();
-            check(lanes >= 0 && lanes <= ExperimentCheck.MOST_LANES && guards >= 0 && guards <= ExperimentCheck.MOST_GUARDS, "lanes or guards");
+            check(
+                    lanes >= 0
+                            && lanes <= ExperimentCheck.MOST_LANES
+                            && guards >= 0
+                            && guards <= ExperimentCheck.MOST_GUARDS,
+                    "lanes or guards");
             State s = new State(in.getInt(), in.getLong(), lanes, guards);
             s.window = in.getLong();
             s.share = in.getDouble();
             s.nextShare = in.getDouble();
             s.nextFrom = in.getLong();
-            check(s.share >= 0 && s.share <= 1 && s.nextShare >= 0 && s.nextShare <= 1 && s.window >= s.first - 1, "share or window");
+            check(
+                    s.share >= 0 && s.share <= 1 && s.nextShare >= 0 && s.nextShare <= 1 && s.window >= s.first - 1,
+                    "share or window");
             int verdict = in.get();
             check(verdict >= 0 && verdict < Verdict.values().length, "verdict");
             s.verdict = Verdict.values()[verdict];
--- a/experiment/src/main/java/calicochute/experiment/Stopper.java
+++ b/experiment/src/main/java/calicochute/experiment/Stopper.java
@@ -7,10 +7,10 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Decides an experiment on the ordered sequence of sealed windows: pure, the same at every balancer, valid at whichever window
- * it is looked at. Of the error rate a fifth goes to the guards (if any), the rest half and half to a verdict for either arm;
- * "no difference" takes the same part again, which is never spent together with the other arm's under one truth. Whatever
- * withholds a verdict (notes) can only make false ones rarer.
+ * Decides an experiment on the ordered sequence of sealed windows: pure, the same at every balancer, valid at whichever
+ * window it is looked at. Of the error rate a fifth goes to the guards (if any), the rest half and half to a verdict
+ * for either arm; "no difference" takes the same part again, which is never spent together with the other arm's under
+ * one truth. Whatever withholds a verdict (notes) can only make false ones rarer.
  */
 public final class Stopper {
     private static final double FOR_GUARDS = 0.2;
@@ -29,7 +29,8 @@
 
     /**
      * @param windowLength microseconds
-     * @param lead windows from the one sealed to the first with a moved share: more than sealing takes, so that all have heard
+     * @param lead windows from the one sealed to the first with a moved share: more than sealing takes, so that all
+     *     have heard
      */
     public Stopper(Experiment e, long windowLength, int lead) {
         this.e = e;
@@ -38,7 +39,8 @@
         each = Math.max(1, e.after().each().toMillis() * 1000 / windowLength);
         lanes = e.lanesInOrder();
         logForArm = -StrictMath.log(part(e));
-        logForGuard = -StrictMath.log(e.error() * FOR_GUARDS / Math.max(1, e.guards().size()));
+        logForGuard =
+                -StrictMath.log(e.error() * FOR_GUARDS / Math.max(1, e.guards().size()));
         definition = fingerprint(e);
         ledger = new Ledger(e, lanes);
     }
@@ -50,8 +52,20 @@
 
     /** All that evidence rests on; the share and what follows a verdict may change under way. */
     private static int fingerprint(Experiment e) {
-        String text = String.join("\n", e.name(), e.salt(), "" + e.unit(), "" + e.control(), "" + e.treatment(), "" + e.lanesInOrder(),
-            "" + new TreeSet<>(e.tenants()), "" + e.measure(), "" + e.least(), "" + e.error(), "" + e.guards(), "" + e.longest());
+        String text = String.join(
+                "\n",
+                e.name(),
+                e.salt(),
+                "" + e.unit(),
+                "" + e.control(),
+                "" + e.treatment(),
+                "" + e.lanesInOrder(),
+                "" + new TreeSet<>(e.tenants()),
+                "" + e.measure(),
+                "" + e.least(),
+                "" + e.error(),
+                "" + e.guards(),
+                "" + e.longest());
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         return MurmurHash3.hash32x86(bytes, 0, bytes.length, 0);
     }
@@ -72,7 +86,9 @@
 
     /** Whether a state is of this definition, not of one since changed. */
     public boolean knows(State s) {
-        return s.definition == definition && s.lanes.length == lanes.size() * State.OF_LANE && s.guards.length == e.guards().size() * State.OF_LANE;
+        return s.definition == definition
+                && s.lanes.length == lanes.size() * State.OF_LANE
+                && s.guards.length == e.guards().size() * State.OF_LANE;
     }
 
     /**
@@ -83,7 +99,8 @@
     public State move(State s, double share, long from) {
         boolean pending = s.nextFrom != Long.MAX_VALUE && s.nextFrom > s.window + 1;
         if (!ExperimentCheck.inRange(share) || from <= s.window || pending) {
-            throw new IllegalArgumentException("a share of " + share + " from window " + from + (pending ? " before the last move is sealed" : ""));
+            throw new IllegalArgumentException("a share of " + share + " from window " + from
+                    + (pending ? " before the last move is sealed" : ""));
         }
         State next = s.copy();
         if (s.verdict == Verdict.NONE) {
--- a/experiment/src/main/java/calicochute/experiment/Sums.java
+++ b/experiment/src/main/java/calicochute/experiment/Sums.java
@@ -1,8 +1,8 @@
 package calicochute.experiment;
 
 /**
- * Of the sessions of one arm and lane, by the arm they were assigned (intention to treat). Whole numbers, so that sums are the
- * same in any order.
+ * Of the sessions of one arm and lane, by the arm they were assigned (intention to treat). Whole numbers, so that sums
+ * are the same in any order.
  *
  * @param n sessions counted
  * @param sum of the measure, in {@link #PARTS ths}
@@ -17,13 +17,31 @@
     private static final long MOST = 1L << 32;
 
     public Sums plus(Sums o) {
-        return new Sums(n + o.n, sum + o.sum, squares + o.squares, failures + o.failures, crossed + o.crossed, repeats + o.repeats);
+        return new Sums(
+                n + o.n,
+                sum + o.sum,
+                squares + o.squares,
+                failures + o.failures,
+                crossed + o.crossed,
+                repeats + o.repeats);
     }
 
-    /** What n values in [0, 1] can give: the sum at most n, the squares at most the sum, and at least its square over n. */
+    /**
+     * What n values in [0, 1] can give: the sum at most n, the squares at most the sum, and at least its square over n.
+     */
     boolean possible() {
-        return n >= 0 && n < MOST && sum >= 0 && sum <= n * PARTS && squares >= 0 && squares <= sum * PARTS
-            && (double) sum * sum <= (double) n * squares * (1 + 1e-9) && failures >= 0 && failures <= n * PARTS
-            && crossed >= 0 && crossed <= n && repeats >= 0 && repeats < MOST;
+        return n >= 0
+                && n < MOST
+                && sum >= 0
+                && sum <= n * PARTS
+                && squares >= 0
+                && squares <= sum * PARTS
+                && (double) sum * sum <= (double) n * squares * (1 + 1e-9)
+                && failures >= 0
+                && failures <= n * PARTS
+                && crossed >= 0
+                && crossed <= n
+                && repeats >= 0
+                && repeats < MOST;
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/Teller.java
+++ b/experiment/src/main/java/calicochute/experiment/Teller.java
@@ -13,13 +13,14 @@
 import java.util.function.LongToDoubleFunction;
 
 /**
- * One balancer's counting for one experiment: a session is assigned as it begins and counted, for the arm assigned, as it ends;
- * a window is closed once all its sessions have ended or passed their deadline (then they count as failed). Used on one thread.
+ * One balancer's counting for one experiment: a session is assigned as it begins and counted, for the arm assigned, as
+ * it ends; a window is closed once all its sessions have ended or passed their deadline (then they count as failed).
+ * Used on one thread.
  *
- * <p>A unit is counted once. Of sessions, retries (marked ones, and those of a call seen here lately) are in the same arm and
- * not counted. A tenant is one draw however many sessions it has, so that a sequence of windows would count the same draw again
- * and again: each tenant has one window, drawn by hash over the longest duration, and one balancer at which its sessions of that
- * window are counted, as one figure, their mean.
+ * <p>A unit is counted once. Of sessions, retries (marked ones, and those of a call seen here lately) are in the same
+ * arm and not counted. A tenant is one draw however many sessions it has, so that a sequence of windows would count the
+ * same draw again and again: each tenant has one window, drawn by hash over the longest duration, and one balancer at
+ * which its sessions of that window are counted, as one figure, their mean.
  */
 public final class Teller {
     private static final int MOST_RECENT = 8192;
@@ -28,7 +29,7 @@
     private static final long STEP = 100_000;
 
     /** A session in the experiment; `counted` is false where only its arm matters. */
-    public record Ticket(Arm arm, long window, int lane, String unit, long deadline, boolean counted) { }
+    public record Ticket(Arm arm, long window, int lane, String unit, long deadline, boolean counted) {}
 
     private static final class Open {
         final double share;
@@ -134,7 +135,7 @@
 
     private boolean turn(String tenant, long window) {
         return Math.floorMod(window - first, windows) == (long) (Assignment.place(e, tenant, "turn") * windows)
-            && (int) (Assignment.place(e, tenant, "place") * peers) == me;
+                && (int) (Assignment.place(e, tenant, "place") * peers) == me;
     }
 
     private boolean seen(String call) {
@@ -171,7 +172,9 @@
         w.deadlines.computeIfPresent(step(ticket.deadline()), (any, many) -> many > 1 ? many - 1 : null);
         w.asked += Math.max(0, asked);
         w.cut += most > 0 ? Math.max(0, asked - most) : 0;
-        Cellful into = e.unit() == Unit.TENANT ? w.tenants.get(ticket.unit()) : w.cells.get(new Cell(ticket.arm(), ticket.lane()));
+        Cellful into = e.unit() == Unit.TENANT
+                ? w.tenants.get(ticket.unit())
+                : w.cells.get(new Cell(ticket.arm(), ticket.lane()));
         into.open--;
         into.sums = into.sums.plus(new Sums(1, y, y * y, failed ? Sums.PARTS : 0, crossed ? 1 : 0, 0));
         if (!server.isEmpty()) {
--- a/experiment/src/main/java/calicochute/experiment/seal/Ballot.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Ballot.java
@@ -1,7 +1,8 @@
 package calicochute.experiment.seal;
 
 /**
- * A round of voting on one slot. Holds the start of the proposer's process: a proposer that forgot its ballots cannot use one twice.
+ * A round of voting on one slot. Holds the start of the proposer's process: a proposer that forgot its ballots cannot
+ * use one twice.
  *
  * @param round counts up from 1
  * @param index of the proposer in the sorted list of peers
--- a/experiment/src/main/java/calicochute/experiment/seal/Codec.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Codec.java
@@ -7,7 +7,10 @@
 import java.util.zip.CRC32C;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** Messages and kept state as bytes. All numbers big endian; a header tells version, kind, experiment, definition and list of peers. */
+/**
+ * Messages and kept state as bytes. All numbers big endian; a header tells version, kind, experiment, definition and
+ * list of peers.
+ */
 final class Codec {
     static final int MOST_VALUE = 900;
     static final int MOST_BYTES = 1_100;
@@ -125,7 +128,11 @@
     }
 
     private ByteBuffer header(ByteBuffer out, int kind) {
-        return out.put(VERSION).put((byte) kind).putLong(name).putLong(definition).putLong(peersHash);
+        return out.put(VERSION)
+                .put((byte) kind)
+                .putLong(name)
+                .putLong(definition)
+                .putLong(peersHash);
     }
 
     private int header(ByteBuffer in) throws Malformed {
--- a/experiment/src/main/java/calicochute/experiment/seal/Comeback.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Comeback.java
@@ -5,7 +5,10 @@
 import java.util.BitSet;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** How a peer without a vote gets one: it reads how far the others voted and waits until that is past, or begins a new epoch with them. */
+/**
+ * How a peer without a vote gets one: it reads how far the others voted and waits until that is past, or begins a new
+ * epoch with them.
+ */
 final class Comeback {
     private static final int MOST_TURN = 20;
     private static final int MOST_STRETCH = 8;
@@ -26,6 +29,7 @@
     private int rank;
     /** Of {@code readIn}: votes again once this slot is known. */
     private Epoch readIn = Epoch.NONE;
+
     private long from;
 
     private Epoch committed = Epoch.NONE;
@@ -102,7 +106,15 @@
 
     void asked(long now, int by, Ask m) {
         Memory memory = voter.memory();
-        out.send(by, new Answer(m.life(), life, memory.voter(), memory.seen(), memory.voter() ? memory.mark() : 0, memory.place()));
+        out.send(
+                by,
+                new Answer(
+                        m.life(),
+                        life,
+                        memory.voter(),
+                        memory.seen(),
+                        memory.voter() ? memory.mark() : 0,
+                        memory.place()));
     }
 
     void answered(long now, int by, Answer m) {
@@ -144,7 +156,10 @@
         }
     }
 
-    /** Where so many have no vote that the others are no majority, a new epoch goes on from the newest place anyone here knows. */
+    /**
+     * Where so many have no vote that the others are no majority, a new epoch goes on from the newest place anyone here
+     * knows.
+     */
     private void form(long now) {
         if (forming != null) {
             if (now > formedAt + timing.window() || !forming.equals(committed)) {
@@ -175,7 +190,8 @@
             stuckSince = now;
         }
         stuck = true;
-        if (now < Math.max(nextForm, stuckSince + timing.settle() + Math.min(rank, MOST_TURN) * timing.retry()) || held(now)) {
+        if (now < Math.max(nextForm, stuckSince + timing.settle() + Math.min(rank, MOST_TURN) * timing.retry())
+                || held(now)) {
             return;
         }
         long number = Math.max(now, Math.max(voter.memory().seen().number(), committed.number()) + 1);
@@ -204,7 +220,9 @@
 
     void asksToForm(long now, int by, Form m) {
         Memory memory = voter.memory();
-        if (m.toLife() != life || m.epoch().compareTo(memory.seen()) <= 0 || m.epoch().compareTo(committed) < 0) {
+        if (m.toLife() != life
+                || m.epoch().compareTo(memory.seen()) <= 0
+                || m.epoch().compareTo(committed) < 0) {
             return;
         }
         if (memory.place().compareTo(m.base()) > 0) {
@@ -219,7 +237,10 @@
     }
 
     void commits(long now, int by, Commit m) {
-        if (forming != null && m.epoch().equals(forming) && forming.equals(committed) && now <= formedAt + timing.window()) {
+        if (forming != null
+                && m.epoch().equals(forming)
+                && forming.equals(committed)
+                && now <= formedAt + timing.window()) {
             came(now, by, m.voter());
         }
     }
@@ -229,7 +250,9 @@
         if (!votes) {
             voteless.set(by);
         }
-        if (came.cardinality() < majority || voteless.cardinality() < reading || forming.compareTo(voter.memory().seen()) <= 0) {
+        if (came.cardinality() < majority
+                || voteless.cardinality() < reading
+                || forming.compareTo(voter.memory().seen()) <= 0) {
             return;
         }
         voter.begin(now, forming);
--- a/experiment/src/main/java/calicochute/experiment/seal/Effect.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Effect.java
@@ -2,7 +2,9 @@
 
 /** What the host is to do, in this order. */
 public sealed interface Effect {
-    /** Keep these bytes for the next start, then call {@link Register#persisted}: sends that rest on it wait until then. */
+    /**
+     * Keep these bytes for the next start, then call {@link Register#persisted}: sends that rest on it wait until then.
+     */
     record Persist(long token, byte[] state) implements Effect {}
 
     /** Send to a peer; may be lost, repeated, late. */
@@ -12,7 +14,8 @@
     record Decided(Place place, byte[] value) implements Effect {}
 
     /**
-     * The register goes on in a new epoch, after this place (slot 0: from nothing). Decided follows if there is a value.
+     * The register goes on in a new epoch, after this place (slot 0: from nothing). Decided follows if there is a
+     * value.
      *
      * @param before where this peer stood: {@link Place#NONE} if it had no memory
      */
--- a/experiment/src/main/java/calicochute/experiment/seal/Epoch.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Epoch.java
@@ -1,7 +1,8 @@
 package calicochute.experiment.seal;
 
 /**
- * One life of a register. A new one is begun where so many peers have lost their memory that the old one can never go on.
+ * One life of a register. A new one is begun where so many peers have lost their memory that the old one can never go
+ * on.
  *
  * @param number wall clock of the peer that began it (microseconds), above every number it knew of
  * @param index that peer, by place in the sorted list of peers
--- a/experiment/src/main/java/calicochute/experiment/seal/Memory.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Memory.java
@@ -9,7 +9,8 @@
  * @param promised no lower ballot is taken in that next slot
  * @param accepted ballot of {@code acceptedValue}, {@link Ballot#NONE} if none was accepted there
  */
-record Memory(Epoch seen, boolean voter, Place place, byte[] value, Ballot promised, Ballot accepted, byte[] acceptedValue) {
+record Memory(
+        Epoch seen, boolean voter, Place place, byte[] value, Ballot promised, Ballot accepted, byte[] acceptedValue) {
     static final byte[] EMPTY = {};
     static final Memory BLANK = unvoted(Epoch.NONE, false, Place.NONE, EMPTY);
 
@@ -19,8 +20,8 @@
 
     boolean sound() {
         return place.epoch().compareTo(seen) <= 0
-        && (!voter || (place.epoch().equals(seen) && !seen.equals(Epoch.NONE)))
-        && accepted.compareTo(promised) <= 0;
+                && (!voter || (place.epoch().equals(seen) && !seen.equals(Epoch.NONE)))
+                && accepted.compareTo(promised) <= 0;
     }
 
     /** Highest slot of {@code seen} accepted in or known to be decided. */
--- a/experiment/src/main/java/calicochute/experiment/seal/Message.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Message.java
@@ -8,11 +8,15 @@
     /**
      * To an ask of the process that began at {@code toLife}.
      *
-     * @param mark highest slot of {@code seen} that this voter accepted in or knows decided; 0 from one that does not vote
+     * @param mark highest slot of {@code seen} that this voter accepted in or knows decided; 0 from one that does not
+     *     vote
      */
     record Answer(long toLife, long life, boolean voter, Epoch seen, long mark, Place place) implements Message {}
 
-    /** Will you come along into this new epoch, that goes on after base? Only to the process that began at {@code toLife}. */
+    /**
+     * Will you come along into this new epoch, that goes on after base? Only to the process that began at
+     * {@code toLife}.
+     */
     record Form(Epoch epoch, long toLife, Place base) implements Message {}
 
     /** Yes; {@code voter}: I could still vote in the old one. */
--- a/experiment/src/main/java/calicochute/experiment/seal/Outbox.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Outbox.java
@@ -4,7 +4,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Messages on their way out. One that rests on a memory not kept yet waits until it is; one to this peer comes back in. */
+/**
+ * Messages on their way out. One that rests on a memory not kept yet waits until it is; one to this peer comes back in.
+ */
 final class Outbox {
     private record Held(int to, Message message, long needs) {}
 
@@ -18,6 +20,7 @@
     private List<Effect> ready = new ArrayList<>();
     /** How often the memory changed, up to which change it was handed out and kept. */
     private long changes;
+
     private long handed;
     private long kept;
     private long dropped;
--- a/experiment/src/main/java/calicochute/experiment/seal/Place.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Place.java
@@ -1,6 +1,8 @@
 package calicochute.experiment.seal;
 
-/** A slot of an epoch: slot 1 holds the first value, 0 is before it. Later epochs come after all slots of earlier ones. */
+/**
+ * A slot of an epoch: slot 1 holds the first value, 0 is before it. Later epochs come after all slots of earlier ones.
+ */
 public record Place(Epoch epoch, long slot) implements Comparable<Place> {
     /** Where a peer without memory stands. */
     public static final Place NONE = new Place(Epoch.NONE, 0);
--- a/experiment/src/main/java/calicochute/experiment/seal/Proposer.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Proposer.java
@@ -4,7 +4,10 @@
 import java.util.BitSet;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** Puts this peer's value, or one that may have been decided already, into the slot after the newest. Keeps nothing over a restart. */
+/**
+ * Puts this peer's value, or one that may have been decided already, into the slot after the newest. Keeps nothing over
+ * a restart.
+ */
 final class Proposer {
     private static final int MOST_TURN = 20;
     private static final int MOST_DOUBLINGS = 4;
@@ -71,7 +74,9 @@
         if (place != null && now >= again) {
             repeat(now);
         }
-        if (place != null || next == null || !voter.memory().place().epoch().equals(voter.memory().seen())) {
+        if (place != null
+                || next == null
+                || !voter.memory().place().epoch().equals(voter.memory().seen())) {
             return;
         }
         long due = rank == 0 ? since : Math.max(since, movedAt) + rank * timing.takeover();
--- a/experiment/src/main/java/calicochute/experiment/seal/Register.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Register.java
@@ -9,9 +9,9 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * A sequence of values, each decided once by a majority of the configured peers; one of them. The value of a slot stands for all before it, so that
- * a peer needs the newest only and may jump over others. No I/O, one thread; times in microseconds. After each call the host takes
- * {@link #effects}. What holds and why: see the package.
+ * A sequence of values, each decided once by a majority of the configured peers; one of them. The value of a slot
+ * stands for all before it, so that a peer needs the newest only and may jump over others. No I/O, one thread; times in
+ * microseconds. After each call the host takes {@link #effects}. What holds and why: see the package.
  */
 public final class Register {
     public static final int MOST_VALUE = Codec.MOST_VALUE;
@@ -32,11 +32,20 @@
     /**
      * @param definition hash of what the experiment is: one that was changed is another register
      * @param configured ids of all peers, by the operator's file; must be the same everywhere
-     * @param start when this process began (microseconds); no two starts of a peer may be the same, and the process before must have ended
+     * @param start when this process began (microseconds); no two starts of a peer may be the same, and the process
+     *     before must have ended
      * @param remembers the host keeps the state; false: it is gone with the process
      * @param state as last kept, null if there is none; one that cannot be read is refused, counted, and as none
      */
-    public Register(String name, long definition, List<String> configured, String me, long start, boolean remembers, byte[] state, Timing timing) {
+    public Register(
+            String name,
+            long definition,
+            List<String> configured,
+            String me,
+            long start,
+            boolean remembers,
+            byte[] state,
+            Timing timing) {
         SortedSet<String> sorted = new TreeSet<>(configured);
         if (sorted.isEmpty() || sorted.size() > MOST_PEERS || sorted.size() != configured.size()) {
             throw new IllegalArgumentException("1 to 400 different peers");
@@ -69,7 +78,10 @@
         }
     }
 
-    /** What this peer would put into the slot after {@code after}; may be said again. False if that is not the newest place, or too long. */
+    /**
+     * What this peer would put into the slot after {@code after}; may be said again. False if that is not the newest
+     * place, or too long.
+     */
     public boolean propose(long time, Place after, byte[] next) {
         now = time;
         if (!after.equals(voter.memory().place()) || after.equals(Place.NONE) || next.length > MOST_VALUE) {
@@ -93,7 +105,8 @@
         }
         nextTelling = time + timing.spread();
         for (int i = 0; i < TOLD && peers.size() > 1; i++) {
-            int other = Math.floorMod(me + 1 + Math.floorMod(MurmurHash3.hash32(life + me, told++), peers.size() - 1), peers.size());
+            int other = Math.floorMod(
+                    me + 1 + Math.floorMod(MurmurHash3.hash32(life + me, told++), peers.size() - 1), peers.size());
             out.send(other, new Known(voter.memory().place(), Ballot.NONE));
         }
     }
--- a/experiment/src/main/java/calicochute/experiment/seal/Timing.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Timing.java
@@ -12,7 +12,8 @@
  * @param hold who committed keeps out of the old epoch for so long; far above window
  */
 public record Timing(long retry, long takeover, long spread, long ask, long settle, long window, long hold) {
-    public static final Timing USUAL = new Timing(300_000, 2_000_000, 1_000_000, 250_000, 1_000_000, 1_000_000, 3_000_000);
+    public static final Timing USUAL =
+            new Timing(300_000, 2_000_000, 1_000_000, 250_000, 1_000_000, 1_000_000, 3_000_000);
 
     /** How old an answer may be that speaks for a new epoch. */
     long fresh() {
--- a/experiment/src/main/java/calicochute/experiment/seal/Voter.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Voter.java
@@ -2,7 +2,10 @@
 
 import calicochute.experiment.seal.Message.*;
 
-/** What a peer knows and how it votes: each message changes the memory, or is answered from it. With it work the proposer and the comeback. */
+/**
+ * What a peer knows and how it votes: each message changes the memory, or is answered from it. With it work the
+ * proposer and the comeback.
+ */
 final class Voter {
     private final Outbox out;
     private final Timing timing;
@@ -79,7 +82,10 @@
         }
     }
 
-    /** Whether this peer may vote on the place now: a voter that knows the value of the slot before. So that is not lost with the proposer. */
+    /**
+     * Whether this peer may vote on the place now: a voter that knows the value of the slot before. So that is not lost
+     * with the proposer.
+     */
     private boolean open(long time, int by, Place place) {
         change(memory.see(place.epoch()));
         if (memory.place().compareTo(place) >= 0) {
@@ -129,7 +135,8 @@
         if (newer <= 0) {
             return;
         }
-        boolean mine = memory.voter() && !m.ballot().equals(Ballot.NONE) && m.ballot().equals(memory.accepted());
+        boolean mine =
+                memory.voter() && !m.ballot().equals(Ballot.NONE) && m.ballot().equals(memory.accepted());
         if (mine && m.place().equals(memory.place().next())) {
             learn(time, m.place(), memory.acceptedValue());
         } else {
--- a/experiment/src/test/java/calicochute/experiment/AssignmentTest.java
+++ b/experiment/src/test/java/calicochute/experiment/AssignmentTest.java
@@ -11,11 +11,13 @@
 
 class AssignmentTest {
     private static Experiment named(String name, String salt) {
-        return new Experiment(name, salt, null, null, null, 0.5, null, null, null, 0.02, 0.05, null, Duration.ofHours(1), null);
+        return new Experiment(
+                name, salt, null, null, null, 0.5, null, null, null, 0.02, 0.05, null, Duration.ofHours(1), null);
     }
 
     @Property(tries = 500)
-    void aGreaterShareOnlyMovesUnitsToTheTreatment(@ForAll String unit, @ForAll @DoubleRange(max = 1) double a, @ForAll @DoubleRange(max = 1) double b) {
+    void aGreaterShareOnlyMovesUnitsToTheTreatment(
+            @ForAll String unit, @ForAll @DoubleRange(max = 1) double a, @ForAll @DoubleRange(max = 1) double b) {
         Experiment e = named("trial", "");
         if (Assignment.of(e, unit, Math.min(a, b)) == Arm.TREATMENT) {
             assertEquals(Arm.TREATMENT, Assignment.of(e, unit, Math.max(a, b)));
--- a/experiment/src/test/java/calicochute/experiment/CountsTest.java
+++ b/experiment/src/test/java/calicochute/experiment/CountsTest.java
@@ -61,9 +61,15 @@
 
     @Test
     void impossibleSumsAreRefused() {
-        for (Sums sums : List.of(new Sums(10, 10_241, 10_240, 0, 0, 0), new Sums(10, 1024, 1024 * 1024 + 1, 0, 0, 0), new Sums(10, 10_240, 1024, 0, 0, 0),
-                new Sums(10, 0, 0, 10_241, 0, 0), new Sums(10, 0, 0, 0, 11, 0), new Sums(1L << 40, 0, 0, 0, 0, 0))) {
-            Counts counts = new Counts(1, 0.5, Map.of(new Cell(Arm.CONTROL, 0), sums), Collections.nCopies(16, 0L), 0, 0);
+        for (Sums sums : List.of(
+                new Sums(10, 10_241, 10_240, 0, 0, 0),
+                new Sums(10, 1024, 1024 * 1024 + 1, 0, 0, 0),
+                new Sums(10, 10_240, 1024, 0, 0, 0),
+                new Sums(10, 0, 0, 10_241, 0, 0),
+                new Sums(10, 0, 0, 0, 11, 0),
+                new Sums(1L << 40, 0, 0, 0, 0, 0))) {
+            Counts counts =
+                    new Counts(1, 0.5, Map.of(new Cell(Arm.CONTROL, 0), sums), Collections.nCopies(16, 0L), 0, 0);
             assertThrows(UnreadableException.class, () -> Counts.of(counts.bytes()), "" + sums);
         }
     }
--- a/experiment/src/test/java/calicochute/experiment/ExperimentCheckTest.java
+++ b/experiment/src/test/java/calicochute/experiment/ExperimentCheckTest.java
@@ -17,8 +17,14 @@
 import org.junit.jupiter.api.Test;
 
 class ExperimentCheckTest {
-    private static final Fleet FLEET = new Fleet(List.of(new Server("shelf-1", "old", "c1", "z1", 3), new Server("shelf-2", "old", "c2", "z2", 3),
-        new Server("shelf-3", "new", "c1", "z1", 2)), Set.of("order-copy", "shelf-read"), Set.of("t1", "t2"), 0.7);
+    private static final Fleet FLEET = new Fleet(
+            List.of(
+                    new Server("shelf-1", "old", "c1", "z1", 3),
+                    new Server("shelf-2", "old", "c2", "z2", 3),
+                    new Server("shelf-3", "new", "c1", "z1", 2)),
+            Set.of("order-copy", "shelf-read"),
+            Set.of("t1", "t2"),
+            0.7);
     private static final Selector OLD = new Selector("old", "", "", "");
     private static final Selector NEW = new Selector("new", "", "", "");
 
@@ -37,11 +43,29 @@
     private After after = new After(List.of(), null);
 
     private Experiment experiment() {
-        return new Experiment(name, "", unit, control, treatment, share, lanes, tenants, new Measure(most, 1), least, error, guards, longest, after);
+        return new Experiment(
+                name,
+                "",
+                unit,
+                control,
+                treatment,
+                share,
+                lanes,
+                tenants,
+                new Measure(most, 1),
+                least,
+                error,
+                guards,
+                longest,
+                after);
     }
 
     private void finds(Code... codes) {
-        assertEquals(List.of(codes), ExperimentCheck.of(List.of(experiment()), FLEET).stream().map(Complaint::code).toList());
+        assertEquals(
+                List.of(codes),
+                ExperimentCheck.of(List.of(experiment()), FLEET).stream()
+                        .map(Complaint::code)
+                        .toList());
     }
 
     @Test
@@ -99,7 +123,12 @@
         lanes = Set.of("order-copy", "order-copi");
         guards = List.of(new Guard("shelf-read", 0.01), new Guard("order-copy", -1), new Guard("order-copy", 0.1));
         tenants = Set.of("t1", "t9");
-        finds(Code.LANE_UNKNOWN, Code.GUARD_UNKNOWN_LANE, Code.GUARD_OUT_OF_RANGE, Code.GUARD_TWICE, Code.TENANT_UNKNOWN);
+        finds(
+                Code.LANE_UNKNOWN,
+                Code.GUARD_UNKNOWN_LANE,
+                Code.GUARD_OUT_OF_RANGE,
+                Code.GUARD_TWICE,
+                Code.TENANT_UNKNOWN);
         lanes = Set.of();
         guards = List.of();
         tenants = Set.of();
@@ -119,9 +148,17 @@
         Experiment first = experiment();
         control = new Selector("", "c2", "", "");
         Experiment second = experiment();
-        assertEquals(List.of(Code.NAME_TWICE), ExperimentCheck.of(List.of(first, first), FLEET).stream().map(Complaint::code).toList());
+        assertEquals(
+                List.of(Code.NAME_TWICE),
+                ExperimentCheck.of(List.of(first, first), FLEET).stream()
+                        .map(Complaint::code)
+                        .toList());
         name = "other";
         second = experiment();
-        assertEquals(List.of(Code.SERVER_IN_TWO), ExperimentCheck.of(List.of(first, second), FLEET).stream().map(Complaint::code).toList());
+        assertEquals(
+                List.of(Code.SERVER_IN_TWO),
+                ExperimentCheck.of(List.of(first, second), FLEET).stream()
+                        .map(Complaint::code)
+                        .toList());
     }
 }
--- a/experiment/src/test/java/calicochute/experiment/HardCasesTest.java
+++ b/experiment/src/test/java/calicochute/experiment/HardCasesTest.java
@@ -66,30 +66,51 @@
         Sim sim = new Sim(Sim.experiment(0.1, 0.05, 200), 1);
         sim.state = sim.stopper.move(sim.state, 0.5, 1);
         sim.advance(100, Sim.served(1, 1), null);
-        sim.advance(100, Sim.served(1, 1), (b, c) -> b == 3 ? new Counts(c.window(), 0.1, c.cells(), c.parts(), 0, 0) : c);
+        sim.advance(
+                100, Sim.served(1, 1), (b, c) -> b == 3 ? new Counts(c.window(), 0.1, c.cells(), c.parts(), 0, 0) : c);
         assertEquals(1, sim.state.leftOut());
     }
 
-    /** A quarter of the treatment's machines slow down, whatever they run. Callers fare worse there: that is the verdict; its note says where. */
+    /**
+     * A quarter of the treatment's machines slow down, whatever they run. Callers fare worse there: that is the
+     * verdict; its note says where.
+     */
     @Test
     void aSlowdownOfSomeServersOfOneArm() {
         for (boolean few : new boolean[] {true, false}) {
             Sim sim = new Sim(Sim.experiment(0.5, 0.05, 1000), 7);
-            State state = sim.run(1000, 100, (r, lane, arm, w) -> {
-                double less = arm == Arm.CONTROL ? 0 : !few ? 0.1 : sim.servers == 1 ? 0.4 : 0;
-                return r.nextDouble() < 0.95 - less ? 1 : 0;
-            }, null);
+            State state = sim.run(
+                    1000,
+                    100,
+                    (r, lane, arm, w) -> {
+                        double less = arm == Arm.CONTROL ? 0 : !few ? 0.1 : sim.servers == 1 ? 0.4 : 0;
+                        return r.nextDouble() < 0.95 - less ? 1 : 0;
+                    },
+                    null);
             assertEquals(Verdict.CONTROL, state.verdict());
             assertEquals(few, state.notes().contains(Note.ONE_PART));
         }
     }
 
-    /** Room for two thirds of the treatment's sessions, the rest is denied: the arm is too small, the release as good. */
+    /**
+     * Room for two thirds of the treatment's sessions, the rest is denied: the arm is too small, the release as good.
+     */
     @Test
     void anArmStarvedOfCapacity() {
         Sim sim = new Sim(Sim.experiment(0.3, 0.05, 100), 2);
-        State state = sim.run(100, 100, Sim.served(0.95, 0.65), (b, c) -> changed(c, (cell, s) -> new Sums(s.n(), s.sum(), s.squares(), s.failures(),
-            cell.arm() == Arm.TREATMENT ? s.n() / 2 : 0, 0)));
+        State state = sim.run(
+                100,
+                100,
+                Sim.served(0.95, 0.65),
+                (b, c) -> changed(
+                        c,
+                        (cell, s) -> new Sums(
+                                s.n(),
+                                s.sum(),
+                                s.squares(),
+                                s.failures(),
+                                cell.arm() == Arm.TREATMENT ? s.n() / 2 : 0,
+                                0)));
         assertTrue(pooled(sim.history) < -5);
         assertEquals(Verdict.UNDECIDED, state.verdict());
         assertTrue(state.notes().contains(Note.STARVED));
@@ -130,10 +151,20 @@
     @Test
     void armsThatDoNotSplitAsDrawn() {
         Sim sim = new Sim(Sim.experiment(0.5, 0.02, 2000), 4);
-        State state = sim.run(2000, 100, Sim.served(0.9, 0.9), (b, c) -> changed(c, (cell, s) -> {
-            long more = cell.arm() == Arm.TREATMENT ? s.n() / 2 : 0;
-            return new Sums(s.n() + more, s.sum() + more * Sums.PARTS, s.squares() + more * Sums.PARTS * Sums.PARTS, 0, 0, 0);
-        }));
+        State state = sim.run(
+                2000,
+                100,
+                Sim.served(0.9, 0.9),
+                (b, c) -> changed(c, (cell, s) -> {
+                    long more = cell.arm() == Arm.TREATMENT ? s.n() / 2 : 0;
+                    return new Sums(
+                            s.n() + more,
+                            s.sum() + more * Sums.PARTS,
+                            s.squares() + more * Sums.PARTS * Sums.PARTS,
+                            0,
+                            0,
+                            0);
+                }));
         assertTrue(pooled(sim.history) > 2, "pooled means name the treatment");
         assertEquals(Verdict.UNDECIDED, state.verdict());
         assertTrue(state.notes().contains(Note.SPLIT));
@@ -145,8 +176,13 @@
         int wrong = 0;
         for (int seed = 0; seed < 50; seed++) {
             Sim sim = new Sim(Sim.experiment(0.5, 0.05, 100), seed);
-            sim.run(60, 100, Sim.served(0.9, 0.9), (b, c) -> b == 4 ? changed(c, (cell, s) -> cell.arm() == Arm.TREATMENT
-                ? new Sums(s.n(), 0, 0, 0, 0, 0) : s) : c);
+            sim.run(
+                    60,
+                    100,
+                    Sim.served(0.9, 0.9),
+                    (b, c) -> b == 4
+                            ? changed(c, (cell, s) -> cell.arm() == Arm.TREATMENT ? new Sums(s.n(), 0, 0, 0, 0, 0) : s)
+                            : c);
             assertTrue(EffectTest.evidence(sim.state.wealth, 1, -1) >= -Math.log(0.025), "without the rule a verdict");
             wrong += sim.state.verdict() == Verdict.CONTROL ? 1 : 0;
             assertFalse(sim.state.verdict() == Verdict.TREATMENT);
@@ -158,7 +194,12 @@
     @Test
     void aBalancerThatCountsTooMuch() {
         Sim sim = new Sim(Sim.experiment(0.5, 0.05, 100), 1);
-        sim.advance(200, Sim.served(0.9, 0.9), (b, c) -> b == 4 ? changed(c, (cell, s) -> new Sums(s.n() * 1000, s.sum() * 1000, s.squares() * 1000, 0, 0, 0)) : c);
+        sim.advance(
+                200,
+                Sim.served(0.9, 0.9),
+                (b, c) -> b == 4
+                        ? changed(c, (cell, s) -> new Sums(s.n() * 1000, s.sum() * 1000, s.squares() * 1000, 0, 0, 0))
+                        : c);
         Sealed sealed = sim.history.get(0);
         assertEquals(1, sealed.scaled());
         assertTrue(sealed.sessions(Arm.CONTROL) + sealed.sessions(Arm.TREATMENT) < 300);
@@ -174,12 +215,16 @@
         for (int seed = 0; seed < 40; seed++) {
             Sim sim = new Sim(Sim.experiment(0.5, 0.02, 300), seed);
             double[] sums = new double[2];
-            sim.run(60, 100, (r, lane, arm, w) -> {
-                double worth = Math.pow(1 - r.nextDouble(), -1 / 0.9);
-                boolean served = r.nextDouble() < 0.9;
-                sums[arm.ordinal()] += served ? worth : 0;
-                return served ? Math.min(most, worth) / most : 0;
-            }, null);
+            sim.run(
+                    60,
+                    100,
+                    (r, lane, arm, w) -> {
+                        double worth = Math.pow(1 - r.nextDouble(), -1 / 0.9);
+                        boolean served = r.nextDouble() < 0.9;
+                        sums[arm.ordinal()] += served ? worth : 0;
+                        return served ? Math.min(most, worth) / most : 0;
+                    },
+                    null);
             raw += Math.max(sums[0], sums[1]) > 1.2 * Math.min(sums[0], sums[1]) ? 1 : 0;
             wrong += sim.state.verdict() == Verdict.CONTROL || sim.state.verdict() == Verdict.TREATMENT ? 1 : 0;
         }
--- a/experiment/src/test/java/calicochute/experiment/Sim.java
+++ b/experiment/src/test/java/calicochute/experiment/Sim.java
@@ -19,7 +19,9 @@
 final class Sim {
     /** Windows of 2 s. */
     static final long LENGTH = 2_000_000;
-    static final List<String> PEERS = IntStream.range(0, 10).mapToObj(i -> "b" + i).toList();
+
+    static final List<String> PEERS =
+            IntStream.range(0, 10).mapToObj(i -> "b" + i).toList();
 
     /** What a session comes to: the measure, or below 0 where it failed. */
     interface Outcome {
@@ -37,6 +39,7 @@
     State state;
     /** Of the four parts of the arm's servers, that of the session being drawn. */
     int servers;
+
     final List<Sealed> history = new ArrayList<>();
 
     Sim(Experiment e, long seed) {
@@ -48,9 +51,21 @@
 
     /** Two lanes, order-copy (0) and shelf-read (1). */
     static Experiment experiment(double share, double least, long windows, Guard... guards) {
-        return new Experiment("trial", "", Unit.SESSION, new Selector("old", "", "", ""), new Selector("new", "", "", ""), share,
-            Set.of("order-copy", "shelf-read"), Set.of(), new Measure(0, 1), least, 0.05, List.of(guards),
-            Duration.ofMillis(windows * LENGTH / 1000), null);
+        return new Experiment(
+                "trial",
+                "",
+                Unit.SESSION,
+                new Selector("old", "", "", ""),
+                new Selector("new", "", "", ""),
+                share,
+                Set.of("order-copy", "shelf-read"),
+                Set.of(),
+                new Measure(0, 1),
+                least,
+                0.05,
+                List.of(guards),
+                Duration.ofMillis(windows * LENGTH / 1000),
+                null);
     }
 
     static Outcome served(double control, double treatment) {
@@ -81,7 +96,9 @@
         for (int b = 0; b < PEERS.size(); b++) {
             Map<Cell, Sums> cells = new TreeMap<>();
             for (int c = 0; c < 4; c++) {
-                cells.put(new Cell(Arm.values()[c % 2], c / 2), new Sums(sums[b][c][0], sums[b][c][1], sums[b][c][2], sums[b][c][3], 0, 0));
+                cells.put(
+                        new Cell(Arm.values()[c % 2], c / 2),
+                        new Sums(sums[b][c][0], sums[b][c][1], sums[b][c][2], sums[b][c][3], 0, 0));
             }
             List<Long> boxed = new ArrayList<>(Collections.nCopies(16, 0L));
             for (int i = 0; i < 16; i++) {
--- a/experiment/src/test/java/calicochute/experiment/TellerTest.java
+++ b/experiment/src/test/java/calicochute/experiment/TellerTest.java
@@ -19,8 +19,21 @@
     private double share = 0.5;
 
     private Teller teller(Unit unit, double most, int me) {
-        Experiment e = new Experiment("trial", "", unit, null, null, 0.5, Set.of("order-copy"), Set.of(), new Measure(most, 0.95), 0.02, 0.05,
-            List.of(), Duration.ofMinutes(2), null);
+        Experiment e = new Experiment(
+                "trial",
+                "",
+                unit,
+                null,
+                null,
+                0.5,
+                Set.of("order-copy"),
+                Set.of(),
+                new Measure(most, 0.95),
+                0.02,
+                0.05,
+                List.of(),
+                Duration.ofMinutes(2),
+                null);
         return new Teller(e, me, 3, 0, 0, 2 * S, window -> share);
     }
 
@@ -37,7 +50,8 @@
         t.over(served, 2, 1, false, true, "s1");
         assertTrue(t.close(8 * S).isEmpty());
         List<Counts> closed = t.close(9 * S);
-        assertEquals(List.of(0L, 1L, 2L, 3L), closed.stream().map(Counts::window).toList());
+        assertEquals(
+                List.of(0L, 1L, 2L, 3L), closed.stream().map(Counts::window).toList());
         assertEquals(new Sums(2, 512, 512 * 512, 1024, 1, 0), all(closed.get(0)));
         assertTrue(closed.get(1).cells().isEmpty());
         t.over(lost, 1, 1, false, false, "s1");
@@ -53,9 +67,14 @@
         share = 0;
         t.begin(S, 9 * S, "a", "order-copy", "t1", false);
         share = 1;
-        assertEquals(Arm.CONTROL, t.begin(S, 9 * S, "b", "order-copy", "t1", false).arm());
-        assertEquals(Arm.TREATMENT, t.begin(3 * S, 9 * S, "c", "order-copy", "t1", false).arm());
-        assertEquals(List.of(0.0, 1.0), t.close(60 * S).stream().limit(2).map(Counts::share).toList());
+        assertEquals(
+                Arm.CONTROL, t.begin(S, 9 * S, "b", "order-copy", "t1", false).arm());
+        assertEquals(
+                Arm.TREATMENT,
+                t.begin(3 * S, 9 * S, "c", "order-copy", "t1", false).arm());
+        assertEquals(
+                List.of(0.0, 1.0),
+                t.close(60 * S).stream().limit(2).map(Counts::share).toList());
     }
 
     @Test
@@ -87,7 +106,8 @@
 
     @Test
     void theBoundIsAQuantileOfWorthsSeenBefore() {
-        assertEquals(new Measure(9, 0.9), Measure.at(0.9, List.of(3.0, 1.0, 2.0, 4.0, 5.0, 6.0, 7.0, 8.0, 9.0, 1000.0)));
+        assertEquals(
+                new Measure(9, 0.9), Measure.at(0.9, List.of(3.0, 1.0, 2.0, 4.0, 5.0, 6.0, 7.0, 8.0, 9.0, 1000.0)));
     }
 
     /** One draw is one observation, however many sessions and windows. */
@@ -100,8 +120,10 @@
             for (long window = 0; window < 60; window++) {
                 for (int tenant = 0; tenant < 40; tenant++) {
                     for (int i = 0; i < 3; i++) {
-                        Ticket ticket = t.begin(window * 2 * S, window * 2 * S + S, "c", "order-copy", "t" + tenant, false);
-                        assertEquals(Assignment.of(teller(Unit.TENANT, 0, 0).experiment(), "t" + tenant, 0.5), ticket.arm());
+                        Ticket ticket =
+                                t.begin(window * 2 * S, window * 2 * S + S, "c", "order-copy", "t" + tenant, false);
+                        assertEquals(
+                                Assignment.of(teller(Unit.TENANT, 0, 0).experiment(), "t" + tenant, 0.5), ticket.arm());
                         t.over(ticket, 1, i == 0 ? 0 : 1, i == 0, false, "s1");
                     }
                 }
--- a/experiment/src/test/java/calicochute/experiment/seal/Fleet.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/Fleet.java
@@ -21,7 +21,8 @@
     final int[] side;
     final List<Effect.Begun> lost = new ArrayList<>();
     private final Map<Place, String> values = new HashMap<>();
-    private final PriorityQueue<Mail> net = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
+    private final PriorityQueue<Mail> net =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
     private final SplittableRandom random;
     long now = 1_000_000_000;
     double loss;
--- a/experiment/src/test/java/calicochute/experiment/seal/Image.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/Image.java
@@ -32,7 +32,11 @@
     }
 
     private static boolean machine(Object o) {
-        return o instanceof Register || o instanceof Voter || o instanceof Outbox || o instanceof Proposer || o instanceof Comeback;
+        return o instanceof Register
+                || o instanceof Voter
+                || o instanceof Outbox
+                || o instanceof Proposer
+                || o instanceof Comeback;
     }
 
     private static void into(Object from, Object to, Map<Object, Object> done) {
@@ -99,18 +103,16 @@
     }
 
     private static List<Field> fields(Object o) {
-        return FIELDS.computeIfAbsent(
-            o.getClass(),
-            type -> {
-                List<Field> fields = new ArrayList<>();
-                for (Field field : type.getDeclaredFields()) {
-                    if (Modifier.isStatic(field.getModifiers()) || field.getName().equals("peers")) {
-                        continue;
-                    }
-                    field.setAccessible(true);
-                    fields.add(field);
+        return FIELDS.computeIfAbsent(o.getClass(), type -> {
+            List<Field> fields = new ArrayList<>();
+            for (Field field : type.getDeclaredFields()) {
+                if (Modifier.isStatic(field.getModifiers()) || field.getName().equals("peers")) {
+                    continue;
                 }
-                return fields;
+                field.setAccessible(true);
+                fields.add(field);
+            }
+            return fields;
         });
     }
 
--- a/experiment/src/test/java/calicochute/experiment/seal/ModelTest.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/ModelTest.java
@@ -15,8 +15,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Histories of three peers, two of which propose, breadth first over the real machine, all or to a depth: what was once sent may come at any time,
- * often, or never; one peer crashes at any time, with or without memory. In no state are there two values of a slot.
+ * Histories of three peers, two of which propose, breadth first over the real machine, all or to a depth: what was once
+ * sent may come at any time, often, or never; one peer crashes at any time, with or without memory. In no state are
+ * there two values of a slot.
  */
 class ModelTest {
     private static final long T = 1_000;
@@ -60,7 +61,8 @@
                     kept = p.state();
                     node.persisted(p.token());
                 } else if (effect instanceof Effect.Send s && told(i, s)) {
-                    Mail mail = new Mail(i, PEERS.indexOf(s.to()), new String(s.message(), StandardCharsets.ISO_8859_1));
+                    Mail mail =
+                            new Mail(i, PEERS.indexOf(s.to()), new String(s.message(), StandardCharsets.ISO_8859_1));
                     sent.add(mailIds.computeIfAbsent(mail, m -> mails.size()));
                     if (mailIds.size() > mails.size()) {
                         mails.add(mail);
@@ -89,28 +91,29 @@
     }
 
     private Step step(int local, int event) {
-        return steps.computeIfAbsent(
-            List.of(local, event),
-            x -> {
-                Local before = locals.get(local);
-                int i = before.me;
-                if (event == CRASH) {
-                    Register node = node(i, T + 1, forget ? null : before.kept);
-                    if (node.slot() == 0) {
-                        node.propose(T, node.place(), ("again" + i).getBytes(StandardCharsets.ISO_8859_1));
-                    }
-                    if (forget) {
-                        node.tick(T);
-                    }
-                    return settle(i, node, before.kept);
+        return steps.computeIfAbsent(List.of(local, event), x -> {
+            Local before = locals.get(local);
+            int i = before.me;
+            if (event == CRASH) {
+                Register node = node(i, T + 1, forget ? null : before.kept);
+                if (node.slot() == 0) {
+                    node.propose(T, node.place(), ("again" + i).getBytes(StandardCharsets.ISO_8859_1));
                 }
-                Register node = Image.copy(before.node, node(i, T, null));
-                if (event == RETRY) {
-                    node.tick(T + HOUR / 2);
-                } else {
-                    node.received(T, PEERS.get(mails.get(event).from), mails.get(event).bytes.getBytes(StandardCharsets.ISO_8859_1));
+                if (forget) {
+                    node.tick(T);
                 }
                 return settle(i, node, before.kept);
+            }
+            Register node = Image.copy(before.node, node(i, T, null));
+            if (event == RETRY) {
+                node.tick(T + HOUR / 2);
+            } else {
+                node.received(
+                        T,
+                        PEERS.get(mails.get(event).from),
+                        mails.get(event).bytes.getBytes(StandardCharsets.ISO_8859_1));
+            }
+            return settle(i, node, before.kept);
         });
     }
 
@@ -131,9 +134,14 @@
         return this;
     }
 
-    /** How many states there are; if more than {@code most}, less than 0: all histories of that many steps were gone through. */
+    /**
+     * How many states there are; if more than {@code most}, less than 0: all histories of that many steps were gone
+     * through.
+     */
     private int explore(int retries, int crashes, int most) {
-        byte[] state = CODEC.write(Memory.BLANK.learn(new Place(new Epoch(9, 0, 9), 0), Memory.EMPTY).join());
+        byte[] state = CODEC.write(Memory.BLANK
+                .learn(new Place(new Epoch(9, 0, 9), 0), Memory.EMPTY)
+                .join());
         List<Integer> begin = new ArrayList<>();
         BitSet net = new BitSet();
         for (int i = 0; i < 3; i++) {
@@ -159,7 +167,8 @@
             if (world.crashes > 0) {
                 next.add(after(world, who, CRASH));
             }
-            boolean refused = world.net.stream().anyMatch(m -> mails.get(m).to == 0 && mails.get(m).bytes.charAt(1) == 9);
+            boolean refused = world.net.stream()
+                    .anyMatch(m -> mails.get(m).to == 0 && mails.get(m).bytes.charAt(1) == 9);
             if (world.retries > 0 && refused) {
                 next.add(after(world, 0, RETRY));
             }
--- a/experiment/src/test/java/calicochute/experiment/seal/RegisterTest.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/RegisterTest.java
@@ -97,8 +97,10 @@
         fleet.restart(1, false);
         assertTrue(fleet.heals(150));
         fleet.ticks(10);
-        assertTrue(fleet.newest().epoch().compareTo(old.epoch()) > 0 && fleet.newest().slot() > old.slot());
-        assertEquals(1, fleet.lost.stream().map(b -> b.place().epoch()).distinct().count());
+        assertTrue(fleet.newest().epoch().compareTo(old.epoch()) > 0
+                && fleet.newest().slot() > old.slot());
+        assertEquals(
+                1, fleet.lost.stream().map(b -> b.place().epoch()).distinct().count());
         assertTrue(fleet.lost.get(0).place().slot() >= old.slot());
     }
 
@@ -123,7 +125,8 @@
         List<String> peers = List.of("a", "b", "c");
         Codec codec = new Codec("x", 1, peers);
         Epoch epoch = new Epoch(9, 0, 9);
-        byte[] state = codec.write(Memory.BLANK.learn(new Place(epoch, 0), Memory.EMPTY).join());
+        byte[] state = codec.write(
+                Memory.BLANK.learn(new Place(epoch, 0), Memory.EMPTY).join());
         Register b = new Register("x", 1, peers, "b", 10, true, state, Timing.USUAL);
         assertTrue(b.votes());
         b.received(11, "a", codec.write(new Message.Prepare(new Place(epoch, 1), new Ballot(1, 0, 9))));
@@ -178,11 +181,19 @@
         Ballot ballot = new Ballot(4, 2, 8);
         byte[] value = new byte[Codec.MOST_VALUE];
         List<byte[]> good = new ArrayList<>();
-        for (Message m :
-            List.of(new Message.Ask(5), new Message.Answer(10, 7, true, place.epoch(), 3, place), new Message.Form(place.epoch(), 10, place),
-                new Message.Commit(place.epoch(), true), new Message.Prepare(place, ballot), new Message.Promise(place, ballot, ballot, value),
-                new Message.Accept(place, ballot, value), new Message.Accepted(place, ballot), new Message.Refused(place, ballot, ballot),
-                new Message.Known(place, ballot), new Message.Want(place), new Message.Value(place, value))) {
+        for (Message m : List.of(
+                new Message.Ask(5),
+                new Message.Answer(10, 7, true, place.epoch(), 3, place),
+                new Message.Form(place.epoch(), 10, place),
+                new Message.Commit(place.epoch(), true),
+                new Message.Prepare(place, ballot),
+                new Message.Promise(place, ballot, ballot, value),
+                new Message.Accept(place, ballot, value),
+                new Message.Accepted(place, ballot),
+                new Message.Refused(place, ballot, ballot),
+                new Message.Known(place, ballot),
+                new Message.Want(place),
+                new Message.Value(place, value))) {
             good.add(codec.write(m));
         }
         SplittableRandom random = new SplittableRandom(6);
@@ -194,7 +205,9 @@
                 bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length + 20));
             }
             for (int flips = random.nextInt(4); flips > 0 && bytes.length > 0; flips--) {
-                int at = random.nextInt(4) == 0 ? random.nextInt(bytes.length) : Math.min(bytes.length - 1, 26 + random.nextInt(40));
+                int at = random.nextInt(4) == 0
+                        ? random.nextInt(bytes.length)
+                        : Math.min(bytes.length - 1, 26 + random.nextInt(40));
                 bytes[at] ^= (byte) (1 << random.nextInt(8));
             }
             b.received(now += 100, random.nextInt(50) == 0 ? "z" : random.nextBoolean() ? "a" : "c", bytes);
@@ -207,8 +220,17 @@
                 }
             }
         }
-        assertTrue(b.refusals().keySet().containsAll(
-            List.of(Refusal.SHORT, Refusal.VERSION, Refusal.KIND, Refusal.EXPERIMENT, Refusal.DEFINITION, Refusal.PEERS,
-                Refusal.BOUNDS, Refusal.TRAILING, Refusal.SENDER)));
+        assertTrue(b.refusals()
+                .keySet()
+                .containsAll(List.of(
+                        Refusal.SHORT,
+                        Refusal.VERSION,
+                        Refusal.KIND,
+                        Refusal.EXPERIMENT,
+                        Refusal.DEFINITION,
+                        Refusal.PEERS,
+                        Refusal.BOUNDS,
+                        Refusal.TRAILING,
+                        Refusal.SENDER)));
     }
 }
--- a/gossip/src/main/java/calicochute/gossip/Codec.java
+++ b/gossip/src/main/java/calicochute/gossip/Codec.java
@@ -21,15 +21,25 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Writes headers and parts. A datagram is a sequence of CBOR arrays (RFC 8742): the header [first number, version, cluster, sender,
- * start, incarnation], then parts [kind, fields...]; the last four bytes are their CRC-32C, since one changed byte in a start would shut a
- * member out until it restarts. A part is written once and goes into any number of datagrams.
+ * Writes headers and parts. A datagram is a sequence of CBOR arrays (RFC 8742): the header [first number, version,
+ * cluster, sender, start, incarnation], then parts [kind, fields...]; the last four bytes are their CRC-32C, since one
+ * changed byte in a start would shut a member out until it restarts. A part is written once and goes into any number of
+ * datagrams.
  */
 final class Codec {
     static final int OURS = 0xCA1C;
     static final int VERSION = 1;
     static final int CHECKSUM = 4; // bytes
-    static final int PING = 0, ACK = 1, ASK_PING = 2, ACK_FOR = 3, RUMOUR = 4, DIRECT = 5, SPREAD = 6, DIGEST = 7, PULL = 8, VIEW = 9;
+    static final int PING = 0,
+            ACK = 1,
+            ASK_PING = 2,
+            ACK_FOR = 3,
+            RUMOUR = 4,
+            DIRECT = 5,
+            SPREAD = 6,
+            DIGEST = 7,
+            PULL = 8,
+            VIEW = 9;
 
     private interface Fields {
         void write(CBORGenerator to) throws IOException;
@@ -49,7 +59,10 @@
     /** The bytes with their checksum. */
     static byte[] sealed(ByteArrayOutputStream bytes) {
         byte[] content = bytes.toByteArray();
-        return ByteBuffer.allocate(content.length + CHECKSUM).put(content).putInt(checksum(content, content.length)).array();
+        return ByteBuffer.allocate(content.length + CHECKSUM)
+                .put(content)
+                .putInt(checksum(content, content.length))
+                .array();
     }
 
     static int checksum(byte[] bytes, int length) {
--- a/gossip/src/main/java/calicochute/gossip/Counts.java
+++ b/gossip/src/main/java/calicochute/gossip/Counts.java
@@ -4,10 +4,33 @@
 
 /** What happened, as counted on the one thread. */
 public final class Counts {
-    /** BYTES_*: of datagrams, without the headers of UDP and IP (28 a datagram). ENTRIES, ENTRY_BYTES, FORGOTTEN: held now. */
+    /**
+     * BYTES_*: of datagrams, without the headers of UDP and IP (28 a datagram). ENTRIES, ENTRY_BYTES, FORGOTTEN: held
+     * now.
+     */
     public enum What {
-        DATAGRAMS_IN, BYTES_IN, DATAGRAMS_OUT, BYTES_OUT, PROBES, SUSPICIONS, SUSPICIONS_OWN, DROPS, RETURNS, OBJECTIONS, TWINS,
-        SPREAD, TAKEN, TAKEN_BY_REPAIR, REPAIRS_SENT, DIGESTS, EXPIRED, EVICTED, ENTRIES, ENTRY_BYTES, FORGOTTEN, INVARIANTS_BROKEN
+        DATAGRAMS_IN,
+        BYTES_IN,
+        DATAGRAMS_OUT,
+        BYTES_OUT,
+        PROBES,
+        SUSPICIONS,
+        SUSPICIONS_OWN,
+        DROPS,
+        RETURNS,
+        OBJECTIONS,
+        TWINS,
+        SPREAD,
+        TAKEN,
+        TAKEN_BY_REPAIR,
+        REPAIRS_SENT,
+        DIGESTS,
+        EXPIRED,
+        EVICTED,
+        ENTRIES,
+        ENTRY_BYTES,
+        FORGOTTEN,
+        INVARIANTS_BROKEN
     }
 
     private final long[] happened = new long[What.values().length];
@@ -33,10 +56,18 @@
     public String text() {
         StringBuilder text = new StringBuilder();
         for (What what : What.values()) {
-            text.append("gossip_").append(what.name().toLowerCase(Locale.ROOT)).append(' ').append(get(what)).append('\n');
+            text.append("gossip_")
+                    .append(what.name().toLowerCase(Locale.ROOT))
+                    .append(' ')
+                    .append(get(what))
+                    .append('\n');
         }
         for (Cause cause : Cause.values()) {
-            text.append("gossip_dropped_").append(cause.name().toLowerCase(Locale.ROOT)).append(' ').append(dropped(cause)).append('\n');
+            text.append("gossip_dropped_")
+                    .append(cause.name().toLowerCase(Locale.ROOT))
+                    .append(' ')
+                    .append(dropped(cause))
+                    .append('\n');
         }
         return text.toString();
     }
--- a/gossip/src/main/java/calicochute/gossip/Gossip.java
+++ b/gossip/src/main/java/calicochute/gossip/Gossip.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 
 /**
- * One balancer's part in the fleet: who is there, messages to one, entries to all. No I/O: datagrams go out by `sender`, come in by
- * `received`; `now` is the wall clock in microseconds. Used on one thread. Peers are trusted to be who they say (a private network);
- * what they send is not trusted to be well formed.
+ * One balancer's part in the fleet: who is there, messages to one, entries to all. No I/O: datagrams go out by
+ * `sender`, come in by `received`; `now` is the wall clock in microseconds. Used on one thread. Peers are trusted to be
+ * who they say (a private network); what they send is not trusted to be well formed.
  */
 public final class Gossip {
     /** At most 1,200 bytes a datagram; may be lost. */
@@ -252,8 +252,12 @@
             return;
         }
         long authorStart = repaired ? part.authorStart() : envelope.start();
-        SpreadStore.Entry taken = store.take(now, steady, author, new Part.Spread(author, authorStart, part.channel(), part.key(),
-            part.version(), part.until(), part.body()));
+        SpreadStore.Entry taken = store.take(
+                now,
+                steady,
+                author,
+                new Part.Spread(
+                        author, authorStart, part.channel(), part.key(), part.version(), part.until(), part.body()));
         if (taken != null) {
             counts.add(What.TAKEN);
             if (repaired) {
@@ -264,7 +268,10 @@
         }
     }
 
-    /** To one peer, once, with the next tick; may be lost. False: not a member there, too long, or too much waits for it. */
+    /**
+     * To one peer, once, with the next tick; may be lost. False: not a member there, too long, or too much waits for
+     * it.
+     */
     public boolean direct(long now, String to, int channel, byte[] body) {
         Peer peer = membership.peer(to);
         if (peer == null || peer.state == State.GONE) {
@@ -279,8 +286,8 @@
     }
 
     /**
-     * To all that are there now or come until `until`: the newest version of (channel, key). Versions have to grow over restarts too (use
-     * the time). False: not taken, as too old, too long or over this balancer's share of the store.
+     * To all that are there now or come until `until`: the newest version of (channel, key). Versions have to grow over
+     * restarts too (use the time). False: not taken, as too old, too long or over this balancer's share of the store.
      */
     public boolean spread(long now, int channel, String key, long version, byte[] body, long until) {
         if (channel < 0 || channel >= MOST_CHANNELS || key.getBytes(StandardCharsets.UTF_8).length > Limits.KEY) {
--- a/gossip/src/main/java/calicochute/gossip/Membership.java
+++ b/gossip/src/main/java/calicochute/gossip/Membership.java
@@ -12,9 +12,9 @@
 import java.util.TreeSet;
 
 /**
- * Who is there. Claims (start, incarnation, state) of a member are ordered, and the greatest heard is kept: any order, loss and repetition
- * gives the same view, and what was once gone stays so until the member itself claims more. That is kept for as long as the operator's
- * list names the member, so that no late datagram brings a ghost.
+ * Who is there. Claims (start, incarnation, state) of a member are ordered, and the greatest heard is kept: any order,
+ * loss and repetition gives the same view, and what was once gone stays so until the member itself claims more. That is
+ * kept for as long as the operator's list names the member, so that no late datagram brings a ghost.
  */
 final class Membership {
     static final class Peer {
@@ -45,7 +45,8 @@
     private final long myStart;
     private final Counts counts;
     private final TreeMap<String, Peer> peers = new TreeMap<>(); // without me
-    private final Map<String, Integer> rumours = new LinkedHashMap<>(); // member to times sent; the least lately sent first
+    private final Map<String, Integer> rumours =
+            new LinkedHashMap<>(); // member to times sent; the least lately sent first
     private final Peer self; // as others should see this process
     private int suspects;
     private Integer hash;
@@ -76,7 +77,9 @@
         rumours.keySet().retainAll(ids);
         live = null;
         hash = null;
-        suspects = (int) peers.values().stream().filter(peer -> peer.state == State.SUSPECT).count();
+        suspects = (int) peers.values().stream()
+                .filter(peer -> peer.state == State.SUSPECT)
+                .count();
     }
 
     boolean hasSuspects() {
@@ -114,7 +117,8 @@
                 live = null;
             }
         }
-        boolean greets = start != peer.start && state == State.ALIVE; // a new process greets all itself; views tell who missed it
+        boolean greets = start != peer.start
+                && state == State.ALIVE; // a new process greets all itself; views tell who missed it
         peer.start = start;
         peer.incarnation = incarnation;
         peer.state = state;
@@ -140,7 +144,9 @@
         }
     }
 
-    /** A claim about this process by others: where it says less than alive, it is objected to with a higher incarnation. */
+    /**
+     * A claim about this process by others: where it says less than alive, it is objected to with a higher incarnation.
+     */
     void aboutMe(long start, int claimed, State state) {
         if (start == myStart && claimed >= self.incarnation && (state != State.ALIVE || claimed > self.incarnation)) {
             self.incarnation = Math.min(claimed + 1, Reader.HIGHEST_INCARNATION);
@@ -160,7 +166,10 @@
         return !rumours.isEmpty();
     }
 
-    /** Rumours for a datagram to a peer that has room for so many bytes; what is said of the peer itself first, that it may object. */
+    /**
+     * Rumours for a datagram to a peer that has room for so many bytes; what is said of the peer itself first, that it
+     * may object.
+     */
     List<byte[]> rumours(Peer to, Codec codec, int room, boolean aboutItself) {
         List<byte[]> parts = new ArrayList<>();
         int left = room;
@@ -215,7 +224,8 @@
     }
 
     static int hash(Peer peer) {
-        long mixed = ((peer.id.hashCode() * 31L + peer.start) * 1_000_003 + peer.incarnation) * 31 + peer.state.ordinal();
+        long mixed =
+                ((peer.id.hashCode() * 31L + peer.start) * 1_000_003 + peer.incarnation) * 31 + peer.state.ordinal();
         return (int) (mixed * 0x9E3779B97F4A7C15L >>> 32);
     }
 
--- a/gossip/src/main/java/calicochute/gossip/Outbox.java
+++ b/gossip/src/main/java/calicochute/gossip/Outbox.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** What waits for each peer, bundled into datagrams. A tick serves so many peers, in turn: a spread to many goes out over a few ticks. */
+/**
+ * What waits for each peer, bundled into datagrams. A tick serves so many peers, in turn: a spread to many goes out
+ * over a few ticks.
+ */
 final class Outbox {
     private static final int MOST = Limits.DATAGRAM - Codec.CHECKSUM;
     private static final int MOST_WAITING = 64; // parts for one peer
@@ -67,7 +70,7 @@
 
     void tick(int peers) {
         List<String> served = new ArrayList<>();
-        for (Iterator<String> ids = waiting.keySet().iterator(); ids.hasNext() && served.size() < peers;) {
+        for (Iterator<String> ids = waiting.keySet().iterator(); ids.hasNext() && served.size() < peers; ) {
             served.add(ids.next());
         }
         for (String peer : served) {
--- a/gossip/src/main/java/calicochute/gossip/Part.java
+++ b/gossip/src/main/java/calicochute/gossip/Part.java
@@ -17,9 +17,12 @@
     record Direct(int channel, byte[] body) implements Part {}
 
     /** Author null: the sender of the datagram itself (saves its name). */
-    record Spread(String author, long authorStart, int channel, String key, long version, long until, byte[] body) implements Part {}
+    record Spread(String author, long authorStart, int channel, String key, long version, long until, byte[] body)
+            implements Part {}
 
-    /** All entries with hashes from `low` to `high` as the sender holds them; `members` hashes its view of who is there. */
+    /**
+     * All entries with hashes from `low` to `high` as the sender holds them; `members` hashes its view of who is there.
+     */
     record Digest(long low, long high, int members, byte[] marks) implements Part {}
 
     /** A byte for each member of the list as the sender sees it; `answer`: asks for the receiver's too. */
--- a/gossip/src/main/java/calicochute/gossip/Probes.java
+++ b/gossip/src/main/java/calicochute/gossip/Probes.java
@@ -10,8 +10,9 @@
 import java.util.Random;
 
 /**
- * Probes in turn, as in SWIM: one member each period, directly, again, then by three others; without an answer it is suspected, and without
- * an objection gone. The gone are asked now and then, so that a healed split is found from both sides.
+ * Probes in turn, as in SWIM: one member each period, directly, again, then by three others; without an answer it is
+ * suspected, and without an objection gone. The gone are asked now and then, so that a healed split is found from both
+ * sides.
  */
 final class Probes {
     private static final int HELPERS = 3;
@@ -100,7 +101,7 @@
     }
 
     private void goOn(long steady) {
-        for (Iterator<Map.Entry<Integer, Probe>> all = probes.entrySet().iterator(); all.hasNext();) {
+        for (Iterator<Map.Entry<Integer, Probe>> all = probes.entrySet().iterator(); all.hasNext(); ) {
             Map.Entry<Integer, Probe> entry = all.next();
             Probe probe = entry.getValue();
             Peer target = membership.peer(probe.target);
@@ -139,7 +140,10 @@
         }
     }
 
-    /** Each of the gone is asked about ten times a second by the whole fleet, and by one balancer at most once a second in all. */
+    /**
+     * Each of the gone is asked about ten times a second by the whole fleet, and by one balancer at most once a second
+     * in all.
+     */
     private void gone(long steady) {
         if (steady < nextGone) {
             return;
--- a/gossip/src/main/java/calicochute/gossip/Reader.java
+++ b/gossip/src/main/java/calicochute/gossip/Reader.java
@@ -11,7 +11,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads datagrams: whole or not at all, with no more memory than a small multiple of the 1,200 bytes whatever lengths they claim. */
+/**
+ * Reads datagrams: whole or not at all, with no more memory than a small multiple of the 1,200 bytes whatever lengths
+ * they claim.
+ */
 final class Reader {
     /** Why a datagram was not read. */
     static final class Unread extends Exception {
@@ -31,8 +34,12 @@
 
     Reader(String cluster) {
         this.cluster = Codec.clusterHash(cluster);
-        StreamReadConstraints bounds = StreamReadConstraints.builder().maxNestingDepth(8).maxStringLength(Limits.DATAGRAM)
-            .maxNameLength(Limits.DATAGRAM).maxNumberLength(64).build();
+        StreamReadConstraints bounds = StreamReadConstraints.builder()
+                .maxNestingDepth(8)
+                .maxStringLength(Limits.DATAGRAM)
+                .maxNameLength(Limits.DATAGRAM)
+                .maxNumberLength(64)
+                .build();
         factory = CBORFactory.builder().streamReadConstraints(bounds).build();
     }
 
@@ -41,7 +48,10 @@
             throw new Unread(Cause.TOO_LONG);
         }
         int length = datagram.length - Codec.CHECKSUM;
-        if (length < 4 || datagram[1] != 0x19 || datagram[2] != (byte) (Codec.OURS >>> 8) || datagram[3] != (byte) Codec.OURS) {
+        if (length < 4
+                || datagram[1] != 0x19
+                || datagram[2] != (byte) (Codec.OURS >>> 8)
+                || datagram[3] != (byte) Codec.OURS) {
             throw new Unread(Cause.NOT_OURS);
         }
         if (ByteBuffer.wrap(datagram).getInt(length) != Codec.checksum(datagram, length)) {
@@ -55,7 +65,9 @@
     }
 
     private Envelope read(CBORParser from) throws IOException, Unread {
-        if (from.nextToken() != JsonToken.START_ARRAY || from.nextToken() != JsonToken.VALUE_NUMBER_INT || from.getLongValue() != Codec.OURS) {
+        if (from.nextToken() != JsonToken.START_ARRAY
+                || from.nextToken() != JsonToken.VALUE_NUMBER_INT
+                || from.getLongValue() != Codec.OURS) {
             throw new Unread(Cause.NOT_OURS);
         }
         if (whole(from) != Codec.VERSION) {
--- a/gossip/src/main/java/calicochute/gossip/Repair.java
+++ b/gossip/src/main/java/calicochute/gossip/Repair.java
@@ -10,8 +10,9 @@
 import java.util.Set;
 
 /**
- * Digests between random pairs: what one lacks the other sends, both ways. A digest tells all entries of a range of hashes; where the store
- * is larger than a datagram holds, the next digest goes on where the last one ended. It also carries a hash of who is there.
+ * Digests between random pairs: what one lacks the other sends, both ways. A digest tells all entries of a range of
+ * hashes; where the store is larger than a datagram holds, the next digest goes on where the last one ended. It also
+ * carries a hash of who is there.
  */
 final class Repair {
     private static final int MARKS = 1_000; // bytes of marks in one digest, about 100 entries
@@ -33,7 +34,16 @@
     private long last;
     private int missed = MUCH; // a new process lacks everything
 
-    Repair(Membership membership, SpreadStore store, Outbox outbox, Codec codec, Probes probes, Views views, Limits limits, Counts counts, Random random) {
+    Repair(
+            Membership membership,
+            SpreadStore store,
+            Outbox outbox,
+            Codec codec,
+            Probes probes,
+            Views views,
+            Limits limits,
+            Counts counts,
+            Random random) {
         this.membership = membership;
         this.store = store;
         this.outbox = outbox;
@@ -81,7 +91,9 @@
                 high = entry.hash() - 1;
                 break;
             }
-            marks.putShort((short) (entry.hash() >>> 32)).putInt((int) entry.hash()).putShort((short) entry.mark());
+            marks.putShort((short) (entry.hash() >>> 32))
+                    .putInt((int) entry.hash())
+                    .putShort((short) entry.mark());
             varint(marks, entry.version() - base);
         }
         cursor = high + 1 == SpreadStore.HASHES ? 0 : high + 1;
@@ -180,8 +192,14 @@
             if (steady - entry.since() < limits.ripe()) {
                 continue;
             }
-            byte[] part = codec.part(new Part.Spread(entry.author(), entry.authorStart(), entry.channel(), entry.key(), entry.version(),
-                entry.until(), entry.body()));
+            byte[] part = codec.part(new Part.Spread(
+                    entry.author(),
+                    entry.authorStart(),
+                    entry.channel(),
+                    entry.key(),
+                    entry.version(),
+                    entry.until(),
+                    entry.body()));
             if (part.length > allowed) {
                 counts.drop(Cause.REPAIR_RATE);
                 return;
--- a/gossip/src/main/java/calicochute/gossip/SpreadStore.java
+++ b/gossip/src/main/java/calicochute/gossip/SpreadStore.java
@@ -14,8 +14,9 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * The newest version of each (channel, key). Of two entries of one version the greater by author, start and body is kept, so that all agree.
- * Bounded: when full, whoever holds most gives way to one who holds less; nobody can drive out one who keeps to an equal share.
+ * The newest version of each (channel, key). Of two entries of one version the greater by author, start and body is
+ * kept, so that all agree. Bounded: when full, whoever holds most gives way to one who holds less; nobody can drive out
+ * one who keeps to an equal share.
  */
 final class SpreadStore {
     static final long HASHES = 1L << 48;
@@ -26,8 +27,17 @@
      * @param since steady microseconds at which it came here
      * @param mark 16 bits that tell entries of one version apart
      */
-    record Entry(long hash, String author, long authorStart, int channel, String key, long version, long until, byte[] body, long since,
-                 int mark) {
+    record Entry(
+            long hash,
+            String author,
+            long authorStart,
+            int channel,
+            String key,
+            long version,
+            long until,
+            byte[] body,
+            long since,
+            int mark) {
         int size() {
             return key.length() + body.length + BESIDE;
         }
@@ -35,8 +45,10 @@
 
     private record Forgotten(long version, long at) {}
 
-    private static final Comparator<Entry> ORDER = Comparator.comparingLong(Entry::version).thenComparing(Entry::author)
-        .thenComparingLong(Entry::authorStart).thenComparing(Entry::body, Arrays::compare);
+    private static final Comparator<Entry> ORDER = Comparator.comparingLong(Entry::version)
+            .thenComparing(Entry::author)
+            .thenComparingLong(Entry::authorStart)
+            .thenComparing(Entry::body, Arrays::compare);
     private final Limits limits;
     private final Counts counts;
     private final TreeMap<Long, Entry> entries = new TreeMap<>();
@@ -92,8 +104,18 @@
             return null;
         }
         long hash = hash(part.channel(), part.key());
-        Entry entry = new Entry(hash, author, part.authorStart(), part.channel(), part.key(), part.version(), part.until(), part.body(), steady,
-            (author.hashCode() * 961 + Long.hashCode(part.authorStart()) * 31 + Arrays.hashCode(part.body())) & 0xFFFF);
+        Entry entry = new Entry(
+                hash,
+                author,
+                part.authorStart(),
+                part.channel(),
+                part.key(),
+                part.version(),
+                part.until(),
+                part.body(),
+                steady,
+                (author.hashCode() * 961 + Long.hashCode(part.authorStart()) * 31 + Arrays.hashCode(part.body()))
+                        & 0xFFFF);
         return news(entry) && room(entry) ? put(entry) : null;
     }
 
@@ -128,7 +150,8 @@
             counts.drop(Cause.QUOTA);
             return false;
         }
-        while (size + entry.size() - (known == null ? 0 : known.size()) > limits.storeBytes() || known == null && entries.size() >= limits.keys()) {
+        while (size + entry.size() - (known == null ? 0 : known.size()) > limits.storeBytes()
+                || known == null && entries.size() >= limits.keys()) {
             String greatest = greatest();
             if (greatest.equals(entry.author()) || sizes.get(greatest) < own) {
                 counts.drop(Cause.QUOTA);
@@ -143,8 +166,10 @@
     private String greatest() {
         String greatest = null;
         for (Map.Entry<String, Long> one : sizes.entrySet()) {
-            if (greatest == null || one.getValue() > sizes.get(greatest)
-                || one.getValue().equals(sizes.get(greatest)) && one.getKey().compareTo(greatest) > 0) {
+            if (greatest == null
+                    || one.getValue() > sizes.get(greatest)
+                    || one.getValue().equals(sizes.get(greatest))
+                            && one.getKey().compareTo(greatest) > 0) {
                 greatest = one.getKey();
             }
         }
--- a/gossip/src/main/java/calicochute/gossip/Twins.java
+++ b/gossip/src/main/java/calicochute/gossip/Twins.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Two processes with one name: datagrams of both starts come in turn, for longer than late datagrams of a restarted one could. Each pair of
- * starts is told once a minute.
+ * Two processes with one name: datagrams of both starts come in turn, for longer than late datagrams of a restarted one
+ * could. Each pair of starts is told once a minute.
  */
 final class Twins {
     private static final long TOO_LATE = 3_000_000; // microseconds after which a datagram is not just late
--- a/gossip/src/main/java/calicochute/gossip/Views.java
+++ b/gossip/src/main/java/calicochute/gossip/Views.java
@@ -5,9 +5,10 @@
 import java.util.Random;
 
 /**
- * Makes two views of who is there the same. Where the hash in a digest differs, a byte for each member of the list (in its order, salted
- * anew each time) tells which members are seen differently, and just those claims are sent, both ways. Where the lists themselves differ
- * (the operator's file is being changed) a random stretch of the view is sent instead.
+ * Makes two views of who is there the same. Where the hash in a digest differs, a byte for each member of the list (in
+ * its order, salted anew each time) tells which members are seen differently, and just those claims are sent, both
+ * ways. Where the lists themselves differ (the operator's file is being changed) a random stretch of the view is sent
+ * instead.
  */
 final class Views {
     private static final int MOST_MARKS = 1_000;
--- a/gossip/src/test/java/calicochute/gossip/BoundsTest.java
+++ b/gossip/src/test/java/calicochute/gossip/BoundsTest.java
@@ -47,8 +47,12 @@
         byte[] huge = {(byte) 0x83, Codec.DIRECT, 1, 0x5B, 0, 0, 0, 0, 0x7F, -1, -1, -1}; // bytes of a length of 2^31
         dropped(Cause.MALFORMED, MembersTest.join(header, huge));
         dropped(Cause.UNKNOWN_PART, MembersTest.join(header, new byte[] {(byte) 0x82, 0x18, 99, 0x61, 'x'}));
-        dropped(Cause.CLOCK_OFF, MembersTest.join(header, codec.part(new Part.Spread(null, 0, 1, "k", 1, Long.MAX_VALUE, new byte[1]))));
-        dropped(Cause.EXPIRED, MembersTest.join(header, codec.part(new Part.Spread(null, 0, 1, "k", 1, Long.MIN_VALUE, new byte[1]))));
+        dropped(
+                Cause.CLOCK_OFF,
+                MembersTest.join(header, codec.part(new Part.Spread(null, 0, 1, "k", 1, Long.MAX_VALUE, new byte[1]))));
+        dropped(
+                Cause.EXPIRED,
+                MembersTest.join(header, codec.part(new Part.Spread(null, 0, 1, "k", 1, Long.MIN_VALUE, new byte[1]))));
         dropped(Cause.START_WENT_BACK, MembersTest.join(new Codec("test", "lb-001", NOW - 1).header(0)));
         assertEquals(0, gossip.counts().get(What.ENTRIES));
     }
@@ -66,15 +70,25 @@
         Member one = new Member("a", "");
         assertThrows(IllegalArgumentException.class, () -> new Group("c", "b", List.of(one)));
         assertThrows(IllegalArgumentException.class, () -> new Group("c", "a", List.of(one, one)));
-        assertThrows(IllegalArgumentException.class, () -> new Group("c", "a", List.of(one, new Member("x".repeat(65), ""))));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new Group("c", "a", List.of(one, new Member("x".repeat(65), ""))));
     }
 
     @Test
     void mutatedDatagramsAreNeverMoreThanACountedDrop() {
         Fuzz.Result result = Fuzz.run(100_000, 32);
         long unread = 0;
-        for (Cause cause : List.of(Cause.TOO_LONG, Cause.NOT_OURS, Cause.CHECKSUM, Cause.VERSION, Cause.CLUSTER, Cause.MALFORMED,
-            Cause.UNKNOWN_SENDER, Cause.OWN_NAME, Cause.CLOCK_OFF)) {
+        for (Cause cause : List.of(
+                Cause.TOO_LONG,
+                Cause.NOT_OURS,
+                Cause.CHECKSUM,
+                Cause.VERSION,
+                Cause.CLUSTER,
+                Cause.MALFORMED,
+                Cause.UNKNOWN_SENDER,
+                Cause.OWN_NAME,
+                Cause.CLOCK_OFF)) {
             assertTrue(result.dropped.get(cause) > 0, cause.name());
             unread += result.dropped.get(cause);
         }
--- a/gossip/src/test/java/calicochute/gossip/EntriesTest.java
+++ b/gossip/src/test/java/calicochute/gossip/EntriesTest.java
@@ -20,16 +20,22 @@
         Fleet fleet = new Fleet(300, 21);
         fleet.loss = 0.1;
         assertTrue(fleet.until(10 * SECOND, () -> fleet.allSee(fleet.there())) >= 0);
-        long bytes = fleet.sum(What.BYTES_IN) + fleet.sum(What.BYTES_OUT) + 28 * (fleet.sum(What.DATAGRAMS_IN) + fleet.sum(What.DATAGRAMS_OUT));
+        long bytes = fleet.sum(What.BYTES_IN)
+                + fleet.sum(What.BYTES_OUT)
+                + 28 * (fleet.sum(What.DATAGRAMS_IN) + fleet.sum(What.DATAGRAMS_OUT));
         long begin = fleet.now;
         for (int row = 0; row < 180; row++) { // what a window of two seconds brings
-            fleet.node(fleet.random.nextInt(300)).spread("server-" + row + "-of-the-lane-with-a-name", 1, begin + 20 * SECOND);
+            fleet.node(fleet.random.nextInt(300))
+                    .spread("server-" + row + "-of-the-lane-with-a-name", 1, begin + 20 * SECOND);
         }
         fleet.run(SECOND);
         long heard = fleet.up().mapToLong(node -> node.versions.size()).sum();
         assertTrue(heard >= 0.95 * 300 * 180, "heard by " + heard / 180.0);
         fleet.run(SECOND);
-        bytes = fleet.sum(What.BYTES_IN) + fleet.sum(What.BYTES_OUT) + 28 * (fleet.sum(What.DATAGRAMS_IN) + fleet.sum(What.DATAGRAMS_OUT)) - bytes;
+        bytes = fleet.sum(What.BYTES_IN)
+                + fleet.sum(What.BYTES_OUT)
+                + 28 * (fleet.sum(What.DATAGRAMS_IN) + fleet.sum(What.DATAGRAMS_OUT))
+                - bytes;
         assertTrue(bytes / 300 / 2 <= 64_000, "bytes a second " + bytes / 300 / 2);
         assertEquals(0, fleet.sum(What.DROPS));
     }
@@ -38,9 +44,12 @@
     void goesRoundCutsBetweenPairs() {
         Fleet fleet = new Fleet(5, 22);
         fleet.run(3 * SECOND);
-        fleet.cut = (from, to) -> Set.of(from, to).equals(Set.of("lb-000", "lb-001")) || from.equals("lb-000") && to.equals("lb-002");
+        fleet.cut = (from, to) ->
+                Set.of(from, to).equals(Set.of("lb-000", "lb-001")) || from.equals("lb-000") && to.equals("lb-002");
         fleet.node(0).spread("key", 7, fleet.now + 60 * SECOND);
-        assertTrue(fleet.until(3 * SECOND, () -> fleet.up().allMatch(node -> node.versions.getOrDefault("key", 0L) == 7)) >= 0);
+        assertTrue(fleet.until(
+                        3 * SECOND, () -> fleet.up().allMatch(node -> node.versions.getOrDefault("key", 0L) == 7))
+                >= 0);
     }
 
     @Test
@@ -68,7 +77,9 @@
         fleet.run(2 * SECOND);
         fleet.up().forEach(node -> assertEquals(0, node.gossip.counts().get(What.ENTRIES)));
         Codec codec = new Codec("test", "lb-000", author.start);
-        byte[] late = MembersTest.join(codec.header(0), codec.part(new Part.Spread(null, 0, 1, "key", 4, fleet.now + 60 * SECOND, new byte[3])));
+        byte[] late = MembersTest.join(
+                codec.header(0),
+                codec.part(new Part.Spread(null, 0, 1, "key", 4, fleet.now + 60 * SECOND, new byte[3])));
         fleet.arrive("lb-001", late);
         assertEquals(1, fleet.node(1).gossip.counts().dropped(Cause.OLD_VERSION));
         assertEquals(5, fleet.node(1).versions.get("key"));
@@ -82,21 +93,43 @@
         String me = "a".repeat(Group.LONGEST_ID);
         Codec codec = new Codec("test", me, Long.MAX_VALUE);
         String key = "k".repeat(Limits.KEY);
-        Part.Spread entry = new Part.Spread("b".repeat(Group.LONGEST_ID), Long.MAX_VALUE, 255, key, Long.MIN_VALUE, Long.MAX_VALUE,
-            new byte[1_000 - Limits.KEY]);
+        Part.Spread entry = new Part.Spread(
+                "b".repeat(Group.LONGEST_ID),
+                Long.MAX_VALUE,
+                255,
+                key,
+                Long.MIN_VALUE,
+                Long.MAX_VALUE,
+                new byte[1_000 - Limits.KEY]);
         byte[] header = codec.header(Reader.HIGHEST_INCARNATION);
         byte[] part = codec.part(entry);
-        assertTrue(header.length + part.length + Codec.CHECKSUM <= Limits.DATAGRAM, "bytes " + (header.length + part.length));
-        Part.Spread read = (Part.Spread) new Reader("test").read(MembersTest.join(header, part)).parts().get(0);
+        assertTrue(
+                header.length + part.length + Codec.CHECKSUM <= Limits.DATAGRAM,
+                "bytes " + (header.length + part.length));
+        Part.Spread read = (Part.Spread)
+                new Reader("test").read(MembersTest.join(header, part)).parts().get(0);
         assertEquals(key, read.key());
-        assertTrue(header.length + codec.part(new Part.Direct(255, new byte[1_000])).length + Codec.CHECKSUM <= Limits.DATAGRAM);
+        assertTrue(header.length + codec.part(new Part.Direct(255, new byte[1_000])).length + Codec.CHECKSUM
+                <= Limits.DATAGRAM);
     }
 
     @Test
     void nobodyDrivesOutOneWhoKeepsToHisShare() {
         Limits usual = Limits.usual();
-        Limits small = new Limits(usual.probeEvery(), usual.again(), usual.unanswered(), usual.suspected(), usual.digestEvery(), usual.ripe(),
-            usual.entryBytes(), 40_000, 100, usual.longestKept(), usual.clockAhead(), usual.repairRate(), usual.peersATick());
+        Limits small = new Limits(
+                usual.probeEvery(),
+                usual.again(),
+                usual.unanswered(),
+                usual.suspected(),
+                usual.digestEvery(),
+                usual.ripe(),
+                usual.entryBytes(),
+                40_000,
+                100,
+                usual.longestKept(),
+                usual.clockAhead(),
+                usual.repairRate(),
+                usual.peersATick());
         Counts counts = new Counts();
         SpreadStore store = new SpreadStore(small, counts, 4);
         for (int i = 0; i < 12; i++) {
--- a/gossip/src/test/java/calicochute/gossip/FaultsTest.java
+++ b/gossip/src/test/java/calicochute/gossip/FaultsTest.java
@@ -26,7 +26,8 @@
             for (int entry = random.nextInt(4); entry > 0; entry--) {
                 Fleet.Node author = fleet.node(random.nextInt(many));
                 if (author.up) {
-                    author.spread("key " + random.nextInt(12), author.now() + random.nextInt(5), author.now() + 600 * SECOND);
+                    author.spread(
+                            "key " + random.nextInt(12), author.now() + random.nextInt(5), author.now() + 600 * SECOND);
                 }
             }
             fleet.run(random.nextLong(100_000, 4 * SECOND));
@@ -40,7 +41,12 @@
         long took = fleet.until(8 * SECOND, () -> fleet.allSee(there) && fleet.sameEntries());
         if (took < 0) {
             StringBuilder views = new StringBuilder("no agreement; there are " + there);
-            fleet.up().forEach(node -> views.append('\n').append(node.id).append(' ').append(node.gossip.presences()).append(node.versions));
+            fleet.up()
+                    .forEach(node -> views.append('\n')
+                            .append(node.id)
+                            .append(' ')
+                            .append(node.gossip.presences())
+                            .append(node.versions));
             throw new AssertionError(views.toString());
         }
         fleet.run(5 * SECOND);
--- a/gossip/src/test/java/calicochute/gossip/Fleet.java
+++ b/gossip/src/test/java/calicochute/gossip/Fleet.java
@@ -43,30 +43,36 @@
             versions.merge(key, version, Math::max);
         }
 
-        @Override public void send(String peer, byte[] datagram) {
+        @Override
+        public void send(String peer, byte[] datagram) {
             Fleet.this.send(this, peer, datagram);
         }
 
-        @Override public void direct(long now, String from, long fromStart, int channel, byte[] body) {
+        @Override
+        public void direct(long now, String from, long fromStart, int channel, byte[] body) {
             directs.add(from + " " + channel + " " + new String(body));
         }
 
-        @Override public void spread(long now, String from, long fromStart, int channel, String key, long version, byte[] body) {
+        @Override
+        public void spread(long now, String from, long fromStart, int channel, String key, long version, byte[] body) {
             versions.put(key, version);
             heardAt.put(key + " " + version, Fleet.this.now);
         }
 
-        @Override public void members(long now, Set<String> live) {
+        @Override
+        public void members(long now, Set<String> live) {
             members = live;
         }
 
-        @Override public void twins(long now, String id, long oneStart, long otherStart) {
+        @Override
+        public void twins(long now, String id, long oneStart, long otherStart) {
             twins.add(id);
         }
     }
 
     private record Due(long at, long order, Runnable what) implements Comparable<Due> {
-        @Override public int compareTo(Due other) {
+        @Override
+        public int compareTo(Due other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
         }
     }
--- a/gossip/src/test/java/calicochute/gossip/FleetFigures.java
+++ b/gossip/src/test/java/calicochute/gossip/FleetFigures.java
@@ -5,7 +5,10 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Measures a fleet in virtual time; outside CI. Arguments: members, loss, seconds, tick in ms. Prints what docs/measurements/gossip.md holds. */
+/**
+ * Measures a fleet in virtual time; outside CI. Arguments: members, loss, seconds, tick in ms. Prints what
+ * docs/measurements/gossip.md holds.
+ */
 public final class FleetFigures {
     public static void main(String[] args) {
         if (args[0].equals("drops")) {
@@ -19,14 +22,17 @@
         fleet.tick = Long.parseLong(args[3]) * 1_000;
         fleet.loss = loss;
         long begun = System.nanoTime();
-        System.out.println("all see all after (ms): " + fleet.until(30 * Fleet.SECOND, () -> fleet.allSee(fleet.there())) / 1_000);
+        System.out.println(
+                "all see all after (ms): " + fleet.until(30 * Fleet.SECOND, () -> fleet.allSee(fleet.there())) / 1_000);
         fleet.run(3 * Fleet.SECOND);
         window(fleet, seconds, "membership and digests only", false);
         window(fleet, seconds, "180 rows of 120 B in 2 s", true);
         silence(fleet);
         Runtime heap = Runtime.getRuntime();
         System.gc();
-        System.out.printf("heap of one balancer with the stand-in's part (kB): %d%n", (heap.totalMemory() - heap.freeMemory()) / 1_000 / many);
+        System.out.printf(
+                "heap of one balancer with the stand-in's part (kB): %d%n",
+                (heap.totalMemory() - heap.freeMemory()) / 1_000 / many);
         System.out.println("real seconds: " + (System.nanoTime() - begun) / 1_000_000_000);
     }
 
@@ -42,16 +48,34 @@
         long missing = 0;
         for (int i = 0; i < seconds * 2; i++) {
             fleet.run(Fleet.SECOND / 2);
-            missing += fleet.up().mapToLong(node -> fleet.list.size() - node.gossip.live().size()).sum();
+            missing += fleet.up()
+                    .mapToLong(node -> fleet.list.size() - node.gossip.live().size())
+                    .sum();
         }
-        System.out.printf("%s members, loss %s, %d s: suspicions %d, drops seen %d, live members missing from a view, on average: %.6f%n",
-            args[1], args[2], seconds, fleet.sum(What.SUSPICIONS_OWN) - suspicions, fleet.sum(What.DROPS) - drops,
-            missing / 2.0 / seconds / fleet.list.size());
+        System.out.printf(
+                "%s members, loss %s, %d s: suspicions %d, drops seen %d, live members missing from a view, on average: %.6f%n",
+                args[1],
+                args[2],
+                seconds,
+                fleet.sum(What.SUSPICIONS_OWN) - suspicions,
+                fleet.sum(What.DROPS) - drops,
+                missing / 2.0 / seconds / fleet.list.size());
     }
 
     private static void window(Fleet fleet, int seconds, String what, boolean rows) {
-        What[] told = {What.DATAGRAMS_OUT, What.BYTES_OUT, What.BYTES_IN, What.DATAGRAMS_IN, What.SUSPICIONS_OWN, What.DROPS, What.RETURNS,
-            What.TAKEN, What.TAKEN_BY_REPAIR, What.REPAIRS_SENT, What.DIGESTS};
+        What[] told = {
+            What.DATAGRAMS_OUT,
+            What.BYTES_OUT,
+            What.BYTES_IN,
+            What.DATAGRAMS_IN,
+            What.SUSPICIONS_OWN,
+            What.DROPS,
+            What.RETURNS,
+            What.TAKEN,
+            What.TAKEN_BY_REPAIR,
+            What.REPAIRS_SENT,
+            What.DIGESTS
+        };
         long[] before = Arrays.stream(told).mapToLong(fleet::sum).toArray();
         int many = fleet.list.size();
         List<Long> delays = new ArrayList<>();
@@ -87,12 +111,16 @@
             System.out.printf("  %s a second at a balancer: %.4f%n", told[i], per[i]);
         }
         System.out.printf("  kB/s in and out with headers: %.2f%n", (per[1] + per[2] + 28 * (per[0] + per[3])) / 1_000);
-        System.out.printf("  core of one balancer, with the network's stand-in: %.3f%%%n", 100.0 * real / 1e9 / seconds / many);
+        System.out.printf(
+                "  core of one balancer, with the network's stand-in: %.3f%%%n", 100.0 * real / 1e9 / seconds / many);
         if (rows) {
             delays.sort(null);
             long all = delays.size() + missed;
             for (long ms : new long[] {200, 300, 500, 1_000, 2_000}) {
-                System.out.printf("  heard within %d ms: %.3f%%%n", ms, 100.0 * delays.stream().filter(at -> at <= ms * 1_000).count() / all);
+                System.out.printf(
+                        "  heard within %d ms: %.3f%%%n",
+                        ms,
+                        100.0 * delays.stream().filter(at -> at <= ms * 1_000).count() / all);
             }
         }
     }
@@ -108,10 +136,19 @@
             silent.up = false;
             long begin = fleet.now;
             long many = fleet.up().count();
-            first.add(fleet.until(10 * Fleet.SECOND, () -> fleet.up().anyMatch(node -> !node.gossip.live().contains(silent.id))));
-            fleet.until(10 * Fleet.SECOND, () -> fleet.up().filter(node -> !node.gossip.live().contains(silent.id)).count() >= many * 0.99);
+            first.add(fleet.until(
+                    10 * Fleet.SECOND,
+                    () -> fleet.up().anyMatch(node -> !node.gossip.live().contains(silent.id))));
+            fleet.until(
+                    10 * Fleet.SECOND,
+                    () -> fleet.up()
+                                    .filter(node -> !node.gossip.live().contains(silent.id))
+                                    .count()
+                            >= many * 0.99);
             nearlyAll.add(fleet.now - begin);
-            fleet.until(10 * Fleet.SECOND, () -> fleet.up().noneMatch(node -> node.gossip.live().contains(silent.id)));
+            fleet.until(
+                    10 * Fleet.SECOND,
+                    () -> fleet.up().noneMatch(node -> node.gossip.live().contains(silent.id)));
             all.add(fleet.now - begin);
             fleet.start(silent.id);
             fleet.run(2 * Fleet.SECOND);
@@ -123,8 +160,13 @@
 
     private static void tell(String what, List<Long> times) {
         times.sort(null);
-        System.out.printf("silence of one, %s (ms): median %d, 95%% %d, most %d of %d%n", what, times.get(times.size() / 2) / 1_000,
-            times.get(times.size() * 95 / 100) / 1_000, times.get(times.size() - 1) / 1_000, times.size());
+        System.out.printf(
+                "silence of one, %s (ms): median %d, 95%% %d, most %d of %d%n",
+                what,
+                times.get(times.size() / 2) / 1_000,
+                times.get(times.size() * 95 / 100) / 1_000,
+                times.get(times.size() - 1) / 1_000,
+                times.size());
     }
 
     private FleetFigures() {}
--- a/gossip/src/test/java/calicochute/gossip/Fuzz.java
+++ b/gossip/src/test/java/calicochute/gossip/Fuzz.java
@@ -18,7 +18,8 @@
     public static void main(String[] args) {
         long begun = System.nanoTime();
         Result result = run(Integer.parseInt(args[0]), Long.parseLong(args[1]));
-        System.out.println("seconds " + (System.nanoTime() - begun) / 1_000_000_000 + ", most bytes of entries " + result.mostBytes);
+        System.out.println("seconds " + (System.nanoTime() - begun) / 1_000_000_000 + ", most bytes of entries "
+                + result.mostBytes);
         System.out.println(result.happened + "\n" + result.dropped);
     }
 
@@ -31,14 +32,21 @@
         fleet.cut = (from, to) -> false;
         for (int i = 0; i < 6; i++) {
             Fleet.Node node = fleet.node(i);
-            Gossip gossip = new Gossip(new Group("test", node.id, fleet.list), node.start, fleet.limits, i, (to, bytes) -> {
-                samples.add(bytes);
-                fleet.send(node, to, bytes);
-            }, node);
+            Gossip gossip = new Gossip(
+                    new Group("test", node.id, fleet.list),
+                    node.start,
+                    fleet.limits,
+                    i,
+                    (to, bytes) -> {
+                        samples.add(bytes);
+                        fleet.send(node, to, bytes);
+                    },
+                    node);
             for (int tick = 0; tick < 60; tick++) {
                 gossip.tick(fleet.now + tick * 100_000);
                 gossip.direct(fleet.now, "lb-003", 1, new byte[tick]);
-                gossip.spread(fleet.now, 1, "key " + tick % 9, tick, new byte[tick * 10], fleet.now + 60 * Fleet.SECOND);
+                gossip.spread(
+                        fleet.now, 1, "key " + tick % 9, tick, new byte[tick * 10], fleet.now + 60 * Fleet.SECOND);
                 for (byte[] other : List.copyOf(samples.subList(0, Math.min(20, samples.size())))) {
                     gossip.received(fleet.now, other);
                 }
@@ -46,15 +54,25 @@
         }
         fleet.run(10 * Fleet.SECOND);
         Codec codec = new Codec("test", "lb-003", fleet.node(3).start);
-        samples.add(MembersTest.join(codec.header(0), codec.part(new Part.AskPing(3, "lb-004")), codec.part(new Part.Digest(0, 1L << 47, 3, new byte[40])),
-            codec.part(new Part.Pull(new byte[30])),
-            codec.part(new Part.View(1, 2, true, new byte[6])), codec.part(new Part.Rumour("lb-000", fleet.node(0).start, 1, State.GONE))));
+        samples.add(MembersTest.join(
+                codec.header(0),
+                codec.part(new Part.AskPing(3, "lb-004")),
+                codec.part(new Part.Digest(0, 1L << 47, 3, new byte[40])),
+                codec.part(new Part.Pull(new byte[30])),
+                codec.part(new Part.View(1, 2, true, new byte[6])),
+                codec.part(new Part.Rumour("lb-000", fleet.node(0).start, 1, State.GONE))));
         Result result = new Result();
         Gossip target = null;
         for (int i = 0; i < many; i++) {
             if (i % 500 == 0) { // a new one: what it took for true would keep the rest from being read
                 sum(result, target);
-                target = new Gossip(new Group("test", "lb-000", fleet.list), fleet.node(0).start, fleet.limits, i, (to, bytes) -> {}, fleet.node(0));
+                target = new Gossip(
+                        new Group("test", "lb-000", fleet.list),
+                        fleet.node(0).start,
+                        fleet.limits,
+                        i,
+                        (to, bytes) -> {},
+                        fleet.node(0));
             }
             target.received(fleet.now + i % 500 * 2_000, mutated(samples, random));
             if (i % 50 == 0) {
@@ -82,7 +100,8 @@
         byte[] sample = samples.get(random.nextInt(samples.size()));
         byte[] bytes = Arrays.copyOf(sample, sample.length - Codec.CHECKSUM);
         for (int i = random.nextInt(1, 3); i > 0 && bytes.length > 0; i--) {
-            int at = random.nextInt(bytes.length > 40 && random.nextInt(4) > 0 ? 24 : 0, bytes.length); // mostly behind the header
+            int at = random.nextInt(
+                    bytes.length > 40 && random.nextInt(4) > 0 ? 24 : 0, bytes.length); // mostly behind the header
             switch (random.nextInt(10)) {
                 case 0, 7, 8, 9 -> bytes[at] = (byte) random.nextInt(256);
                 case 1 -> bytes[at] ^= (byte) (1 << random.nextInt(8));
@@ -94,7 +113,9 @@
                         bytes[j] = (byte) random.nextInt(128);
                     }
                 }
-                case 5 -> Arrays.fill(bytes, at, Math.min(bytes.length, at + random.nextInt(600)), (byte) (random.nextBoolean() ? 0x81 : 0x9F)); // nested arrays
+                case 5 ->
+                    Arrays.fill(bytes, at, Math.min(bytes.length, at + random.nextInt(600)), (byte)
+                            (random.nextBoolean() ? 0x81 : 0x9F)); // nested arrays
                 default -> bytes = Arrays.copyOf(bytes, bytes.length + random.nextInt(1_300));
             }
         }
--- a/gossip/src/test/java/calicochute/gossip/MembersTest.java
+++ b/gossip/src/test/java/calicochute/gossip/MembersTest.java
@@ -47,14 +47,21 @@
         assertTrue(fleet.allSee(fleet.there()), "dropped");
         fleet.run(6 * SECOND);
         assertTrue(fleet.until(3 * SECOND, () -> node.up && fleet.allSee(fleet.there())) >= 0, "taken back");
-        assertEquals(node.start, fleet.node(0).gossip.presences().stream().filter(p -> p.id().equals(node.id)).findAny().orElseThrow().start());
+        assertEquals(
+                node.start,
+                fleet.node(0).gossip.presences().stream()
+                        .filter(p -> p.id().equals(node.id))
+                        .findAny()
+                        .orElseThrow()
+                        .start());
         assertTrue(node.gossip.counts().get(What.OBJECTIONS) > 0);
     }
 
     @Test
     void oneWayCutsDropNobodyWhileOthersCanHelp() {
         Fleet fleet = together(6, 3);
-        fleet.cut = (from, to) -> from.equals("lb-001") && to.equals("lb-002") || from.equals("lb-003") && to.equals("lb-000");
+        fleet.cut = (from, to) ->
+                from.equals("lb-001") && to.equals("lb-002") || from.equals("lb-003") && to.equals("lb-000");
         fleet.run(60 * SECOND);
         assertEquals(0, fleet.sum(What.DROPS));
     }
@@ -65,7 +72,13 @@
         List<byte[]> kept = new ArrayList<>();
         Fleet.Node dead = fleet.node(4);
         // what the process itself sends for three seconds, kept on the way
-        Gossip twinless = new Gossip(new Group("test", dead.id, fleet.list), dead.start, fleet.limits, 5, (to, bytes) -> kept.add(bytes), dead);
+        Gossip twinless = new Gossip(
+                new Group("test", dead.id, fleet.list),
+                dead.start,
+                fleet.limits,
+                5,
+                (to, bytes) -> kept.add(bytes),
+                dead);
         for (int i = 0; i < 30; i++) {
             twinless.tick(fleet.now + i * 100_000);
         }
@@ -109,7 +122,8 @@
         Fleet fleet = together(3, 6);
         Gossip gossip = fleet.node(0).gossip;
         Codec codec = new Codec("test", "lb-001", fleet.node(1).start);
-        gossip.received(fleet.now, join(codec.header(0), codec.part(new Part.Rumour("lb-999", fleet.now, 0, State.ALIVE))));
+        gossip.received(
+                fleet.now, join(codec.header(0), codec.part(new Part.Rumour("lb-999", fleet.now, 0, State.ALIVE))));
         assertEquals(1, gossip.counts().dropped(Cause.UNKNOWN_MEMBER));
         Codec stranger = new Codec("test", "lb-999", fleet.now);
         gossip.received(fleet.now, join(stranger.header(0)));
@@ -128,7 +142,8 @@
         fleet.cut = (from, to) -> (from.compareTo("lb-015") < 0) != (to.compareTo("lb-015") < 0);
         for (int second = 0; second < 20; second++) {
             for (int key = 0; key < 20; key++) {
-                fleet.node((key * 2 + second) % 40).spread("row-" + key + "-" + (second + key) % 2, second, fleet.now + 60 * SECOND);
+                fleet.node((key * 2 + second) % 40)
+                        .spread("row-" + key + "-" + (second + key) % 2, second, fleet.now + 60 * SECOND);
             }
             fleet.run(SECOND);
         }
--- a/lab/src/main/java/calicochute/lab/chance/Streams.java
+++ b/lab/src/main/java/calicochute/lab/chance/Streams.java
@@ -43,8 +43,10 @@
     /** A lognormal figure with the given mean and coefficient of variation. */
     public static double lognormal(UniformRandomProvider from, double mean, double variation) {
         double sigma2 = Math.log1p(variation * variation);
-        return Math.exp(Math.log(mean) - sigma2 / 2
-            + Math.sqrt(sigma2) * ZigguratSampler.NormalizedGaussian.of(from).sample());
+        return Math.exp(Math.log(mean)
+                - sigma2 / 2
+                + Math.sqrt(sigma2)
+                        * ZigguratSampler.NormalizedGaussian.of(from).sample());
     }
 
     /** An index, each with its weight. */
--- a/lab/src/main/java/calicochute/lab/cli/CompareCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/CompareCommand.java
@@ -25,8 +25,9 @@
     @Parameter(names = "--scenario", description = "Play this scenario with each --balancer-command, in turn")
     private String scenario;
 
-    @Parameter(names = "--balancer-command",
-        description = "A command that starts one balancer, or 'deployed'; give it once for each variant")
+    @Parameter(
+            names = "--balancer-command",
+            description = "A command that starts one balancer, or 'deployed'; give it once for each variant")
     private List<String> commands = new ArrayList<>();
 
     @Parameter(names = "--seeds", description = "The seeds to play each variant with")
@@ -52,15 +53,34 @@
             if (differences.isEmpty()) {
                 throw new Exception(base.name() + " and " + other.name() + " share no seed");
             }
-            console.say(String.format(Locale.ROOT, "%n%s (%d runs) against %s (%d runs); %d pairs by seed%s",
-                other.name(), other.runs().size(), base.name(), base.runs().size(), differences.get(0).pairs(),
-                base.skipped() + other.skipped() > 0 ? "; " + (base.skipped() + other.skipped()) + " don't count"
-                    : ""));
-            console.say(String.format(Locale.ROOT, "  %-44s %10s %10s  %s", "figure", "base", "difference",
-                "95% interval (* leaves out 0)"));
+            console.say(String.format(
+                    Locale.ROOT,
+                    "%n%s (%d runs) against %s (%d runs); %d pairs by seed%s",
+                    other.name(),
+                    other.runs().size(),
+                    base.name(),
+                    base.runs().size(),
+                    differences.get(0).pairs(),
+                    base.skipped() + other.skipped() > 0
+                            ? "; " + (base.skipped() + other.skipped()) + " don't count"
+                            : ""));
+            console.say(String.format(
+                    Locale.ROOT,
+                    "  %-44s %10s %10s  %s",
+                    "figure",
+                    "base",
+                    "difference",
+                    "95% interval (* leaves out 0)"));
             for (Difference d : differences) {
-                console.say(String.format(Locale.ROOT, "  %-44s %10s %+10.4f  [%+.4f, %+.4f]%s", d.figure(),
-                    Console.figure(d.baseMean()), d.mean(), d.low(), d.high(), d.clear() ? " *" : ""));
+                console.say(String.format(
+                        Locale.ROOT,
+                        "  %-44s %10s %+10.4f  [%+.4f, %+.4f]%s",
+                        d.figure(),
+                        Console.figure(d.baseMean()),
+                        d.mean(),
+                        d.low(),
+                        d.high(),
+                        d.clear() ? " *" : ""));
             }
         }
     }
@@ -79,11 +99,16 @@
             for (int i = 0; i < commands.size(); i++) {
                 int v = s % 2 == 0 ? i : commands.size() - 1 - i;
                 String command = commands.get(v).equals("deployed") ? null : commands.get(v);
-                RunResult result = new Runner(Installation.balancers(command), console).run(read, seeds.get(s),
-                    Path.of(sides.get(v), "seed-" + seeds.get(s)));
-                console.say(String.format(Locale.ROOT, "variant %d seed %d: service %.4f, %d broken rules%s", v + 1,
-                    seeds.get(s), result.figures().get("service"), result.breaches().size(),
-                    result.counts() ? "" : " (does not count)"));
+                RunResult result = new Runner(Installation.balancers(command), console)
+                        .run(read, seeds.get(s), Path.of(sides.get(v), "seed-" + seeds.get(s)));
+                console.say(String.format(
+                        Locale.ROOT,
+                        "variant %d seed %d: service %.4f, %d broken rules%s",
+                        v + 1,
+                        seeds.get(s),
+                        result.figures().get("service"),
+                        result.breaches().size(),
+                        result.counts() ? "" : " (does not count)"));
             }
         }
         return sides;
--- a/lab/src/main/java/calicochute/lab/cli/Console.java
+++ b/lab/src/main/java/calicochute/lab/cli/Console.java
@@ -24,8 +24,14 @@
 
     @Override
     public void second(double seconds, double length, long ended, double served, int open) {
-        String line = String.format(Locale.ROOT, "%5.0f of %.0f s  %7d requests ended  %5d open  service so far %.3f",
-            seconds, length, ended, open, served);
+        String line = String.format(
+                Locale.ROOT,
+                "%5.0f of %.0f s  %7d requests ended  %5d open  service so far %.3f",
+                seconds,
+                length,
+                ended,
+                open,
+                served);
         if (terminal) {
             out.print("\r" + line + " ");
             out.flush();
@@ -54,9 +60,17 @@
                 say(String.format(Locale.ROOT, "  %-44s %12s", name, figure(value)));
             }
         });
-        result.breaches().stream().limit(20).forEach(b -> say(String.format(Locale.ROOT,
-            "  BREACH %-16s at %.3f s balancer=%s session=%s server=%s %s", b.rule(), b.at(), b.balancer(), b.session(),
-            b.server(), b.details())));
+        result.breaches().stream()
+                .limit(20)
+                .forEach(b -> say(String.format(
+                        Locale.ROOT,
+                        "  BREACH %-16s at %.3f s balancer=%s session=%s server=%s %s",
+                        b.rule(),
+                        b.at(),
+                        b.balancer(),
+                        b.session(),
+                        b.server(),
+                        b.details())));
         if (result.breaches().size() > 20) {
             say("  … " + (result.breaches().size() - 20) + " more in breaches.csv");
         }
@@ -68,7 +82,8 @@
     }
 
     static String figure(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e9 ? String.format(Locale.ROOT, "%.0f", value)
-            : String.format(Locale.ROOT, Math.abs(value) >= 100 ? "%.1f" : "%.4f", value);
+        return value == Math.rint(value) && Math.abs(value) < 1e9
+                ? String.format(Locale.ROOT, "%.0f", value)
+                : String.format(Locale.ROOT, Math.abs(value) >= 100 ? "%.1f" : "%.4f", value);
     }
 }
--- a/lab/src/main/java/calicochute/lab/cli/DemoCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/DemoCommand.java
@@ -32,8 +32,8 @@
         }
         String text = Packaged.scenario("demo.yaml");
         text = text.replace("LENGTH", seconds + "s")
-            .replace("FROM", String.format(Locale.ROOT, "%.1fs", seconds / 3.0))
-            .replace("LASTS", String.format(Locale.ROOT, "%.1fs", seconds / 3.0));
+                .replace("FROM", String.format(Locale.ROOT, "%.1fs", seconds / 3.0))
+                .replace("LASTS", String.format(Locale.ROOT, "%.1fs", seconds / 3.0));
         RunResult result = RunCommand.play(ScenarioReader.parse("demo.yaml", text), options, Path.of(out));
         // A busy machine voids the figures, which the table says; it does not make the demo a failure.
         if (result.ended() != null || !result.breaches().isEmpty()) {
--- a/lab/src/main/java/calicochute/lab/cli/LabMain.java
+++ b/lab/src/main/java/calicochute/lab/cli/LabMain.java
@@ -5,8 +5,7 @@
 
 /** Command line entry of the lab: {@code demo}, and {@code lab} with its own sub-commands. */
 public final class LabMain {
-    private LabMain() {
-    }
+    private LabMain() {}
 
     public static void main(String[] args) {
         System.exit(run(args));
@@ -15,14 +14,14 @@
     static int run(String... args) {
         if (args.length > 0 && args[0].equals("lab")) {
             return new CommandLine("calicochute lab")
-                .command("run", new RunCommand())
-                .command("replay", new ReplayCommand())
-                .command("compare", new CompareCommand())
-                .command("sweep", new SweepCommand())
-                .command("report", new ReportCommand())
-                .command("overhead", new OverheadCommand())
-                .command("relay", new RelayCommand())
-                .run(Arrays.copyOfRange(args, 1, args.length));
+                    .command("run", new RunCommand())
+                    .command("replay", new ReplayCommand())
+                    .command("compare", new CompareCommand())
+                    .command("sweep", new SweepCommand())
+                    .command("report", new ReportCommand())
+                    .command("overhead", new OverheadCommand())
+                    .command("relay", new RelayCommand())
+                    .run(Arrays.copyOfRange(args, 1, args.length));
         }
         return new CommandLine("calicochute").command("demo", new DemoCommand()).run(args);
     }
--- a/lab/src/main/java/calicochute/lab/cli/OverheadCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/OverheadCommand.java
@@ -43,33 +43,78 @@
         }
         String text = Packaged.scenario("overhead.yaml");
         Path folder = Path.of(out);
-        List<Result> results = new OverheadRun(ScenarioReader.parse("overhead.yaml", text), folder,
-            options.balancers(), List.of(System.getProperty("java.home") + "/bin/java", "-XX:+UseSerialGC", "-Xmx96m",
-            "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "calicochute.lab.cli.LabMain",
-            "lab", "relay")).run(rate, seconds, rounds, together);
+        List<Result> results = new OverheadRun(
+                        ScenarioReader.parse("overhead.yaml", text),
+                        folder,
+                        options.balancers(),
+                        List.of(
+                                System.getProperty("java.home") + "/bin/java",
+                                "-XX:+UseSerialGC",
+                                "-Xmx96m",
+                                "-XX:TieredStopAtLevel=1",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "calicochute.lab.cli.LabMain",
+                                "lab",
+                                "relay"))
+                .run(rate, seconds, rounds, together);
         Console console = Console.standard();
         Result direct = results.get(0);
         Result relay = results.get(1);
-        console.say(String.format(Locale.ROOT, "%d rounds of %d s on each way, %.0f requests a second", rounds, seconds,
-            rate));
-        console.say(String.format(Locale.ROOT, "%-10s %9s %7s %8s %8s %10s %10s %12s %9s %14s", "way", "requests",
-            "failed", "p50 ms", "p99 ms", "added p50", "added p99", "CPU us/req", "memory MB", "most req/s, 1 core"));
+        console.say(String.format(
+                Locale.ROOT, "%d rounds of %d s on each way, %.0f requests a second", rounds, seconds, rate));
+        console.say(String.format(
+                Locale.ROOT,
+                "%-10s %9s %7s %8s %8s %10s %10s %12s %9s %14s",
+                "way",
+                "requests",
+                "failed",
+                "p50 ms",
+                "p99 ms",
+                "added p50",
+                "added p99",
+                "CPU us/req",
+                "memory MB",
+                "most req/s, 1 core"));
         for (Result r : results) {
-            console.say(String.format(Locale.ROOT, "%-10s %9d %7d %8.3f %8.3f %10.3f %10.3f %12.1f %9.1f %14.0f",
-                r.route(), r.requests(), r.failed(), r.p50(), r.p99(), r.p50() - direct.p50(), r.p99() - direct.p99(),
-                r.cpuMicros(), r.residentMb(), r.highestRate()));
+            console.say(String.format(
+                    Locale.ROOT,
+                    "%-10s %9d %7d %8.3f %8.3f %10.3f %10.3f %12.1f %9.1f %14.0f",
+                    r.route(),
+                    r.requests(),
+                    r.failed(),
+                    r.p50(),
+                    r.p99(),
+                    r.p50() - direct.p50(),
+                    r.p99() - direct.p99(),
+                    r.cpuMicros(),
+                    r.residentMb(),
+                    r.highestRate()));
         }
         Result balancer = results.get(2);
-        console.say(String.format(Locale.ROOT, "balancer to relay: added p50 x%.2f, added p99 x%.2f, CPU x%.2f, memory "
-            + "x%.2f, highest rate x%.2f", (balancer.p50() - direct.p50()) / (relay.p50() - direct.p50()),
-            (balancer.p99() - direct.p99()) / (relay.p99() - direct.p99()), balancer.cpuMicros() / relay.cpuMicros(),
-            balancer.residentMb() / relay.residentMb(), balancer.highestRate() / relay.highestRate()));
-        try (CSVPrinter csv = CSVFormat.RFC4180.builder().setHeader("way", "requests", "failed", "p50_ms", "p99_ms",
-            "cpu_us", "memory_mb", "highest_rate").get().print(Files.newBufferedWriter(folder.resolve(
-            "overhead.csv")))) {
+        console.say(String.format(
+                Locale.ROOT,
+                "balancer to relay: added p50 x%.2f, added p99 x%.2f, CPU x%.2f, memory " + "x%.2f, highest rate x%.2f",
+                (balancer.p50() - direct.p50()) / (relay.p50() - direct.p50()),
+                (balancer.p99() - direct.p99()) / (relay.p99() - direct.p99()),
+                balancer.cpuMicros() / relay.cpuMicros(),
+                balancer.residentMb() / relay.residentMb(),
+                balancer.highestRate() / relay.highestRate()));
+        try (CSVPrinter csv = CSVFormat.RFC4180
+                .builder()
+                .setHeader("way", "requests", "failed", "p50_ms", "p99_ms", "cpu_us", "memory_mb", "highest_rate")
+                .get()
+                .print(Files.newBufferedWriter(folder.resolve("overhead.csv")))) {
             for (Result r : results) {
-                csv.printRecord(r.route(), r.requests(), r.failed(), r.p50(), r.p99(), r.cpuMicros(), r.residentMb(),
-                    r.highestRate());
+                csv.printRecord(
+                        r.route(),
+                        r.requests(),
+                        r.failed(),
+                        r.p50(),
+                        r.p99(),
+                        r.cpuMicros(),
+                        r.residentMb(),
+                        r.highestRate());
             }
         }
     }
--- a/lab/src/main/java/calicochute/lab/cli/Packaged.java
+++ b/lab/src/main/java/calicochute/lab/cli/Packaged.java
@@ -6,8 +6,7 @@
 
 /** Scenarios that come within the program. */
 final class Packaged {
-    private Packaged() {
-    }
+    private Packaged() {}
 
     static String scenario(String name) throws IOException {
         try (InputStream in = Packaged.class.getResourceAsStream("/calicochute/lab/" + name)) {
--- a/lab/src/main/java/calicochute/lab/cli/ReplayCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/ReplayCommand.java
@@ -42,7 +42,8 @@
         int breaches = 0;
         for (int i = 1; i <= times; i++) {
             console.say("replay " + i + " of " + times);
-            RunResult result = runner.run(scenario, seed, base.resolve("replays").resolve("replay-" + i));
+            RunResult result =
+                    runner.run(scenario, seed, base.resolve("replays").resolve("replay-" + i));
             breaches += result.breaches().size();
             if (result.counts()) {
                 runs.add(result);
@@ -53,12 +54,25 @@
         if (runs.isEmpty()) {
             throw new Exception("no replay counts");
         }
-        console.say(String.format(Locale.ROOT, "%n  %-44s %10s %10s %10s %9s   (%d of %d replays count)", "figure",
-            "lowest", "median", "highest", "spread", runs.size(), times));
+        console.say(String.format(
+                Locale.ROOT,
+                "%n  %-44s %10s %10s %10s %9s   (%d of %d replays count)",
+                "figure",
+                "lowest",
+                "median",
+                "highest",
+                "spread",
+                runs.size(),
+                times));
         for (Spread s : Spread.of(runs)) {
-            console.say(String.format(Locale.ROOT, "  %-44s %10s %10s %10s %8.2f%%", s.figure(),
-                Console.figure(s.lowest()), Console.figure(s.median()), Console.figure(s.highest()),
-                100 * s.share()));
+            console.say(String.format(
+                    Locale.ROOT,
+                    "  %-44s %10s %10s %10s %8.2f%%",
+                    s.figure(),
+                    Console.figure(s.lowest()),
+                    Console.figure(s.median()),
+                    Console.figure(s.highest()),
+                    100 * s.share()));
         }
         if (breaches > 0) {
             throw new Exception(breaches + " broken rules");
--- a/lab/src/main/java/calicochute/lab/cli/RunCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/RunCommand.java
@@ -20,8 +20,10 @@
     @Parameter(names = "--out", description = "The folder for the result (default: lab-results/<scenario>-<seed>)")
     private String out;
 
-    @Parameter(names = "--balancers", description = "How many balancers clients send to, in place of the scenario's;"
-        + " each server that calls on has one of its own beside them")
+    @Parameter(
+            names = "--balancers",
+            description = "How many balancers clients send to, in place of the scenario's;"
+                    + " each server that calls on has one of its own beside them")
     private Integer balancers;
 
     @ParametersDelegate
@@ -53,8 +55,8 @@
     /** A run that does not count, or in which a rule was broken, is a failure. */
     static void judge(RunResult result) throws Exception {
         if (!result.counts()) {
-            throw new Exception("the run does not count: " + (result.ended() == null ? result.invalid()
-                : result.ended()));
+            throw new Exception(
+                    "the run does not count: " + (result.ended() == null ? result.invalid() : result.ended()));
         }
         if (!result.breaches().isEmpty()) {
             throw new Exception(result.breaches().size() + " broken rules");
--- a/lab/src/main/java/calicochute/lab/cli/RunOptions.java
+++ b/lab/src/main/java/calicochute/lab/cli/RunOptions.java
@@ -10,8 +10,9 @@
     @Parameter(names = "--seed", description = "What chance starts from; the same seed draws the same run")
     long seed = 1;
 
-    @Parameter(names = "--balancer-command",
-        description = "A shell command that starts one balancer, in place of \"run\" in deploy/balancer.toml")
+    @Parameter(
+            names = "--balancer-command",
+            description = "A shell command that starts one balancer, in place of \"run\" in deploy/balancer.toml")
     String balancerCommand;
 
     Emulation.Balancers balancers() throws IOException {
--- a/lab/src/main/java/calicochute/lab/cli/SweepCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/SweepCommand.java
@@ -24,8 +24,10 @@
     @Parameter(description = "SCENARIO.yaml", required = true)
     private String scenario;
 
-    @Parameter(names = "--field", description = "The field, such as load.utilisation or troubles[0].factor",
-        required = true)
+    @Parameter(
+            names = "--field",
+            description = "The field, such as load.utilisation or troubles[0].factor",
+            required = true)
     private String field;
 
     @Parameter(names = "--over", description = "Its values, with commas between", required = true)
@@ -54,15 +56,34 @@
         Map<String, RunResult> results = new LinkedHashMap<>();
         for (var one : scenarios.entrySet()) {
             console.say(field + " = " + one.getKey());
-            results.put(one.getKey(), runner.run(one.getValue(), options.seed, Path.of(out).resolve(
-                one.getKey().replaceAll("[^A-Za-z0-9.-]", "_"))));
+            results.put(
+                    one.getKey(),
+                    runner.run(
+                            one.getValue(),
+                            options.seed,
+                            Path.of(out).resolve(one.getKey().replaceAll("[^A-Za-z0-9.-]", "_"))));
         }
-        console.say(String.format(Locale.ROOT, "%n%-16s %8s %8s %8s %8s %10s %9s", field, "service", "denied", "failed",
-            "late", "p99 ms", "breaches"));
-        results.forEach((value, r) -> console.say(String.format(Locale.ROOT,
-            "%-16s %8.4f %8.4f %8.4f %8.4f %10.1f %9d%s", value, r.figures().get("service"),
-            r.figures().get("denied"), r.figures().get("failed"), r.figures().get("late"),
-            r.figures().get("latency_p99_ms_all"), r.breaches().size(), r.counts() ? "" : "  (does not count)")));
+        console.say(String.format(
+                Locale.ROOT,
+                "%n%-16s %8s %8s %8s %8s %10s %9s",
+                field,
+                "service",
+                "denied",
+                "failed",
+                "late",
+                "p99 ms",
+                "breaches"));
+        results.forEach((value, r) -> console.say(String.format(
+                Locale.ROOT,
+                "%-16s %8.4f %8.4f %8.4f %8.4f %10.1f %9d%s",
+                value,
+                r.figures().get("service"),
+                r.figures().get("denied"),
+                r.figures().get("failed"),
+                r.figures().get("late"),
+                r.figures().get("latency_p99_ms_all"),
+                r.breaches().size(),
+                r.counts() ? "" : "  (does not count)")));
         SweepReport.write(Path.of(out), field, results);
         console.say("report: " + Path.of(out, "sweep.html"));
     }
--- a/lab/src/main/java/calicochute/lab/discovery/CallQueue.java
+++ b/lab/src/main/java/calicochute/lab/discovery/CallQueue.java
@@ -1,12 +1,13 @@
 package calicochute.lab.discovery;
 
 /**
- * A service of fixed capacity that handles calls in turn, without I/O: says when a call that comes now would be done, or
- * that it waits too long and fails. Times in microseconds.
+ * A service of fixed capacity that handles calls in turn, without I/O: says when a call that comes now would be done,
+ * or that it waits too long and fails. Times in microseconds.
  */
 public final class CallQueue {
     /** A call that failed for having waited too long. */
     public static final long FAILED = -1;
+
     private final double perCall;
     private final int linesPerCall;
     private final long timeout;
--- a/lab/src/main/java/calicochute/lab/discovery/Directory.java
+++ b/lab/src/main/java/calicochute/lab/discovery/Directory.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * Discovery's list with its versions, without I/O: what is entered becomes visible when the caller says so; a caller who
- * knows a version gets what changed since, the newest state of each entry. Versions count from 1.
+ * Discovery's list with its versions, without I/O: what is entered becomes visible when the caller says so; a caller
+ * who knows a version gets what changed since, the newest state of each entry. Versions count from 1.
  */
 public final class Directory {
     private final Map<String, Entry> entries = new LinkedHashMap<>();
@@ -19,7 +19,9 @@
 
     /** What discovery says of a machine's process. */
     public enum State {
-        READY("Ready"), TERMINATING("Terminating"), GONE("Gone");
+        READY("Ready"),
+        TERMINATING("Terminating"),
+        GONE("Gone");
 
         private final String word;
 
@@ -33,15 +35,13 @@
     }
 
     /**
-     * One machine; {@code size} is its nominal one, 1 in the mean of its tier; {@code startedAt} is the Unix time in microseconds of its last
-     * start, 0 for long ago.
+     * One machine; {@code size} is its nominal one, 1 in the mean of its tier; {@code startedAt} is the Unix time in
+     * microseconds of its last start, 0 for long ago.
      */
-    public record Entry(String id, String zone, String kind, int cell, double size, State state, long startedAt) {
-    }
+    public record Entry(String id, String zone, String kind, int cell, double size, State state, long startedAt) {}
 
     /** A list for a caller: the whole or what changed. */
-    public record Page(long version, boolean whole, List<Entry> entries) {
-    }
+    public record Page(long version, boolean whole, List<Entry> entries) {}
 
     /** Enters a machine or changes its entry; that is a new version. */
     public void set(Entry entry) {
@@ -64,7 +64,10 @@
 
     /** The whole list, without what is gone. */
     public Page whole() {
-        return new Page(version, true, entries.values().stream().filter(e -> e.state() != State.GONE).toList());
+        return new Page(
+                version,
+                true,
+                entries.values().stream().filter(e -> e.state() != State.GONE).toList());
     }
 
     /** What changed after a version; one from the future (another discovery's) gets the whole list. */
--- a/lab/src/main/java/calicochute/lab/emulator/BadClients.java
+++ b/lab/src/main/java/calicochute/lab/emulator/BadClients.java
@@ -40,13 +40,18 @@
 
     private String words() {
         String known = "X-Txn: " + String.format("%016x", chance.nextLong()) + "\r\nX-Lane: "
-            + site.scenario.classes().get(0).name() + "\r\nX-Org: " + site.scenario.tenants().get(0).name() + "\r\n";
+                + site.scenario.classes().get(0).name() + "\r\nX-Org: "
+                + site.scenario.tenants().get(0).name() + "\r\n";
         return switch (chance.nextInt(9)) {
             case 0 -> "\u0000\u0001\u0002 what is this \u0003\r\n\r\n";
             case 1 -> HEAD + "X-Long: " + "a".repeat(60_000);
             case 2 -> HEAD + known + "X-Remaining-Ms: 1000\r\nContent-Length: -5\r\n\r\n";
-            case 3 -> HEAD + known + "X-Remaining-Ms: 1000\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-            case 4 -> HEAD + known.replace("X-Lane: ", "X-Lane: no-such-") + "X-Remaining-Ms: 1000\r\nContent-Length: 0\r\n\r\n";
+            case 3 ->
+                HEAD + known
+                        + "X-Remaining-Ms: 1000\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
+            case 4 ->
+                HEAD + known.replace("X-Lane: ", "X-Lane: no-such-")
+                        + "X-Remaining-Ms: 1000\r\nContent-Length: 0\r\n\r\n";
             case 5 -> HEAD + known + "X-Remaining-Ms: soon\r\nContent-Length: 0\r\n\r\n";
             case 6 -> HEAD + known + "X-Remaining-Ms: 1000\r\nContent-Length: 900000000\r\n\r\nxxxx";
             case 7 -> HEAD + "X-Txn: half";
@@ -59,34 +64,39 @@
         sent++;
         String words = words();
         boolean[] over = new boolean[1];
-        site.sockets.connect(balancer, OWED_WITHIN, new Link.Owner() {
-            @Override
-            public void message(Link link, HttpMessage message) {
-                served += message.status() == 200 ? 1 : 0;
-                over[0] = true;
-                link.close();
-            }
+        site.sockets.connect(
+                balancer,
+                OWED_WITHIN,
+                new Link.Owner() {
+                    @Override
+                    public void message(Link link, HttpMessage message) {
+                        served += message.status() == 200 ? 1 : 0;
+                        over[0] = true;
+                        link.close();
+                    }
 
-            @Override
-            public void unreadable(Link link, String why) {
-                over[0] = true;
-                link.close();
-            }
+                    @Override
+                    public void unreadable(Link link, String why) {
+                        over[0] = true;
+                        link.close();
+                    }
 
-            @Override
-            public void closed(Link link, boolean reset, boolean midway) {
-                over[0] = true;
-            }
-        }, link -> {
-            if (!words.isEmpty()) {
-                link.write(words.getBytes(StandardCharsets.ISO_8859_1));
-            }
-            site.world.after(OWED_WITHIN, () -> {
-                if (!over[0]) {
-                    neglected++;
-                    link.reset();
-                }
-            });
-        }, () -> { });
+                    @Override
+                    public void closed(Link link, boolean reset, boolean midway) {
+                        over[0] = true;
+                    }
+                },
+                link -> {
+                    if (!words.isEmpty()) {
+                        link.write(words.getBytes(StandardCharsets.ISO_8859_1));
+                    }
+                    site.world.after(OWED_WITHIN, () -> {
+                        if (!over[0]) {
+                            neglected++;
+                            link.reset();
+                        }
+                    });
+                },
+                () -> {});
     }
 }
--- a/lab/src/main/java/calicochute/lab/emulator/BalancerHost.java
+++ b/lab/src/main/java/calicochute/lab/emulator/BalancerHost.java
@@ -31,13 +31,12 @@
     private boolean ending;
     private boolean paused;
     private int starts;
-    private Consumer<BalancerHost> onReady = b -> { };
-    private Consumer<String> onCrash = why -> { };
-    private Runnable onEnded = () -> { };
+    private Consumer<BalancerHost> onReady = b -> {};
+    private Consumer<String> onCrash = why -> {};
+    private Runnable onEnded = () -> {};
 
     /** CPU seconds used since the run's first start, and resident memory in bytes. */
-    record Sample(long at, double cpuSeconds, long resident) {
-    }
+    record Sample(long at, double cpuSeconds, long resident) {}
 
     /** Writes its configuration; asked anew for each start. */
     interface Configurer {
@@ -48,8 +47,14 @@
     private final Function<BalancerSpec, Map<String, String>> environment;
 
     /** @param environment what its process gets beside the platform's own; asked anew for each start */
-    BalancerHost(Site site, BalancerSpec spec, Path folder, Emulation.Balancers launch, Configurer configurer,
-                 Function<BalancerSpec, Map<String, String>> environment) throws IOException {
+    BalancerHost(
+            Site site,
+            BalancerSpec spec,
+            Path folder,
+            Emulation.Balancers launch,
+            Configurer configurer,
+            Function<BalancerSpec, Map<String, String>> environment)
+            throws IOException {
         this.site = site;
         this.spec = spec;
         this.folder = folder;
@@ -87,15 +92,16 @@
         try {
             Path config = folder.resolve(spec.name() + ".json");
             Files.writeString(config, configurer.configuration(spec, listen, starts));
-            ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", "ulimit -n "
-                + site.scenario.balancers().descriptors() + "\n" + launch.command());
+            ProcessBuilder builder = new ProcessBuilder(
+                    "/bin/sh", "-c", "ulimit -n " + site.scenario.balancers().descriptors() + "\n" + launch.command());
             builder.directory(launch.folder().toFile());
             builder.environment().put("PROXY_NAME", spec.name());
             builder.environment().put("PROXY_LISTEN", Site.text(listen));
             builder.environment().put("PROXY_CONFIG", config.toAbsolutePath().toString());
             builder.environment().putAll(environment.apply(spec));
             builder.redirectErrorStream(true);
-            builder.redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve(spec.name() + ".log").toFile()));
+            builder.redirectOutput(ProcessBuilder.Redirect.appendTo(
+                    folder.resolve(spec.name() + ".log").toFile()));
             site.referee.started(spec.name());
             Process started = builder.start();
             process = started;
@@ -115,34 +121,38 @@
             onCrash.accept(spec.name() + " was not ready within " + START_LIMIT / 1_000_000 + " s; see its log");
             return;
         }
-        site.sockets.connect(listen, POLL * 40, new Link.Owner() {
-            private void again(Link link) {
-                link.close();
-                site.world.after(POLL, () -> poll(of, latest));
-            }
-
-            @Override
-            public void message(Link link, HttpMessage message) {
-                if (message.status() == 200 && of == process && !ending) {
-                    link.close();
-                    ready = true;
-                    onReady.accept(BalancerHost.this);
-                } else {
-                    again(link);
-                }
-            }
-
-            @Override
-            public void unreadable(Link link, String why) {
-                again(link);
-            }
-
-            @Override
-            public void closed(Link link, boolean reset, boolean midway) {
-                again(link);
-            }
-        }, link -> link.write(HttpMessage.bytes("GET /ready HTTP/1.1", "Host: a\r\n", new byte[0])),
-            () -> site.world.after(POLL, () -> poll(of, latest)));
+        site.sockets.connect(
+                listen,
+                POLL * 40,
+                new Link.Owner() {
+                    private void again(Link link) {
+                        link.close();
+                        site.world.after(POLL, () -> poll(of, latest));
+                    }
+
+                    @Override
+                    public void message(Link link, HttpMessage message) {
+                        if (message.status() == 200 && of == process && !ending) {
+                            link.close();
+                            ready = true;
+                            onReady.accept(BalancerHost.this);
+                        } else {
+                            again(link);
+                        }
+                    }
+
+                    @Override
+                    public void unreadable(Link link, String why) {
+                        again(link);
+                    }
+
+                    @Override
+                    public void closed(Link link, boolean reset, boolean midway) {
+                        again(link);
+                    }
+                },
+                link -> link.write(HttpMessage.bytes("GET /ready HTTP/1.1", "Host: a\r\n", new byte[0])),
+                () -> site.world.after(POLL, () -> poll(of, latest)));
     }
 
     private void ended(Process which) {
--- a/lab/src/main/java/calicochute/lab/emulator/Caller.java
+++ b/lab/src/main/java/calicochute/lab/emulator/Caller.java
@@ -20,6 +20,7 @@
     private static final long ANSWER_SLACK = 50_000;
     /** A balancer's close that crosses a request is seen within this time; then it is sent once more. */
     private static final long CROSSING = 50_000;
+
     private static final long CONNECT_TIMEOUT = 3_000_000;
     private static final byte[] BODY = "scan".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
     private final Site site;
@@ -30,7 +31,12 @@
     private final Deque<Link> idle = new ArrayDeque<>();
 
     /** How a call ended: with an answer, without a connection, with a broken one, or with its time. */
-    enum End { ANSWERED, UNREACHABLE, BROKEN, SILENT }
+    enum End {
+        ANSWERED,
+        UNREACHABLE,
+        BROKEN,
+        SILENT
+    }
 
     /** {@code retryAfter} in microseconds, 0 where none is said. */
     record Result(End end, int status, long retryAfter, String body) {
@@ -101,8 +107,12 @@
                 }
             }
             reused = false;
-            site.sockets.connect(address, Math.min(CONNECT_TIMEOUT, deadline - site.world.now() + ANSWER_SLACK),
-                Caller.this, this::opened, () -> finish(new Result(End.UNREACHABLE, 0, 0, "")));
+            site.sockets.connect(
+                    address,
+                    Math.min(CONNECT_TIMEOUT, deadline - site.world.now() + ANSWER_SLACK),
+                    Caller.this,
+                    this::opened,
+                    () -> finish(new Result(End.UNREACHABLE, 0, 0, "")));
         }
 
         private void opened(Link fresh) {
@@ -125,9 +135,13 @@
             RequestClass c = site.classOf(request.root());
             boolean get = c.effect() == Effect.REPEATABLE;
             String fields = "Host: service.internal\r\nX-Txn: " + request.id() + "\r\nX-Lane: " + c.name()
-                + "\r\nX-Org: " + site.scenario.tenants().get(request.root().arrival.tenant()).name()
-                + "\r\nX-Remaining-Ms: " + Math.max(0, (deadline - writtenAt) / 1000) + "\r\n"
-                + (again ? "X-Resent: 1\r\n" : "") + (key == null ? "" : "Idempotency-Key: " + key + "\r\n");
+                    + "\r\nX-Org: "
+                    + site.scenario
+                            .tenants()
+                            .get(request.root().arrival.tenant())
+                            .name()
+                    + "\r\nX-Remaining-Ms: " + Math.max(0, (deadline - writtenAt) / 1000) + "\r\n"
+                    + (again ? "X-Resent: 1\r\n" : "") + (key == null ? "" : "Idempotency-Key: " + key + "\r\n");
             if (!taken) {
                 taken = true;
                 site.referee.taken(writtenAt, request.id(), balancer.name(), site.rule(request.root()), deadline);
@@ -136,8 +150,10 @@
                 closed();
                 return;
             }
-            link.write(HttpMessage.bytes((get ? "GET" : "POST") + " /api?n=" + request.root().arrival.number()
-                + " HTTP/1.1", fields, get ? new byte[0] : BODY));
+            link.write(HttpMessage.bytes(
+                    (get ? "GET" : "POST") + " /api?n=" + request.root().arrival.number() + " HTTP/1.1",
+                    fields,
+                    get ? new byte[0] : BODY));
         }
 
         void answered(HttpMessage answer) {
--- a/lab/src/main/java/calicochute/lab/emulator/ClientHost.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ClientHost.java
@@ -37,9 +37,15 @@
 
     /** The front takes a balancer in. */
     void takeIn(BalancerHost balancer) {
-        front.get(balancer.spec().zone()).put(balancer.spec().name(), new Caller(site, balancer.spec(),
-            balancer.address(), site.scenario.zones().client().micros(),
-            Math.max(8, site.scenario.balancers().descriptors() / 3)));
+        front.get(balancer.spec().zone())
+                .put(
+                        balancer.spec().name(),
+                        new Caller(
+                                site,
+                                balancer.spec(),
+                                balancer.address(),
+                                site.scenario.zones().client().micros(),
+                                Math.max(8, site.scenario.balancers().descriptors() / 3)));
     }
 
     /** The front has noticed that a balancer is gone. */
@@ -61,7 +67,8 @@
             if (index + 1 < arrivals.size()) {
                 next(arrivals, index + 1, start);
             }
-            Root root = new Root(arrival, start + arrival.at(), site.scenario.tiers().size());
+            Root root = new Root(
+                    arrival, start + arrival.at(), site.scenario.tiers().size());
             roots.add(root);
             open++;
             tryOnce(root, false);
@@ -79,8 +86,9 @@
 
     /** The key of a keyed request, the same for all its tries and calls. */
     static String key(Site site, Root root) {
-        return site.classOf(root).effect() == Effect.KEYED ? String.format("%016x%08x", site.streams.seed(),
-            root.arrival.number()) : null;
+        return site.classOf(root).effect() == Effect.KEYED
+                ? String.format("%016x%08x", site.streams.seed(), root.arrival.number())
+                : null;
     }
 
     private void tryOnce(Root root, boolean again) {
@@ -101,15 +109,17 @@
 
     /** Those of the client's zone, else any. */
     private List<Caller> balancers(int zone) {
-        List<Caller> near = List.copyOf(front.get(site.scenario.zones().names().get(zone)).values());
-        return !near.isEmpty() ? near : front.values().stream().flatMap(m -> m.values().stream()).toList();
+        List<Caller> near =
+                List.copyOf(front.get(site.scenario.zones().names().get(zone)).values());
+        return !near.isEmpty()
+                ? near
+                : front.values().stream().flatMap(m -> m.values().stream()).toList();
     }
 
     private void ended(Root root, Caller.Result result) {
         long now = site.world.now();
         if (result != null && result.served()) {
-            Root.End end = now - root.plannedAt <= site.classOf(root).aim().micros() ? Root.End.SERVED
-                : Root.End.LATE;
+            Root.End end = now - root.plannedAt <= site.classOf(root).aim().micros() ? Root.End.SERVED : Root.End.LATE;
             root.workUsed = root.workDone;
             close(root, end, now);
             return;
@@ -121,8 +131,14 @@
             site.world.after(pause, () -> tryOnce(root, true));
             return;
         }
-        close(root, result == null || result.end() == Caller.End.UNREACHABLE ? Root.End.UNREACHABLE
-            : denied ? Root.End.DENIED : result.end() == Caller.End.SILENT ? Root.End.SILENT : Root.End.FAILED, now);
+        close(
+                root,
+                result == null || result.end() == Caller.End.UNREACHABLE
+                        ? Root.End.UNREACHABLE
+                        : denied
+                                ? Root.End.DENIED
+                                : result.end() == Caller.End.SILENT ? Root.End.SILENT : Root.End.FAILED,
+                now);
     }
 
     private boolean mayAsk(Root root, Caller.Result result, long when) {
@@ -134,7 +150,8 @@
             return true;
         }
         return c.effect() == Effect.REPEATABLE
-            || c.effect() == Effect.KEYED && when < root.plannedAt + c.window().micros();
+                || c.effect() == Effect.KEYED
+                        && when < root.plannedAt + c.window().micros();
     }
 
     private long pause(Root root, Caller.Result result) {
--- a/lab/src/main/java/calicochute/lab/emulator/DiscoveryHost.java
+++ b/lab/src/main/java/calicochute/lab/emulator/DiscoveryHost.java
@@ -36,9 +36,11 @@
 final class DiscoveryHost {
     /** A watch goes on if its next call comes within this time of the last answer. */
     private static final long CONTINUES = 200_000;
+
     private static final long LONGEST_WATCH_MS = 60_000;
     /** What there is to tell counts as told after this time at the latest. */
     private static final long TOLD_AT_LATEST = 6_000_000;
+
     private static final Pattern WATCH = Pattern.compile("since=(\\d{1,18})");
     private static final Pattern TIMEOUT = Pattern.compile("timeout_ms=(\\d{1,9})");
     private final Site site;
@@ -127,8 +129,9 @@
             told(balancer, entry);
         }
         if (page.whole()) {
-            site.deployment.machines(balancer.tier()).stream().filter(m -> !named.contains(m.id()))
-                .forEach(m -> site.referee.toldLeaving(site.world.now(), balancer.name(), m.id()));
+            site.deployment.machines(balancer.tier()).stream()
+                    .filter(m -> !named.contains(m.id()))
+                    .forEach(m -> site.referee.toldLeaving(site.world.now(), balancer.name(), m.id()));
         }
     }
 
@@ -153,8 +156,7 @@
         Watch watch;
     }
 
-    private record Watch(long since, World.Alarm timeout) {
-    }
+    private record Watch(long since, World.Alarm timeout) {}
 
     /** Discovery as one balancer sees it. */
     private final class Window implements Link.Owner, Sockets.Acceptor {
@@ -249,9 +251,12 @@
             }
             ((Caller) link.mark).lastAnswerAt = site.world.now();
             told(balancer, page);
-            link.write(HttpMessage.answer(200, "Content-Type: application/json\r\n",
-                Settings.list(page, s -> DiscoveryHost.this.address.apply(s, balancer.zone())).toString()
-                    .getBytes(StandardCharsets.UTF_8)));
+            link.write(HttpMessage.answer(
+                    200,
+                    "Content-Type: application/json\r\n",
+                    Settings.list(page, s -> DiscoveryHost.this.address.apply(s, balancer.zone()))
+                            .toString()
+                            .getBytes(StandardCharsets.UTF_8)));
         }
 
         /** Something is new: whoever watches hears of it. */
--- a/lab/src/main/java/calicochute/lab/emulator/Emulation.java
+++ b/lab/src/main/java/calicochute/lab/emulator/Emulation.java
@@ -34,13 +34,16 @@
 public final class Emulation {
     /** A cold server falls over under more than this multiple of what it can do, within this span (microseconds). */
     static final double FALL_MULTIPLE = 3;
+
     static final long FALL_SPAN = 3_000_000;
     /** What a request beyond its tenant's share is worth, as a part of its class's worth. */
     public static final double OVER_SHARE_WORTH = 0.05;
+
     private static final long SECOND = 1_000_000;
     private static final long STOP_LIMIT_S = 15;
     /** Balancers that start at one time: more would share the cores until none is ready within its limit. */
     private static final int WAVE = 2 * Runtime.getRuntime().availableProcessors();
+
     private static final Pattern COUNTERS = Pattern.compile("INFO counters (.*)");
     private static final Pattern COUNTER = Pattern.compile("(\\w+) (\\d+)");
     private final Scenario scenario;
@@ -80,8 +83,7 @@
     }
 
     /** How balancers are started: a shell command, and the folder it is run in. */
-    public record Balancers(String command, Path folder) {
-    }
+    public record Balancers(String command, Path folder) {}
 
     /** Draws the run from its seed and opens all of the emulator's sockets; {@code work} takes files and logs. */
     public Emulation(Scenario scenario, long seed, Path work, Balancers start, Progress progress) throws IOException {
@@ -94,7 +96,8 @@
         arrivals = ArrivalPlan.draw(deployment, streams);
         troubles = TroublePlan.draw(deployment, streams);
         site = new Site(deployment, streams);
-        discovery = new DiscoveryHost(site, (server, zone) -> servers.get(server).address(zone));
+        discovery =
+                new DiscoveryHost(site, (server, zone) -> servers.get(server).address(zone));
         clients = new ClientHost(site, this::rootEnded);
         badClients = new BadClients(site);
         fleet = scenario.fleet() == null ? null : new FleetHost(site, folder);
@@ -107,9 +110,20 @@
         discovery.open();
         Settings settings = new Settings(site);
         for (BalancerSpec spec : deployment.balancers()) {
-            balancers.put(spec.name(), new BalancerHost(site, spec, folder, start, (s, listen, n) ->
-                settings.configuration(s, listen, discovery.at(s), streams.of("balancer " + s.name(), n).nextLong(),
-                    discovery.known(s)), s -> fleet == null ? Map.of() : fleet.environment(s)));
+            balancers.put(
+                    spec.name(),
+                    new BalancerHost(
+                            site,
+                            spec,
+                            folder,
+                            start,
+                            (s, listen, n) -> settings.configuration(
+                                    s,
+                                    listen,
+                                    discovery.at(s),
+                                    streams.of("balancer " + s.name(), n).nextLong(),
+                                    discovery.known(s)),
+                            s -> fleet == null ? Map.of() : fleet.environment(s)));
         }
     }
 
@@ -122,7 +136,7 @@
                 if (site.world.fault() != null) {
                     StackTraceElement[] trace = site.world.fault().getStackTrace();
                     ended = "the lab itself failed: " + site.world.fault()
-                        + (trace.length > 0 ? " at " + trace[0] : "");
+                            + (trace.length > 0 ? " at " + trace[0] : "");
                     break;
                 }
             }
@@ -207,8 +221,11 @@
         Thread sampler = new Thread(this::sampleBalancers, "sampler");
         sampler.setDaemon(true);
         sampler.start();
-        long longest = scenario.classes().stream().map(RequestClass::giveUp).mapToLong(t -> t.micros()).max()
-            .orElse(0);
+        long longest = scenario.classes().stream()
+                .map(RequestClass::giveUp)
+                .mapToLong(t -> t.micros())
+                .max()
+                .orElse(0);
         long length = scenario.length().micros();
         // The last of the clients', then the last call that a server made for one of them.
         site.world.at(startedAt + length, () -> awaitEnd(startedAt + length + 2 * longest + SECOND));
@@ -227,8 +244,8 @@
     }
 
     /**
-     * After the last arrival the run goes on until all is answered, in every tier: a server may wait for the tier behind it
-     * though its client has had an answer, and what a balancer owes it must not be cut off by the run's end.
+     * After the last arrival the run goes on until all is answered, in every tier: a server may wait for the tier
+     * behind it though its client has had an answer, and what a balancer owes it must not be cut off by the run's end.
      */
     private void awaitEnd(long latest) {
         site.closing = clients.open() == 0;
@@ -246,7 +263,7 @@
 
     private static long cpu() {
         return ((com.sun.management.OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean())
-            .getProcessCpuTime();
+                .getProcessCpuTime();
     }
 
     private void sample() {
@@ -256,9 +273,16 @@
         long at = site.world.now() - startedAt;
         for (ServerHost server : servers.values()) {
             long[] last = lastCounts.computeIfAbsent(server.spec().id(), s -> new long[2]);
-            serverSamples.add(new ServerSample(at, server.spec().id(), server.spec().tier(), server.model().inWork(),
-                server.model().inQueue(), server.dispatches() - last[0], server.turnedAway() - last[1],
-                server.up() ? server.model().capacityShare(site.world.now()) : 0, server.model().sluggish()));
+            serverSamples.add(new ServerSample(
+                    at,
+                    server.spec().id(),
+                    server.spec().tier(),
+                    server.model().inWork(),
+                    server.model().inQueue(),
+                    server.dispatches() - last[0],
+                    server.turnedAway() - last[1],
+                    server.up() ? server.model().capacityShare(site.world.now()) : 0,
+                    server.model().sluggish()));
             last[0] = server.dispatches();
             last[1] = server.turnedAway();
         }
@@ -299,8 +323,10 @@
             for (BalancerHost.Sample s : balancer.samples()) {
                 // A restarted process counts from nothing.
                 if (last != null && s.at() > last.at() && s.cpuSeconds() >= last.cpuSeconds()) {
-                    samples.add(new BalancerSample(s.at() - startedAt,
-                        (s.cpuSeconds() - last.cpuSeconds()) * 1e6 / (s.at() - last.at()), s.resident()));
+                    samples.add(new BalancerSample(
+                            s.at() - startedAt,
+                            (s.cpuSeconds() - last.cpuSeconds()) * 1e6 / (s.at() - last.at()),
+                            s.resident()));
                 }
                 last = s;
             }
@@ -309,22 +335,45 @@
         }
         double wall = wallAtEnd > startedAt ? wallAtEnd - startedAt : site.world.now() - startedAt;
         double labCpu = startedAt == 0 ? 0 : ((cpuAtEnd == 0 ? cpu() : cpuAtEnd) - cpuAtStart) / 1e3 / wall;
-        long probes = counters.values().stream().mapToLong(c -> c.getOrDefault("probes_sent", 0L)).sum();
+        long probes = counters.values().stream()
+                .mapToLong(c -> c.getOrDefault("probes_sent", 0L))
+                .sum();
         var late = site.world.lateness();
-        return new Outcome(site.deployment, seed, ended, startedAt, scenario.length().micros(),
-            clients.roots().stream().filter(r -> r.arrival.at() >= 0).toList(), troubles, serverSamples, usage,
-            counters, site.referee.verdict(),
-            new long[] {late.getValueAtPercentile(50), late.getValueAtPercentile(99), late.getMaxValue()}, labCpu,
-            probes, site.referee.dispatches(), servers.values().stream().mapToLong(ServerHost::crossings).sum(),
-            new Outcome.BadClientCount(badClients.sent(), badClients.neglected(), badClients.served()),
-            fleet == null ? Map.of() : fleet.counts(), site.dispatches, coldStarts());
+        return new Outcome(
+                site.deployment,
+                seed,
+                ended,
+                startedAt,
+                scenario.length().micros(),
+                clients.roots().stream().filter(r -> r.arrival.at() >= 0).toList(),
+                troubles,
+                serverSamples,
+                usage,
+                counters,
+                site.referee.verdict(),
+                new long[] {late.getValueAtPercentile(50), late.getValueAtPercentile(99), late.getMaxValue()},
+                labCpu,
+                probes,
+                site.referee.dispatches(),
+                servers.values().stream().mapToLong(ServerHost::crossings).sum(),
+                new Outcome.BadClientCount(badClients.sent(), badClients.neglected(), badClients.served()),
+                fleet == null ? Map.of() : fleet.counts(),
+                site.dispatches,
+                coldStarts());
     }
 
     private Outcome.ColdStarts coldStarts() {
-        return new Outcome.ColdStarts(servers.values().stream().mapToInt(ServerHost::coldStarts).sum(),
-            servers.values().stream().mapToInt(s -> s.work().falls).sum(),
-            servers.values().stream().mapToDouble(s -> s.model().budget().worst()).max().orElse(0),
-            servers.values().stream().mapToDouble(s -> s.model().budget().worstInformed()).max().orElse(0));
+        return new Outcome.ColdStarts(
+                servers.values().stream().mapToInt(ServerHost::coldStarts).sum(),
+                servers.values().stream().mapToInt(s -> s.work().falls).sum(),
+                servers.values().stream()
+                        .mapToDouble(s -> s.model().budget().worst())
+                        .max()
+                        .orElse(0),
+                servers.values().stream()
+                        .mapToDouble(s -> s.model().budget().worstInformed())
+                        .max()
+                        .orElse(0));
     }
 
     /** The counters that a balancer printed at its ends, summed over its starts; none where it was killed. */
--- a/lab/src/main/java/calicochute/lab/emulator/FleetHost.java
+++ b/lab/src/main/java/calicochute/lab/emulator/FleetHost.java
@@ -45,22 +45,40 @@
             }
         }
         Scenario.Network n = fleet.network();
-        net = new Net(real, new Wire(real.size(), new Conditions(n.loss(), n.delay().micros(), n.repeat(), n.reorder()),
-            way -> site.streams.of("network", way)));
+        net = new Net(
+                real,
+                new Wire(
+                        real.size(),
+                        new Conditions(n.loss(), n.delay().micros(), n.repeat(), n.reorder()),
+                        way -> site.streams.of("network", way)));
     }
 
     /** Writes a balancer's file, and says how its process finds it. */
     Map<String, String> environment(BalancerSpec balancer) {
-        List<Integer> cluster = site.deployment.balancers().stream().filter(b -> b.tier() == balancer.tier())
-            .map(b -> numbers.get(b.name())).toList();
+        List<Integer> cluster = site.deployment.balancers().stream()
+                .filter(b -> b.tier() == balancer.tier())
+                .map(b -> numbers.get(b.name()))
+                .toList();
         try {
             String state = null;
             if (fleet.state()) {
-                state = Files.createDirectories(folder.resolve(balancer.name() + "-state")).toAbsolutePath().toString();
+                state = Files.createDirectories(folder.resolve(balancer.name() + "-state"))
+                        .toAbsolutePath()
+                        .toString();
             }
             Path file = folder.resolve(balancer.name() + ".yaml");
-            Files.writeString(file, FleetFile.of(site.scenario.tiers().get(balancer.tier()).name(), net,
-                numbers.get(balancer.name()), cluster, fleet.share(), fleet.bandit(), fleet.experiments(), state).yaml());
+            Files.writeString(
+                    file,
+                    FleetFile.of(
+                                    site.scenario.tiers().get(balancer.tier()).name(),
+                                    net,
+                                    numbers.get(balancer.name()),
+                                    cluster,
+                                    fleet.share(),
+                                    fleet.bandit(),
+                                    fleet.experiments(),
+                                    state)
+                            .yaml());
             return Map.of(FleetFile.VARIABLE, file.toAbsolutePath().toString());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
