--- a/lab/src/main/java/calicochute/lab/emulator/LoadReports.java
+++ b/lab/src/main/java/calicochute/lab/emulator/LoadReports.java
@@ -13,8 +13,7 @@
     private final UniformRandomProvider chance;
     private final Deque<Snapshot> snapshots = new ArrayDeque<>();
 
-    private record Snapshot(long at, int inflight, long taken) {
-    }
+    private record Snapshot(long at, int inflight, long taken) {}
 
     LoadReports(MachineSpec spec, UniformRandomProvider chance) {
         this.spec = spec;
@@ -40,7 +39,7 @@
         }
         double noise = 1 + 0.03 * (2 * chance.nextDouble() - 1);
         double rate = seen == null || before == null ? 0 : (seen.taken - before.taken) * 1e6 / (seen.at - before.at);
-        return String.format(Locale.ROOT, "rif=%.0f,rate=%.2f", seen == null ? 0 : seen.inflight * noise,
-            Math.max(0, rate * noise));
+        return String.format(
+                Locale.ROOT, "rif=%.0f,rate=%.2f", seen == null ? 0 : seen.inflight * noise, Math.max(0, rate * noise));
     }
 }
--- a/lab/src/main/java/calicochute/lab/emulator/OverheadRun.java
+++ b/lab/src/main/java/calicochute/lab/emulator/OverheadRun.java
@@ -58,13 +58,19 @@
      * One way's figures: latency in milliseconds, CPU in microseconds a request (of the process between, 0 for none),
      * resident memory in megabytes, and the most requests a second with that process on one core.
      */
-    public record Result(String route, long requests, long failed, double p50, double p99, double cpuMicros,
-                         double residentMb, double highestRate) {
-    }
+    public record Result(
+            String route,
+            long requests,
+            long failed,
+            double p50,
+            double p99,
+            double cpuMicros,
+            double residentMb,
+            double highestRate) {}
 
     /** @param relayCommand starts a relay when given its address and that of the server as two more arguments */
     public OverheadRun(Scenario scenario, Path folder, Emulation.Balancers start, List<String> relayCommand)
-        throws IOException {
+            throws IOException {
         Streams streams = new Streams(1);
         site = new Site(Deployment.draw(scenario, streams), streams);
         this.folder = Files.createDirectories(folder);
@@ -88,8 +94,13 @@
             site.world.start();
             BalancerSpec spec = site.deployment.balancers().get(0);
             Settings settings = new Settings(site);
-            balancer = new BalancerHost(site, spec, folder, start, (s, listen, n) ->
-                settings.configuration(s, listen, discovery.at(s), 1, discovery.known(s)), s -> java.util.Map.of());
+            balancer = new BalancerHost(
+                    site,
+                    spec,
+                    folder,
+                    start,
+                    (s, listen, n) -> settings.configuration(s, listen, discovery.at(s), 1, discovery.known(s)),
+                    s -> java.util.Map.of());
             CountDownLatch ready = new CountDownLatch(1);
             balancer.listeners(b -> ready.countDown(), why -> System.err.println(why));
             site.world.post(balancer::start);
@@ -101,8 +112,10 @@
             List<String> command = new ArrayList<>(relayCommand);
             command.add(Site.text(relay));
             command.add(Site.text(behind));
-            Process relaying = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(folder.resolve("relay.log").toFile()).start();
+            Process relaying = new ProcessBuilder(command)
+                    .redirectErrorStream(true)
+                    .redirectOutput(folder.resolve("relay.log").toFile())
+                    .start();
             processes.add(relaying);
             awaitListening(relay);
             routes.put("direct", new Route(caller(spec, behind), 0));
@@ -155,7 +168,10 @@
 
     private Request request() {
         Arrival arrival = new Arrival(numbers++, 0, 0, 0, 0, REQUEST_WORK, 1, List.of(0), 0, false, false);
-        return site.request(new Root(arrival, site.world.now(), 1), 0, site.deployment.balancers().get(0));
+        return site.request(
+                new Root(arrival, site.world.now(), 1),
+                0,
+                site.deployment.balancers().get(0));
     }
 
     private long patience() {
@@ -182,8 +198,15 @@
         }
     }
 
-    private void send(Route route, UniformRandomProvider times, double rate, long end, long at, boolean counts,
-                      long[] open, CountDownLatch over) {
+    private void send(
+            Route route,
+            UniformRandomProvider times,
+            double rate,
+            long end,
+            long at,
+            boolean counts,
+            long[] open,
+            CountDownLatch over) {
         long next = at + Math.round(Streams.exponential(times, 1e6 / rate));
         if (next >= end) {
             site.world.at(end, () -> awaitNone(open, over));
@@ -241,7 +264,11 @@
     private static boolean pin(long pid, int core) throws InterruptedException {
         try {
             return new ProcessBuilder("taskset", "-acp", Integer.toString(core), Long.toString(pid))
-                .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start().waitFor() == 0;
+                            .redirectErrorStream(true)
+                            .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                            .start()
+                            .waitFor()
+                    == 0;
         } catch (IOException e) {
             return false;
         }
@@ -249,9 +276,15 @@
 
     private List<Result> results() {
         List<Result> results = new ArrayList<>();
-        routes.forEach((name, r) -> results.add(new Result(name, r.sent, r.failed,
-            r.latency.getValueAtPercentile(50) / 1e3, r.latency.getValueAtPercentile(99) / 1e3,
-            r.sent == 0 ? 0 : r.cpu * 1e6 / r.sent, r.resident / 1e6, r.highest)));
+        routes.forEach((name, r) -> results.add(new Result(
+                name,
+                r.sent,
+                r.failed,
+                r.latency.getValueAtPercentile(50) / 1e3,
+                r.latency.getValueAtPercentile(99) / 1e3,
+                r.sent == 0 ? 0 : r.cpu * 1e6 / r.sent,
+                r.resident / 1e6,
+                r.highest)));
         return results;
     }
 }
--- a/lab/src/main/java/calicochute/lab/emulator/ProcessUsage.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ProcessUsage.java
@@ -15,7 +15,8 @@
         String stat = Files.readString(proc.resolve("stat"), StandardCharsets.US_ASCII);
         // The name before the last parenthesis may hold anything; the fields after it are utime and stime among others.
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return new ProcessUsage((Double.parseDouble(fields[11]) + Double.parseDouble(fields[12])) / TICKS_A_SECOND,
-            Long.parseLong(Files.readString(proc.resolve("statm")).split(" ")[1]) * PAGE);
+        return new ProcessUsage(
+                (Double.parseDouble(fields[11]) + Double.parseDouble(fields[12])) / TICKS_A_SECOND,
+                Long.parseLong(Files.readString(proc.resolve("statm")).split(" ")[1]) * PAGE);
     }
 }
--- a/lab/src/main/java/calicochute/lab/emulator/ServerDoor.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ServerDoor.java
@@ -17,6 +17,7 @@
     final String zone;
     /** One way from its callers, in microseconds. */
     final long delay;
+
     final Set<Link> links = new LinkedHashSet<>();
     private final ServerHost server;
     private final Site site;
--- a/lab/src/main/java/calicochute/lab/emulator/ServerHost.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ServerHost.java
@@ -25,6 +25,7 @@
     private final Informed informed;
     /** Open ones over all doors; counted on I/O threads too. */
     final AtomicInteger connections = new AtomicInteger();
+
     private boolean up;
     private boolean silent;
     private boolean stale;
@@ -41,9 +42,14 @@
         this.spec = spec;
         this.informed = informed;
         chance = site.streams.of("chance " + spec.id(), 0);
-        model = new ServerModel(spec, site.streams.of("noise " + spec.id(), 0), Emulation.FALL_MULTIPLE,
-            Emulation.FALL_SPAN, site.deployment.meanWork() * site.scenario.tiers().get(spec.tier()).work(),
-            site.world.now());
+        model = new ServerModel(
+                spec,
+                site.streams.of("noise " + spec.id(), 0),
+                Emulation.FALL_MULTIPLE,
+                Emulation.FALL_SPAN,
+                site.deployment.meanWork()
+                        * site.scenario.tiers().get(spec.tier()).work(),
+                site.world.now());
         work = new ServerWork(this, site, model, chance);
         for (String zone : site.scenario.zones().names()) {
             doors.put(zone, new ServerDoor(this, site, zone));
@@ -124,8 +130,8 @@
 
     /** Its way to the next tier from now on; null: none. */
     void callsThrough(BalancerHost balancer) {
-        work.callsThrough(balancer == null ? null
-            : new Caller(site, balancer.spec(), balancer.address(), 0, Integer.MAX_VALUE));
+        work.callsThrough(
+                balancer == null ? null : new Caller(site, balancer.spec(), balancer.address(), 0, Integer.MAX_VALUE));
     }
 
     /** The process dies: connections are reset, new ones refused. */
--- a/lab/src/main/java/calicochute/lab/emulator/ServerWork.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ServerWork.java
@@ -31,12 +31,14 @@
     private final List<Runnable> deferred = new ArrayList<>();
     /** Its way to the next tier; null in the last one, and while its balancer does not run. */
     private Caller next;
+
     private World.Alarm wake;
     private long wakeAt = Long.MAX_VALUE;
     private long lastJob;
     private boolean paused;
     /** The parts of requests whose connections are reset, and of answers that are spoilt. */
     double resets;
+
     double spoilt;
     long dispatches;
     long turnedAway;
@@ -147,8 +149,13 @@
         job.callsLeft = callsOn ? root.arrival.calls().get(spec.tier()) : 0;
         job.rest = job.callsLeft > 0 ? job.own / 2 : 0;
         double extra = fresh ? tier.kinds().get(0).handshake().micros() : 0;
-        Admission admission = model.offer(now, job.id, job.own - job.rest, job.own, extra,
-            server.informed(job.request.balancer().name()));
+        Admission admission = model.offer(
+                now,
+                job.id,
+                job.own - job.rest,
+                job.own,
+                extra,
+                server.informed(job.request.balancer().name()));
         switch (admission) {
             case TAKEN -> jobs.put(job.id, job);
             case TURNED_AWAY -> {
@@ -174,7 +181,8 @@
         pump();
         model.burn(site.world.now(), -(++lastJob), spec.kind().probeWork().micros());
         schedule();
-        byte[] answer = HttpMessage.answer(200, "", reports.text(site.world.now()).getBytes(StandardCharsets.US_ASCII));
+        byte[] answer =
+                HttpMessage.answer(200, "", reports.text(site.world.now()).getBytes(StandardCharsets.US_ASCII));
         site.world.after(door.delay, () -> link.write(answer));
     }
 
@@ -197,11 +205,13 @@
             wake.cancel();
         }
         wakeAt = at;
-        wake = at == Long.MAX_VALUE ? null : site.world.at(at, () -> {
-            wakeAt = Long.MAX_VALUE;
-            pump();
-            schedule();
-        });
+        wake = at == Long.MAX_VALUE
+                ? null
+                : site.world.at(at, () -> {
+                    wakeAt = Long.MAX_VALUE;
+                    pump();
+                    schedule();
+                });
     }
 
     private void pieceDone(ServerJob job) {
@@ -212,7 +222,8 @@
             callOn(job);
             return;
         }
-        boolean broken = spec.kind().errors() > 0 && chance.nextDouble() < spec.kind().errors();
+        boolean broken =
+                spec.kind().errors() > 0 && chance.nextDouble() < spec.kind().errors();
         end(job, broken ? 500 : 200);
     }
 
@@ -263,13 +274,15 @@
                 site.referee.neverRan(site.world.now(), job.dispatch);
                 job.link.write(HttpMessage.answer(503, "X-Turned-Away: 1\r\n", NONE));
             } else if (spoilt > 0 && chance.nextDouble() < spoilt) {
-                Spoilt.values()[chance.nextInt(Spoilt.values().length)].write(job.link, status,
-                    Referee.token(job.dispatch));
+                Spoilt.values()[chance.nextInt(Spoilt.values().length)].write(
+                        job.link, status, Referee.token(job.dispatch));
                 site.referee.ended(site.world.now(), job.dispatch);
             } else {
                 site.referee.ended(site.world.now(), job.dispatch);
-                job.link.write(HttpMessage.answer(status, "", status != 200 ? NONE
-                    : Referee.token(job.dispatch).getBytes(StandardCharsets.US_ASCII)));
+                job.link.write(HttpMessage.answer(
+                        status,
+                        "",
+                        status != 200 ? NONE : Referee.token(job.dispatch).getBytes(StandardCharsets.US_ASCII)));
             }
         });
     }
--- a/lab/src/main/java/calicochute/lab/emulator/Site.java
+++ b/lab/src/main/java/calicochute/lab/emulator/Site.java
@@ -35,11 +35,13 @@
     final Set<String> cutZones = new HashSet<>();
     /** Every dispatch that came to a server, by tier, in order. */
     final List<List<Dispatch>> dispatches = new ArrayList<>();
+
     private final Map<String, Integer> balancerNumbers = new HashMap<>();
     /** Requests of all tiers whose caller still waits, those of clients as well as those of servers. */
     int awaited;
     /** No client waits any more and none will: servers make no further calls. */
     boolean closing;
+
     private final UniformRandomProvider ids;
     private final byte[] network;
     private int lastHost;
@@ -61,8 +63,9 @@
     InetAddress nextAddress() {
         lastHost++;
         try {
-            return InetAddress.getByAddress(new byte[] {network[0], (byte) (network[1] + lastHost / 250), network[2],
-                (byte) (1 + lastHost % 250)});
+            return InetAddress.getByAddress(new byte[] {
+                network[0], (byte) (network[1] + lastHost / 250), network[2], (byte) (1 + lastHost % 250)
+            });
         } catch (UnknownHostException e) {
             throw new IllegalStateException(e);
         }
@@ -89,8 +92,9 @@
 
     /** Notes a dispatch; {@code first} where the balancer had not sent the request before. */
     void sent(long at, Request request, int server, boolean first) {
-        dispatches.get(request.tier()).add(new Dispatch(at, balancerNumbers.get(request.balancer().name()), server,
-            first));
+        dispatches
+                .get(request.tier())
+                .add(new Dispatch(at, balancerNumbers.get(request.balancer().name()), server, first));
     }
 
     RequestClass classOf(Root root) {
--- a/lab/src/main/java/calicochute/lab/emulator/Spoilt.java
+++ b/lab/src/main/java/calicochute/lab/emulator/Spoilt.java
@@ -21,8 +21,8 @@
     TWO_LENGTHS {
         @Override
         void write(Link link, int status, String token) {
-            link.write(bytes("HTTP/1.1 200 -\r\nContent-Length: 3\r\nContent-Length: " + token.length() + "\r\n\r\n"
-                + token));
+            link.write(bytes(
+                    "HTTP/1.1 200 -\r\nContent-Length: 3\r\nContent-Length: " + token.length() + "\r\n\r\n" + token));
         }
     },
     ENDLESS_HEAD {
--- a/lab/src/main/java/calicochute/lab/emulator/Troubles.java
+++ b/lab/src/main/java/calicochute/lab/emulator/Troubles.java
@@ -14,6 +14,7 @@
 final class Troubles {
     /** A draining process serves on for this long before it ends. */
     private static final long DRAIN_FOR = 4_500_000;
+
     private static final long FRONT_KEEPS = 300_000;
     private final Site site;
     private final Map<String, ServerHost> servers;
@@ -24,8 +25,14 @@
     /** Null where balancers don't talk to each other. */
     private final FleetHost fleet;
 
-    Troubles(Site site, Map<String, ServerHost> servers, Map<String, BalancerHost> balancers,
-             DiscoveryHost discovery, ClientHost clients, BadClients badClients, FleetHost fleet) {
+    Troubles(
+            Site site,
+            Map<String, ServerHost> servers,
+            Map<String, BalancerHost> balancers,
+            DiscoveryHost discovery,
+            ClientHost clients,
+            BadClients badClients,
+            FleetHost fleet) {
         this.site = site;
         this.servers = servers;
         this.balancers = balancers;
@@ -53,7 +60,9 @@
                 case DRAIN -> {
                     for (int i = 0; i < plan.victims().size(); i++) {
                         ServerHost server = servers.get(plan.victims().get(i));
-                        world.at(from + i * trouble.every().micros(), () -> drain(server, trouble.lasts().micros()));
+                        world.at(
+                                from + i * trouble.every().micros(),
+                                () -> drain(server, trouble.lasts().micros()));
                     }
                 }
                 case ZONE_CUT -> {
@@ -65,12 +74,12 @@
                     world.at(to, () -> discovery.down(false));
                 }
                 case BALANCER_KILL -> plan.victims().forEach(b -> world.at(from, () -> kill(balancers.get(b), to)));
-                case BALANCER_RESTART -> plan.victims().forEach(b ->
-                    world.at(from, () -> restart(balancers.get(b))));
-                case BALANCER_PAUSE -> plan.victims().forEach(b -> {
-                    world.at(from, () -> pause(balancers.get(b)));
-                    world.at(to, () -> resume(balancers.get(b)));
-                });
+                case BALANCER_RESTART -> plan.victims().forEach(b -> world.at(from, () -> restart(balancers.get(b))));
+                case BALANCER_PAUSE ->
+                    plan.victims().forEach(b -> {
+                        world.at(from, () -> pause(balancers.get(b)));
+                        world.at(to, () -> resume(balancers.get(b)));
+                    });
                 case NET_LOSS, NET_DELAY, NET_CUT, NET_SPLIT, NET_SLOW_PEER -> {
                     Fault fault = fleet.fault(plan);
                     world.at(from, () -> fleet.begin(fault));
@@ -111,7 +120,10 @@
     }
 
     private BalancerHost own(MachineSpec machine) {
-        return balancers.values().stream().filter(b -> machine.id().equals(b.spec().owner())).findFirst().orElse(null);
+        return balancers.values().stream()
+                .filter(b -> machine.id().equals(b.spec().owner()))
+                .findFirst()
+                .orElse(null);
     }
 
     void crash(ServerHost server) {
@@ -123,7 +135,7 @@
         BalancerHost own = own(server.spec());
         if (own != null) {
             server.callsThrough(null);
-            own.kill(() -> { });
+            own.kill(() -> {});
         }
     }
 
@@ -133,10 +145,12 @@
             up(server);
             return;
         }
-        own.listeners(b -> {
-            server.callsThrough(b);
-            up(server);
-        }, crash);
+        own.listeners(
+                b -> {
+                    server.callsThrough(b);
+                    up(server);
+                },
+                crash);
         own.start();
     }
 
@@ -166,7 +180,7 @@
     }
 
     private void kill(BalancerHost balancer, long until) {
-        balancer.kill(() -> { });
+        balancer.kill(() -> {});
         site.world.after(site.scenario.clients().notice().micros(), () -> clients.leaveOut(balancer));
         site.world.at(until, balancer::start);
     }
@@ -199,15 +213,18 @@
         if (site.world.now() >= to) {
             return;
         }
-        List<BalancerHost> ready = balancers.values().stream().filter(b -> b.spec().tier() == 0 && b.ready()).toList();
+        List<BalancerHost> ready = balancers.values().stream()
+                .filter(b -> b.spec().tier() == 0 && b.ready())
+                .toList();
         if (!ready.isEmpty()) {
             badClients.send(ready.get(index % ready.size()).address());
         }
-        site.world.at(from + Math.round((index + 1) * 1e6 / trouble.rate().perSecond()),
-            () -> badClients(trouble, from, to, index + 1));
+        site.world.at(
+                from + Math.round((index + 1) * 1e6 / trouble.rate().perSecond()),
+                () -> badClients(trouble, from, to, index + 1));
     }
 
-    private Consumer<String> crash = why -> { };
+    private Consumer<String> crash = why -> {};
 
     /** Who hears of a balancer that ended by itself. */
     void onCrash(Consumer<String> listener) {
--- a/lab/src/main/java/calicochute/lab/evenness/Chance.java
+++ b/lab/src/main/java/calicochute/lab/evenness/Chance.java
@@ -11,13 +11,13 @@
 final class Chance {
     /** How often it is played, and the means taken; fewer times where that many picks would be too many to hold. */
     static final int ROUNDS = 20;
+
     private static final int MOST_PICKS = 4_000_000;
 
-    private Chance() {
-    }
+    private Chance() {}
 
-    static List<List<Dispatch>> play(List<Server> servers, List<Dispatch> arrivals, Room room,
-                                     UniformRandomProvider from) {
+    static List<List<Dispatch>> play(
+            List<Server> servers, List<Dispatch> arrivals, Room room, UniformRandomProvider from) {
         Map<BitSet, double[]> sums = new HashMap<>();
         List<List<Dispatch>> rounds = new ArrayList<>();
         int play = Math.max(1, Math.min(ROUNDS, MOST_PICKS / Math.max(1, arrivals.size())));
--- a/lab/src/main/java/calicochute/lab/evenness/Evenness.java
+++ b/lab/src/main/java/calicochute/lab/evenness/Evenness.java
@@ -17,44 +17,50 @@
  * @param phases of the run between the edges of troubles, with what the unevenness is made of
  * @param herd the most balancers that sent to one server within 100 ms, and so by chance
  */
-public record Evenness(String tier, List<Window> windows, List<Phase> phases, int herd, double herdByChance,
-                       List<Sick> sick) {
+public record Evenness(
+        String tier, List<Window> windows, List<Phase> phases, int herd, double herdByChance, List<Sick> sick) {
     private static final long SECOND = 1_000_000;
     private static final long WINDOW = 10 * SECOND;
     /** A phase counts from so long after a trouble's edge: before, what is learnt is that there is one. */
     private static final long SETTLED = 2 * SECOND;
 
     /** Dispatches by capacity. */
-    public record Window(double from, double to, int servers, int dispatches, Load load, Load byChance) {
-    }
+    public record Window(double from, double to, int servers, int dispatches, Load load, Load byChance) {}
 
     /**
      * A phase and its parts. {@code power} is that of capacity which dispatches follow best; {@code noise} the spread
      * that independent picks alone have (Poisson).
      */
-    public record Phase(double from, double to, int servers, int dispatches, double power, double noise,
-                        List<Part> parts) {
-    }
+    public record Phase(
+            double from, double to, int servers, int dispatches, double power, double noise, List<Part> parts) {}
 
     /** The load against one expectation, and the same for picks by chance. */
-    public record Part(String against, Load load, Load byChance) {
-    }
+    public record Part(String against, Load load, Load byChance) {}
 
-    /** @param dispatches in the order of their times, microseconds from the run's start; negative ones are the lead-in's */
-    public static Evenness of(String tier, List<Server> servers, List<Dispatch> dispatches, Room room, long length,
-                              List<Sick.Trouble> troubles, UniformRandomProvider chance) {
+    /**
+     * @param dispatches in the order of their times, microseconds from the run's start; negative ones are the lead-in's
+     */
+    public static Evenness of(
+            String tier,
+            List<Server> servers,
+            List<Dispatch> dispatches,
+            Room room,
+            long length,
+            List<Sick.Trouble> troubles,
+            UniformRandomProvider chance) {
         List<List<Dispatch>> rounds = Chance.play(servers, dispatches, room, chance);
         List<Window> windows = new ArrayList<>();
         long span = Math.min(WINDOW, length);
         int[][] own = bySecond(servers.size(), dispatches, length);
-        List<int[][]> byChance = rounds.stream().map(r -> bySecond(servers.size(), r, length)).toList();
+        List<int[][]> byChance =
+                rounds.stream().map(r -> bySecond(servers.size(), r, length)).toList();
         for (long from = 0; from + span <= length; from += SECOND) {
             windows.add(window(servers, own, byChance, room, from, from + span));
         }
         List<Phase> phases = new ArrayList<>();
         Set<Long> edges = new TreeSet<>(Set.of(0L, length));
-        troubles.forEach(t -> edges.addAll(new LinkedHashSet<>(List.of(Math.min(length, t.from()),
-            Math.min(length, t.to())))));
+        troubles.forEach(t ->
+                edges.addAll(new LinkedHashSet<>(List.of(Math.min(length, t.from()), Math.min(length, t.to())))));
         Long last = null;
         for (long edge : edges) {
             if (last != null && edge - last >= 2 * SETTLED) {
@@ -62,9 +68,15 @@
             }
             last = edge;
         }
-        return new Evenness(tier, windows, phases, Herd.most(dispatches),
-            rounds.stream().mapToInt(Herd::most).average().orElse(0),
-            troubles.stream().map(t -> Sick.of(t, servers, dispatches, length)).toList());
+        return new Evenness(
+                tier,
+                windows,
+                phases,
+                Herd.most(dispatches),
+                rounds.stream().mapToInt(Herd::most).average().orElse(0),
+                troubles.stream()
+                        .map(t -> Sick.of(t, servers, dispatches, length))
+                        .toList());
     }
 
     private static List<Dispatch> within(List<Dispatch> dispatches, long from, long to) {
@@ -92,28 +104,46 @@
         return sum;
     }
 
-    private static Window window(List<Server> servers, int[][] own, List<int[][]> rounds, Room room, long from, long to) {
+    private static Window window(
+            List<Server> servers, int[][] own, List<int[][]> rounds, Room room, long from, long to) {
         BitSet with = room.all(from, to);
         double[] capacities = Parts.capacities(servers);
         int[] seen = sum(own, from, to);
-        Load byChance = Load.mean(rounds.stream().map(r -> Load.of(sum(r, from, to), capacities, with)).toList());
-        return new Window(from / 1e6, to / 1e6, with.cardinality(), with.stream().map(s -> seen[s]).sum(),
-            Load.of(seen, capacities, with), byChance);
+        Load byChance = Load.mean(rounds.stream()
+                .map(r -> Load.of(sum(r, from, to), capacities, with))
+                .toList());
+        return new Window(
+                from / 1e6,
+                to / 1e6,
+                with.cardinality(),
+                with.stream().map(s -> seen[s]).sum(),
+                Load.of(seen, capacities, with),
+                byChance);
     }
 
-    private static Phase phase(List<Server> servers, List<Dispatch> all, List<List<Dispatch>> rounds, Room room,
-                               long from, long to) {
+    private static Phase phase(
+            List<Server> servers, List<Dispatch> all, List<List<Dispatch>> rounds, Room room, long from, long to) {
         BitSet with = room.all(from, to);
         List<Dispatch> here = within(all, from, to);
         Parts own = new Parts(servers, with, here, all);
-        List<Parts> byChance = rounds.stream().map(r -> new Parts(servers, with, within(r, from, to), r)).toList();
+        List<Parts> byChance = rounds.stream()
+                .map(r -> new Parts(servers, with, within(r, from, to), r))
+                .toList();
         List<Part> parts = new ArrayList<>();
         for (Parts.Against against : Parts.Against.values()) {
-            parts.add(new Part(against.words(), own.load(against),
-                Load.mean(byChance.stream().map(p -> p.load(against)).toList())));
+            parts.add(new Part(
+                    against.words(),
+                    own.load(against),
+                    Load.mean(byChance.stream().map(p -> p.load(against)).toList())));
         }
         int sent = (int) here.stream().filter(d -> with.get(d.server())).count();
-        return new Phase(from / 1e6, to / 1e6, with.cardinality(), sent, own.power(),
-            sent == 0 ? 0 : Math.sqrt((double) with.cardinality() / sent), parts);
+        return new Phase(
+                from / 1e6,
+                to / 1e6,
+                with.cardinality(),
+                sent,
+                own.power(),
+                sent == 0 ? 0 : Math.sqrt((double) with.cardinality() / sent),
+                parts);
     }
 }
--- a/lab/src/main/java/calicochute/lab/evenness/Herd.java
+++ b/lab/src/main/java/calicochute/lab/evenness/Herd.java
@@ -11,8 +11,7 @@
     /** That time, in microseconds. */
     public static final long WITHIN = 100_000;
 
-    private Herd() {
-    }
+    private Herd() {}
 
     private static final class At {
         final Deque<Dispatch> recent = new ArrayDeque<>();
--- a/lab/src/main/java/calicochute/lab/evenness/Load.java
+++ b/lab/src/main/java/calicochute/lab/evenness/Load.java
@@ -36,8 +36,9 @@
 
     /** The mean of several, each figure for itself. */
     static Load mean(java.util.List<Load> loads) {
-        return new Load(loads.stream().mapToDouble(Load::most).average().orElse(1),
-            loads.stream().mapToDouble(Load::least).average().orElse(1),
-            loads.stream().mapToDouble(Load::spread).average().orElse(0));
+        return new Load(
+                loads.stream().mapToDouble(Load::most).average().orElse(1),
+                loads.stream().mapToDouble(Load::least).average().orElse(1),
+                loads.stream().mapToDouble(Load::spread).average().orElse(0));
     }
 }
--- a/lab/src/main/java/calicochute/lab/evenness/Parts.java
+++ b/lab/src/main/java/calicochute/lab/evenness/Parts.java
@@ -52,7 +52,8 @@
         this.room = room;
         this.dispatches = dispatches.stream().filter(d -> room.get(d.server())).toList();
         used = new HashMap<>();
-        whole.forEach(d -> used.computeIfAbsent(d.balancer(), b -> new HashSet<>()).add(d.server()));
+        whole.forEach(
+                d -> used.computeIfAbsent(d.balancer(), b -> new HashSet<>()).add(d.server()));
         seen = counts(servers.size(), this.dispatches);
     }
 
@@ -67,14 +68,17 @@
     }
 
     Load load(Against against) {
-        return Load.of(seen, switch (against) {
-            case ALIKE -> servers.stream().mapToDouble(s -> 1).toArray();
-            case CAPACITY -> capacities(servers);
-            case POWER -> powers(power());
-            case KIND -> within(Server::kind);
-            case GROUP -> within(s -> s.zone() + " " + s.kind());
-            case SUBSET -> subsets();
-        }, room);
+        return Load.of(
+                seen,
+                switch (against) {
+                    case ALIKE -> servers.stream().mapToDouble(s -> 1).toArray();
+                    case CAPACITY -> capacities(servers);
+                    case POWER -> powers(power());
+                    case KIND -> within(Server::kind);
+                    case GROUP -> within(s -> s.zone() + " " + s.kind());
+                    case SUBSET -> subsets();
+                },
+                room);
     }
 
     private double[] powers(double power) {
@@ -84,7 +88,9 @@
     /** The power of capacity that dispatches follow: where their likelihood is greatest, by Newton's steps. */
     double power() {
         double n = dispatches.size();
-        double sum = dispatches.stream().mapToDouble(d -> Math.log(servers.get(d.server()).capacity())).sum();
+        double sum = dispatches.stream()
+                .mapToDouble(d -> Math.log(servers.get(d.server()).capacity()))
+                .sum();
         double power = 1;
         for (int step = 0; step < 50 && n > 0; step++) {
             double weights = 0;
@@ -125,12 +131,13 @@
         Function<Server, String> group = s -> s.zone() + " " + s.kind();
         Map<Integer, Map<String, Integer>> sent = new HashMap<>();
         dispatches.forEach(d -> sent.computeIfAbsent(d.balancer(), b -> new HashMap<>())
-            .merge(group.apply(servers.get(d.server())), 1, Integer::sum));
+                .merge(group.apply(servers.get(d.server())), 1, Integer::sum));
         double[] expected = new double[servers.size()];
         sent.forEach((balancer, groups) -> {
             Map<String, Double> capacity = new HashMap<>();
             List<Integer> usable = used.get(balancer).stream().filter(room::get).toList();
-            usable.forEach(i -> capacity.merge(group.apply(servers.get(i)), servers.get(i).capacity(), Double::sum));
+            usable.forEach(i ->
+                    capacity.merge(group.apply(servers.get(i)), servers.get(i).capacity(), Double::sum));
             for (int i : usable) {
                 String g = group.apply(servers.get(i));
                 expected[i] += groups.getOrDefault(g, 0) * servers.get(i).capacity() / capacity.get(g);
--- a/lab/src/main/java/calicochute/lab/experiment/Difference.java
+++ b/lab/src/main/java/calicochute/lab/experiment/Difference.java
@@ -24,8 +24,8 @@
      * The differences of the figures that both variants have. Each maps a seed to its runs' figures; where a seed was
      * played several times its runs are averaged first.
      */
-    public static List<Difference> of(Map<Long, List<Map<String, Double>>> base,
-                                      Map<Long, List<Map<String, Double>>> other) {
+    public static List<Difference> of(
+            Map<Long, List<Map<String, Double>>> base, Map<Long, List<Map<String, Double>>> other) {
         Set<Long> seeds = new TreeSet<>(base.keySet());
         seeds.retainAll(other.keySet());
         List<Difference> differences = new ArrayList<>();
@@ -45,15 +45,23 @@
             }
             if (paired.getN() > 0) {
                 double half = half(paired);
-                differences.add(new Difference(figure, (int) paired.getN(), paired.getMean(), first.getMean(),
-                    paired.getMean() - half, paired.getMean() + half));
+                differences.add(new Difference(
+                        figure,
+                        (int) paired.getN(),
+                        paired.getMean(),
+                        first.getMean(),
+                        paired.getMean() - half,
+                        paired.getMean() + half));
             }
         }
         return differences;
     }
 
     private static double mean(List<Map<String, Double>> runs, String figure) {
-        return runs.stream().mapToDouble(r -> r.getOrDefault(figure, Double.NaN)).average().orElse(Double.NaN);
+        return runs.stream()
+                .mapToDouble(r -> r.getOrDefault(figure, Double.NaN))
+                .average()
+                .orElse(Double.NaN);
     }
 
     private static double half(SummaryStatistics of) {
--- a/lab/src/main/java/calicochute/lab/experiment/Installation.java
+++ b/lab/src/main/java/calicochute/lab/experiment/Installation.java
@@ -11,8 +11,7 @@
 public final class Installation {
     private static final String DEPLOY = "deploy/balancer.toml";
 
-    private Installation() {
-    }
+    private Installation() {}
 
     /** The folder that the launcher names, else the nearest one upward that holds the deploy file. */
     public static Path root() throws IOException {
--- a/lab/src/main/java/calicochute/lab/experiment/Runner.java
+++ b/lab/src/main/java/calicochute/lab/experiment/Runner.java
@@ -37,15 +37,17 @@
         }
         Emulation emulation = new Emulation(scenario, seed, logs, balancers, progress);
         CountDownLatch written = new CountDownLatch(1);
-        Thread hook = new Thread(() -> {
-            emulation.abort("interrupted");
-            try {
-                written.await(LAST_WORDS_S, TimeUnit.SECONDS);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-            emulation.destroy();
-        }, "interrupted");
+        Thread hook = new Thread(
+                () -> {
+                    emulation.abort("interrupted");
+                    try {
+                        written.await(LAST_WORDS_S, TimeUnit.SECONDS);
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                    emulation.destroy();
+                },
+                "interrupted");
         Runtime.getRuntime().addShutdownHook(hook);
         try {
             RunResult result = Measured.of(emulation.run());
--- a/lab/src/main/java/calicochute/lab/experiment/Spread.java
+++ b/lab/src/main/java/calicochute/lab/experiment/Spread.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * How far a figure lies apart in several runs of the same incident. {@code share} is (highest - lowest) / median, 0 where
- * the median is 0.
+ * How far a figure lies apart in several runs of the same incident. {@code share} is (highest - lowest) / median, 0
+ * where the median is 0.
  */
 public record Spread(String figure, int runs, double lowest, double median, double highest) {
     public double share() {
@@ -19,7 +19,9 @@
     /** The spread of every figure that all the runs have. */
     public static List<Spread> of(List<RunResult> runs) {
         Map<String, List<Double>> values = new LinkedHashMap<>();
-        runs.forEach(r -> r.figures().forEach((name, v) -> values.computeIfAbsent(name, n -> new ArrayList<>()).add(v)));
+        runs.forEach(r -> r.figures()
+                .forEach((name, v) ->
+                        values.computeIfAbsent(name, n -> new ArrayList<>()).add(v)));
         List<Spread> spreads = new ArrayList<>();
         values.forEach((name, list) -> {
             if (list.size() == runs.size()) {
--- a/lab/src/main/java/calicochute/lab/experiment/Variant.java
+++ b/lab/src/main/java/calicochute/lab/experiment/Variant.java
@@ -21,7 +21,9 @@
             folders.add(folder);
         } else if (Files.isDirectory(folder)) {
             try (Stream<Path> inside = Files.list(folder)) {
-                inside.filter(f -> Files.isRegularFile(f.resolve("result.json"))).sorted().forEach(folders::add);
+                inside.filter(f -> Files.isRegularFile(f.resolve("result.json")))
+                        .sorted()
+                        .forEach(folders::add);
             }
         }
         if (folders.isEmpty()) {
@@ -46,7 +48,8 @@
     /** Figures by seed. */
     public Map<Long, List<Map<String, Double>>> bySeed() {
         Map<Long, List<Map<String, Double>>> seeds = new TreeMap<>();
-        runs.forEach(r -> seeds.computeIfAbsent(r.seed(), s -> new ArrayList<>()).add(r.figures()));
+        runs.forEach(
+                r -> seeds.computeIfAbsent(r.seed(), s -> new ArrayList<>()).add(r.figures()));
         return seeds;
     }
 }
--- a/lab/src/main/java/calicochute/lab/network/Conditions.java
+++ b/lab/src/main/java/calicochute/lab/network/Conditions.java
@@ -1,8 +1,8 @@
 package calicochute.lab.network;
 
 /**
- * What becomes of datagrams where nothing is wrong: the part lost, the time one way in microseconds, the part that comes
- * twice, and the part held back so that later ones overtake it.
+ * What becomes of datagrams where nothing is wrong: the part lost, the time one way in microseconds, the part that
+ * comes twice, and the part held back so that later ones overtake it.
  */
 public record Conditions(double loss, long delay, double repeat, double reorder) {
     /** Nothing is lost, late or out of order. */
--- a/lab/src/main/java/calicochute/lab/network/Net.java
+++ b/lab/src/main/java/calicochute/lab/network/Net.java
@@ -43,7 +43,17 @@
     private long sequence;
 
     /** What is counted, in datagrams. {@code UNSENT}: a socket of the lab's refused it. */
-    public enum Counted { TAKEN, DELIVERED, LOST, CUT, REPEATED, HELD, UNKNOWN, TOO_MANY, UNSENT }
+    public enum Counted {
+        TAKEN,
+        DELIVERED,
+        LOST,
+        CUT,
+        REPEATED,
+        HELD,
+        UNKNOWN,
+        TOO_MANY,
+        UNSENT
+    }
 
     private record Held(long at, long order, int from, int to, byte[] bytes) implements Comparable<Held> {
         @Override
@@ -90,15 +100,19 @@
                 DatagramChannel channel = DatagramChannel.open();
                 taken.add(channel);
                 real.add((InetSocketAddress) channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
-                    .getLocalAddress());
+                        .getLocalAddress());
             }
         } finally {
             for (DatagramChannel channel : taken) {
                 channel.close();
             }
         }
-        return new Net(real, new Wire(count, Conditions.CLEAN,
-            way -> RandomSource.XO_RO_SHI_RO_128_PP.create(new long[] {seed, way})));
+        return new Net(
+                real,
+                new Wire(
+                        count,
+                        Conditions.CLEAN,
+                        way -> RandomSource.XO_RO_SHI_RO_128_PP.create(new long[] {seed, way})));
     }
 
     /** Where a process listens itself; nobody else is told. */
@@ -137,8 +151,8 @@
 
     /** The part of all datagrams that is lost. */
     public void loss(double part) {
-        atOnce(() -> wire.usually(new Conditions(part, wire.usual().delay(), wire.usual().repeat(),
-            wire.usual().reorder())));
+        atOnce(() -> wire.usually(new Conditions(
+                part, wire.usual().delay(), wire.usual().repeat(), wire.usual().reorder())));
     }
 
     public void usually(Conditions conditions) {
@@ -265,7 +279,7 @@
             Held next = held.poll();
             try {
                 boolean sent = standIns.get(next.from).send(ByteBuffer.wrap(next.bytes), real.get(next.to)) > 0
-                    || next.bytes.length == 0;
+                        || next.bytes.length == 0;
                 add(sent ? Counted.DELIVERED : Counted.UNSENT);
             } catch (IOException e) {
                 add(Counted.UNSENT);
--- a/lab/src/main/java/calicochute/lab/network/Wire.java
+++ b/lab/src/main/java/calicochute/lab/network/Wire.java
@@ -13,23 +13,28 @@
 public final class Wire {
     /** A datagram held back is this much later, at least and at most, in microseconds: a few others overtake it. */
     static final long HELD_LEAST = 2_000;
+
     static final long HELD_MOST = 20_000;
     /** A second copy comes this much after the first one at most. */
     static final long REPEATED_WITHIN = 10_000;
+
     private final int balancers;
     private final LongFunction<UniformRandomProvider> chance;
     private final UniformRandomProvider[] ways;
     private final List<Fault> faults = new ArrayList<>();
     private Conditions usual;
 
-    /**
-     * What becomes of one: when each of its copies arrives (none: it does not), and why none does or what is odd.
-     */
-    public record Fate(List<Long> arrivals, Cause cause) {
-    }
+    /** What becomes of one: when each of its copies arrives (none: it does not), and why none does or what is odd. */
+    public record Fate(List<Long> arrivals, Cause cause) {}
 
     /** What was decided on a datagram. */
-    public enum Cause { PASSED, LOST, CUT, REPEATED, HELD }
+    public enum Cause {
+        PASSED,
+        LOST,
+        CUT,
+        REPEATED,
+        HELD
+    }
 
     /** @param chance a way's stream by its number, from * balancers + to */
     public Wire(int balancers, Conditions usual, LongFunction<UniformRandomProvider> chance) {
--- a/lab/src/main/java/calicochute/lab/plan/ArrivalPlan.java
+++ b/lab/src/main/java/calicochute/lab/plan/ArrivalPlan.java
@@ -45,8 +45,13 @@
             if (trouble.kind() == Trouble.Kind.JUMP && trouble.factor() > 1) {
                 double from = trouble.at().seconds();
                 double extra = mean * (trouble.factor() - 1);
-                process("jump " + i, from, Math.min(length, from + trouble.lasts().seconds()),
-                    extra * (1 + scenario.load().swing()), t -> extra * wave(t), all);
+                process(
+                        "jump " + i,
+                        from,
+                        Math.min(length, from + trouble.lasts().seconds()),
+                        extra * (1 + scenario.load().swing()),
+                        t -> extra * wave(t),
+                        all);
             }
         }
         all.sort(Comparator.comparingLong(Arrival::at));
@@ -58,11 +63,13 @@
     }
 
     /** A Poisson process of changing rate, by thinning one of the highest rate (Lewis and Shedler 1979). */
-    private void process(String name, double from, double to, double most, DoubleUnaryOperator rate, List<Arrival> into) {
+    private void process(
+            String name, double from, double to, double most, DoubleUnaryOperator rate, List<Arrival> into) {
         UniformRandomProvider times = streams.of("arrivals " + name, 0);
         int index = 0;
-        for (double t = from + Streams.exponential(times, 1 / most); t < to;
-             t += Streams.exponential(times, 1 / most)) {
+        for (double t = from + Streams.exponential(times, 1 / most);
+                t < to;
+                t += Streams.exponential(times, 1 / most)) {
             if (times.nextDouble() * most < rate.applyAsDouble(t)) {
                 into.add(arrival(streams.of("request " + name, index++), t));
             }
@@ -70,11 +77,15 @@
     }
 
     private Arrival arrival(UniformRandomProvider draw, double seconds) {
-        int classIndex = Streams.weighted(draw, scenario.classes().stream().mapToDouble(RequestClass::share)
-            .toArray());
+        int classIndex = Streams.weighted(
+                draw,
+                scenario.classes().stream().mapToDouble(RequestClass::share).toArray());
         RequestClass c = scenario.classes().get(classIndex);
-        int tenant = Streams.weighted(draw, scenario.tenants().stream().mapToDouble(t -> t.share() * t.usage())
-            .toArray());
+        int tenant = Streams.weighted(
+                draw,
+                scenario.tenants().stream()
+                        .mapToDouble(t -> t.share() * t.usage())
+                        .toArray());
         int zones = scenario.zones().names().size();
         double[] weights = new double[zones];
         for (int i = 0; i < zones; i++) {
@@ -88,8 +99,18 @@
             calls.add((int) Math.floor(wanted) + (draw.nextDouble() < wanted - Math.floor(wanted) ? 1 : 0));
         }
         double patience = scenario.clients().patience().at(draw.nextDouble());
-        return new Arrival(0, Math.round(seconds * 1e6), classIndex, tenant, zone, work, patience, List.copyOf(calls),
-            draw.nextDouble(), draw.nextDouble() < scenario.clients().honour(), false);
+        return new Arrival(
+                0,
+                Math.round(seconds * 1e6),
+                classIndex,
+                tenant,
+                zone,
+                work,
+                patience,
+                List.copyOf(calls),
+                draw.nextDouble(),
+                draw.nextDouble() < scenario.clients().honour(),
+                false);
     }
 
     /** Numbers the arrivals and marks those beyond their tenant's share of the second. */
@@ -103,9 +124,20 @@
                 second = Math.floorDiv(a.at(), 1_000_000L);
                 java.util.Arrays.fill(sent, 0);
             }
-            boolean over = ++sent[a.tenant()] > Math.ceil(allowed * scenario.tenants().get(a.tenant()).share());
-            marked.add(new Arrival(marked.size(), a.at(), a.classIndex(), a.tenant(), a.zone(), a.work(),
-                a.patience(), a.calls(), a.balancerDraw(), a.honours(), over));
+            boolean over = ++sent[a.tenant()]
+                    > Math.ceil(allowed * scenario.tenants().get(a.tenant()).share());
+            marked.add(new Arrival(
+                    marked.size(),
+                    a.at(),
+                    a.classIndex(),
+                    a.tenant(),
+                    a.zone(),
+                    a.work(),
+                    a.patience(),
+                    a.calls(),
+                    a.balancerDraw(),
+                    a.honours(),
+                    over));
         }
         return List.copyOf(marked);
     }
--- a/lab/src/main/java/calicochute/lab/plan/Deployment.java
+++ b/lab/src/main/java/calicochute/lab/plan/Deployment.java
@@ -33,10 +33,16 @@
                 UniformRandomProvider draw = streams.of("machine " + tier.name(), i);
                 Kind kind = kind(tier, i);
                 int zone = i % zones.size();
-                MachineSpec machine = new MachineSpec(tier.name() + "-" + i, t, i, zones.get(zone),
-                    zone * 1000 + i / zones.size() / CELL, kind, kind.speed().at(draw.nextDouble()),
-                    REPORT_EVERY_LEAST + draw.nextLong(REPORT_EVERY_SPAN),
-                    REPORT_DELAY_LEAST + draw.nextLong(REPORT_DELAY_SPAN));
+                MachineSpec machine = new MachineSpec(
+                        tier.name() + "-" + i,
+                        t,
+                        i,
+                        zones.get(zone),
+                        zone * 1000 + i / zones.size() / CELL,
+                        kind,
+                        kind.speed().at(draw.nextDouble()),
+                        REPORT_EVERY_LEAST + draw.nextLong(REPORT_EVERY_SPAN),
+                        REPORT_DELAY_LEAST + draw.nextLong(REPORT_DELAY_SPAN));
                 machines.add(machine);
                 if (t + 1 < scenario.tiers().size()) {
                     balancers.add(new BalancerSpec("b" + (t + 1) + "-" + i, t + 1, i, machine.zone(), machine.id()));
@@ -62,15 +68,22 @@
         return machines.stream().filter(m -> m.tier() == tier).toList();
     }
 
-    /** The nominal size that discovery tells: cores over the tier's mean, so 1 where all are alike; not the speed drawn. */
+    /**
+     * The nominal size that discovery tells: cores over the tier's mean, so 1 where all are alike; not the speed drawn.
+     */
     public double size(MachineSpec machine) {
-        return machine.kind().cores() / machines(machine.tier()).stream().mapToInt(m -> m.kind().cores()).average()
-            .orElseThrow();
+        return machine.kind().cores()
+                / machines(machine.tier()).stream()
+                        .mapToInt(m -> m.kind().cores())
+                        .average()
+                        .orElseThrow();
     }
 
     /** Mean work of a request, in microseconds of a core of speed 1, over all tiers. */
     public double meanWork() {
-        return scenario.classes().stream().mapToDouble(c -> c.share() * c.work().micros()).sum();
+        return scenario.classes().stream()
+                .mapToDouble(c -> c.share() * c.work().micros())
+                .sum();
     }
 
     /** First tries a second that the tier which runs out first can do, warm and undisturbed. */
@@ -79,7 +92,8 @@
         double least = Double.MAX_VALUE;
         for (int t = 0; t < scenario.tiers().size(); t++) {
             Tier tier = scenario.tiers().get(t);
-            double capacity = machines(t).stream().mapToDouble(MachineSpec::capacity).sum() * 1e6;
+            double capacity =
+                    machines(t).stream().mapToDouble(MachineSpec::capacity).sum() * 1e6;
             least = Math.min(least, capacity / (meanWork() * tier.work() * calls));
             calls *= Math.max(1, tier.calls().mean());
         }
@@ -88,8 +102,9 @@
 
     /** First tries a second, in the mean. */
     public double ratePerSecond() {
-        return scenario.load().rate() != null ? scenario.load().rate().perSecond()
-            : scenario.load().utilisation() * capacityPerSecond();
+        return scenario.load().rate() != null
+                ? scenario.load().rate().perSecond()
+                : scenario.load().utilisation() * capacityPerSecond();
     }
 
     /** What members may send in all, a second. */
@@ -99,6 +114,8 @@
 
     /** One-way time between two zones, in microseconds. */
     public long delay(String from, String to) {
-        return from.equals(to) ? scenario.zones().within().micros() : scenario.zones().across().micros();
+        return from.equals(to)
+                ? scenario.zones().within().micros()
+                : scenario.zones().across().micros();
     }
 }
--- a/lab/src/main/java/calicochute/lab/plan/TroublePlan.java
+++ b/lab/src/main/java/calicochute/lab/plan/TroublePlan.java
@@ -26,8 +26,8 @@
                 case ZONE -> List.of(trouble.zone());
                 case CLIENTS, DISCOVERY -> List.of();
             };
-            List<String> others = trouble.kind() != Trouble.Kind.NET_CUT ? List.of()
-                : others(deployment, trouble, victims, draw);
+            List<String> others =
+                    trouble.kind() != Trouble.Kind.NET_CUT ? List.of() : others(deployment, trouble, victims, draw);
             plans.add(new TroublePlan(trouble, trouble.at().micros(), end(trouble, victims.size()), victims, others));
         }
         return plans;
@@ -43,9 +43,11 @@
         while (!deployment.scenario().tiers().get(tier).name().equals(trouble.tier())) {
             tier++;
         }
-        List<String> ids = deployment.machines(tier).stream().map(MachineSpec::id).toList();
-        int count = trouble.servers() != null ? trouble.servers()
-            : (int) Math.max(1, Math.round(trouble.part() * ids.size()));
+        List<String> ids =
+                deployment.machines(tier).stream().map(MachineSpec::id).toList();
+        int count = trouble.servers() != null
+                ? trouble.servers()
+                : (int) Math.max(1, Math.round(trouble.part() * ids.size()));
         return some(ids, Math.min(count, ids.size()), draw);
     }
 
@@ -53,19 +55,24 @@
     private static List<String> candidates(Deployment deployment, Trouble trouble) {
         List<Scenario.Tier> tiers = deployment.scenario().tiers();
         boolean network = trouble.kind().target == Trouble.Target.NETWORK;
-        return deployment.balancers().stream().filter(b -> trouble.tier() == null ? network || b.tier() == 0
-            : tiers.get(b.tier()).name().equals(trouble.tier())).map(BalancerSpec::name).toList();
+        return deployment.balancers().stream()
+                .filter(b -> trouble.tier() == null
+                        ? network || b.tier() == 0
+                        : tiers.get(b.tier()).name().equals(trouble.tier()))
+                .map(BalancerSpec::name)
+                .toList();
     }
 
     private static List<String> balancers(Deployment deployment, Trouble trouble, UniformRandomProvider draw) {
         List<String> all = candidates(deployment, trouble);
-        int count = trouble.part() == null ? trouble.balancers()
-            : (int) Math.max(1, Math.round(trouble.part() * all.size()));
+        int count = trouble.part() == null
+                ? trouble.balancers()
+                : (int) Math.max(1, Math.round(trouble.part() * all.size()));
         return some(all, count, draw);
     }
 
-    private static List<String> others(Deployment deployment, Trouble trouble, List<String> victims,
-                                       UniformRandomProvider draw) {
+    private static List<String> others(
+            Deployment deployment, Trouble trouble, List<String> victims, UniformRandomProvider draw) {
         List<String> rest = new ArrayList<>(candidates(deployment, trouble));
         rest.removeAll(victims);
         return some(rest, trouble.others() == null ? rest.size() : Math.min(rest.size(), trouble.others()), draw);
--- a/lab/src/main/java/calicochute/lab/referee/Breach.java
+++ b/lab/src/main/java/calicochute/lab/referee/Breach.java
@@ -5,6 +5,6 @@
     @Override
     public String toString() {
         return rule + " balancer=" + balancer + (session.isEmpty() ? "" : " session=" + session)
-            + (server.isEmpty() ? "" : " server=" + server) + " at=" + at + " " + details;
+                + (server.isEmpty() ? "" : " server=" + server) + " at=" + at + " " + details;
     }
 }
--- a/lab/src/main/java/calicochute/lab/referee/Referee.java
+++ b/lab/src/main/java/calicochute/lab/referee/Referee.java
@@ -10,9 +10,9 @@
 import java.util.Set;
 
 /**
- * Decides from what passed on the sockets, and from nothing else, whether the rules were kept. It knows neither load nor
- * emulator: whoever stands at a socket tells it what came and went, with the time (Unix microseconds). Without I/O and
- * clock of its own. Each breach is noted once for a session and rule.
+ * Decides from what passed on the sockets, and from nothing else, whether the rules were kept. It knows neither load
+ * nor emulator: whoever stands at a socket tells it what came and went, with the time (Unix microseconds). Without I/O
+ * and clock of its own. Each breach is noted once for a session and rule.
  */
 public final class Referee {
     /**
@@ -20,6 +20,7 @@
      * only if the first's end is not seen within this time.
      */
     public static final long ORDER_TOLERANCE = 20_000;
+
     private final long drainGrace;
     private final Map<String, Session> sessions = new HashMap<>();
     private final Map<String, Map<String, Long>> told = new HashMap<>();
@@ -69,7 +70,8 @@
     /** A session was written whole to a balancer; the client waits until {@code deadline}. */
     public void taken(long at, String id, String balancer, ClassRule rule, long deadline) {
         Session session = new Session(id, balancer, rule, deadline);
-        // Its connections stay open until the system has taken the process down: what is written on them meanwhile is nobody's fault either.
+        // Its connections stay open until the system has taken the process down: what is written on them meanwhile is
+        // nobody's fault either.
         session.over = killed.contains(balancer);
         sessions.put(id, session);
     }
@@ -127,8 +129,10 @@
             breach(session, Rule.FORGED, "", at, "answer '" + token.substring(0, Math.min(60, token.length())) + "'");
         }
         if ((status == 429 || status == 503) && session.rule.effect() == Effect.ONCE) {
-            session.dispatches.stream().filter(d -> !d.neverRan).findFirst().ifPresent(d ->
-                breach(session, Rule.DENIED_AFTER_RUN, d.server, at, "dispatched at " + d.at));
+            session.dispatches.stream()
+                    .filter(d -> !d.neverRan)
+                    .findFirst()
+                    .ifPresent(d -> breach(session, Rule.DENIED_AFTER_RUN, d.server, at, "dispatched at " + d.at));
         }
     }
 
@@ -169,9 +173,11 @@
         if (since != null && firstByteAt > since + drainGrace) {
             breach(session, Rule.DRAINED, server, at, "told at " + since + ", sent at " + firstByteAt);
         }
-        Dispatch maybe = session.dispatches.stream().filter(d -> !d.neverRan).findFirst().orElse(null);
-        if (maybe != null && (session.rule.effect() == Effect.ONCE
-            || session.rule.effect() == Effect.KEYED && at > maybe.at + session.rule.window())) {
+        Dispatch maybe =
+                session.dispatches.stream().filter(d -> !d.neverRan).findFirst().orElse(null);
+        if (maybe != null
+                && (session.rule.effect() == Effect.ONCE
+                        || session.rule.effect() == Effect.KEYED && at > maybe.at + session.rule.window())) {
             breach(session, Rule.RAN_TWICE, server, at, "first sent to " + maybe.server + " at " + maybe.at);
         }
         session.dispatches.add(dispatch);
@@ -214,8 +220,8 @@
      */
     public void fellOver(long at, String server, double informed) {
         if (informed > 2.0 / 3) {
-            breaches.add(new Breach(Rule.PUSHED_OVER, "", "", server, at, "informed share "
-                + Math.round(informed * 100) + "%"));
+            breaches.add(new Breach(
+                    Rule.PUSHED_OVER, "", "", server, at, "informed share " + Math.round(informed * 100) + "%"));
         }
     }
 
@@ -232,8 +238,12 @@
             for (int i = 1; i < all.size(); i++) {
                 for (int j = 0; j < i; j++) {
                     if (all.get(j).endedAt > all.get(i).at + ORDER_TOLERANCE) {
-                        breach(session, Rule.TWO_AT_ONCE, all.get(i).server, all.get(i).at, "the one to "
-                            + all.get(j).server + " of " + all.get(j).at + " was still out");
+                        breach(
+                                session,
+                                Rule.TWO_AT_ONCE,
+                                all.get(i).server,
+                                all.get(i).at,
+                                "the one to " + all.get(j).server + " of " + all.get(j).at + " was still out");
                     }
                 }
             }
--- a/lab/src/main/java/calicochute/lab/relay/Relay.java
+++ b/lab/src/main/java/calicochute/lab/relay/Relay.java
@@ -39,39 +39,48 @@
     private static final Set<String> NOT_PASSED = Set.of("host", "connection", "content-length", "transfer-encoding");
     private static final int CONNECTIONS = 2000;
     private static final Timeout PATIENCE = Timeout.ofSeconds(10);
-    private static final IOReactorConfig ONE_THREAD = IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true)
-        .setBacklogSize(1024).setSoReuseAddress(true).build();
+    private static final IOReactorConfig ONE_THREAD = IOReactorConfig.custom()
+            .setIoThreadCount(1)
+            .setTcpNoDelay(true)
+            .setBacklogSize(1024)
+            .setSoReuseAddress(true)
+            .build();
 
-    private Relay() {
-    }
+    private Relay() {}
 
     /** Listens and relays until the process ends; returns once it listens. */
     public static void start(InetSocketAddress listen, InetSocketAddress to) throws Exception {
-        HttpAsyncRequester requester = AsyncRequesterBootstrap.bootstrap().setIOReactorConfig(ONE_THREAD)
-            .setMaxTotal(CONNECTIONS).setDefaultMaxPerRoute(CONNECTIONS).create();
+        HttpAsyncRequester requester = AsyncRequesterBootstrap.bootstrap()
+                .setIOReactorConfig(ONE_THREAD)
+                .setMaxTotal(CONNECTIONS)
+                .setDefaultMaxPerRoute(CONNECTIONS)
+                .create();
         requester.start();
         HttpHost host = new HttpHost("http", to.getAddress(), to.getHostString(), to.getPort());
-        HttpAsyncServer server = AsyncServerBootstrap.bootstrap().setIOReactorConfig(ONE_THREAD)
-            // Whatever host a request names: HttpCore's own router answers 421 for names that it was not told.
-            .setRequestRouter((request, context) ->
-                () -> new BasicServerExchangeHandler<>(new Handler(requester, host))).create();
+        HttpAsyncServer server = AsyncServerBootstrap.bootstrap()
+                .setIOReactorConfig(ONE_THREAD)
+                // Whatever host a request names: HttpCore's own router answers 421 for names that it was not told.
+                .setRequestRouter(
+                        (request, context) -> () -> new BasicServerExchangeHandler<>(new Handler(requester, host)))
+                .create();
         server.start();
         server.listen(listen, URIScheme.HTTP).get();
     }
 
     private record Handler(HttpAsyncRequester requester, HttpHost host)
-        implements AsyncServerRequestHandler<Message<HttpRequest, byte[]>> {
+            implements AsyncServerRequestHandler<Message<HttpRequest, byte[]>> {
         @Override
-        public AsyncRequestConsumer<Message<HttpRequest, byte[]>> prepare(HttpRequest request, EntityDetails entity,
-                                                                          HttpContext context) {
+        public AsyncRequestConsumer<Message<HttpRequest, byte[]>> prepare(
+                HttpRequest request, EntityDetails entity, HttpContext context) {
             return new BasicRequestConsumer<>(entity == null ? null : new BasicAsyncEntityConsumer());
         }
 
         @Override
         public void handle(Message<HttpRequest, byte[]> message, ResponseTrigger trigger, HttpContext context) {
             HttpRequest request = message.getHead();
-            AsyncRequestBuilder copy = AsyncRequestBuilder.create(request.getMethod()).setHttpHost(host)
-                .setPath(request.getPath());
+            AsyncRequestBuilder copy = AsyncRequestBuilder.create(request.getMethod())
+                    .setHttpHost(host)
+                    .setPath(request.getPath());
             for (Header header : request.getHeaders()) {
                 if (!NOT_PASSED.contains(header.getName().toLowerCase(Locale.ROOT))) {
                     copy.addHeader(header);
@@ -80,30 +89,39 @@
             if (message.getBody() != null) {
                 copy.setEntity(new BasicAsyncEntityProducer(message.getBody(), ContentType.APPLICATION_OCTET_STREAM));
             }
-            requester.execute(copy.build(), new BasicResponseConsumer<>(new BasicAsyncEntityConsumer()), PATIENCE,
-                new FutureCallback<Message<HttpResponse, byte[]>>() {
-                    @Override
-                    public void completed(Message<HttpResponse, byte[]> answer) {
-                        respond(trigger, context, answer.getHead().getCode(),
-                            answer.getBody() == null ? new byte[0] : answer.getBody());
-                    }
+            requester.execute(
+                    copy.build(),
+                    new BasicResponseConsumer<>(new BasicAsyncEntityConsumer()),
+                    PATIENCE,
+                    new FutureCallback<Message<HttpResponse, byte[]>>() {
+                        @Override
+                        public void completed(Message<HttpResponse, byte[]> answer) {
+                            respond(
+                                    trigger,
+                                    context,
+                                    answer.getHead().getCode(),
+                                    answer.getBody() == null ? new byte[0] : answer.getBody());
+                        }
 
-                    @Override
-                    public void failed(Exception cause) {
-                        respond(trigger, context, 502, new byte[0]);
-                    }
+                        @Override
+                        public void failed(Exception cause) {
+                            respond(trigger, context, 502, new byte[0]);
+                        }
 
-                    @Override
-                    public void cancelled() {
-                        respond(trigger, context, 502, new byte[0]);
-                    }
-                });
+                        @Override
+                        public void cancelled() {
+                            respond(trigger, context, 502, new byte[0]);
+                        }
+                    });
         }
 
         private static void respond(ResponseTrigger trigger, HttpContext context, int status, byte[] body) {
             try {
-                trigger.submitResponse(new BasicResponseProducer(new BasicHttpResponse(status),
-                    new BasicAsyncEntityProducer(body, ContentType.APPLICATION_OCTET_STREAM)), context);
+                trigger.submitResponse(
+                        new BasicResponseProducer(
+                                new BasicHttpResponse(status),
+                                new BasicAsyncEntityProducer(body, ContentType.APPLICATION_OCTET_STREAM)),
+                        context);
             } catch (IOException | org.apache.hc.core5.http.HttpException e) {
                 // The client has gone.
             }
--- a/lab/src/main/java/calicochute/lab/report/Charts.java
+++ b/lab/src/main/java/calicochute/lab/report/Charts.java
@@ -78,8 +78,8 @@
     private String lines(String yLabel, Map<String, XYSeries> series, Double top) {
         XYSeriesCollection data = new XYSeriesCollection();
         series.values().forEach(data::addSeries);
-        JFreeChart chart = ChartFactory.createXYLineChart(null, "seconds", yLabel, data, PlotOrientation.VERTICAL,
-            true, false, false);
+        JFreeChart chart = ChartFactory.createXYLineChart(
+                null, "seconds", yLabel, data, PlotOrientation.VERTICAL, true, false, false);
         XYPlot plot = chart.getXYPlot();
         style(plot);
         for (int i = 0; i < data.getSeriesCount(); i++) {
@@ -97,8 +97,9 @@
 
     String service() {
         Map<String, XYSeries> series = new LinkedHashMap<>();
-        result.seconds().forEach(s -> in(series, "service of requests first sent in the second")
-            .add(s.at() + 0.5, s.service()));
+        result.seconds()
+                .forEach(s -> in(series, "service of requests first sent in the second")
+                        .add(s.at() + 0.5, s.service()));
         return lines("share of worth served in time", series, 1.02);
     }
 
@@ -155,7 +156,8 @@
 
     /** One row a server, one block a second, the darker the more. */
     String servers(int tier, String label, ToDoubleFunction<ServerSecond> value) {
-        List<ServerSecond> samples = result.servers().stream().filter(s -> s.tier() == tier).toList();
+        List<ServerSecond> samples =
+                result.servers().stream().filter(s -> s.tier() == tier).toList();
         Set<String> names = new LinkedHashSet<>();
         samples.forEach(s -> names.add(s.server()));
         List<String> rows = List.copyOf(names);
@@ -193,7 +195,10 @@
     /** A line for each balancer; where there are many, the mean and the highest. */
     String balancers(String label, ToDoubleFunction<BalancerSecond> value) {
         Map<String, XYSeries> series = new LinkedHashMap<>();
-        long count = result.balancers().stream().map(BalancerSecond::balancer).distinct().count();
+        long count = result.balancers().stream()
+                .map(BalancerSecond::balancer)
+                .distinct()
+                .count();
         if (count <= LINES) {
             result.balancers().forEach(b -> in(series, b.balancer()).addOrUpdate(b.at(), value.applyAsDouble(b)));
         } else {
--- a/lab/src/main/java/calicochute/lab/report/Report.java
+++ b/lab/src/main/java/calicochute/lab/report/Report.java
@@ -19,8 +19,7 @@
         .columns{columns:2}
         """;
 
-    private Report() {
-    }
+    private Report() {}
 
     /** Writes the page into a run's folder. */
     public static void write(Path folder, RunResult result) throws IOException {
@@ -30,16 +29,28 @@
     static String page(RunResult result) {
         Charts charts = new Charts(result);
         StringBuilder page = new StringBuilder("<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>")
-            .append(escape(result.title())).append("</title><style>").append(STYLE).append("</style><h1>")
-            .append(escape(result.title())).append("</h1><p>").append(escape(result.shows())).append("</p>");
+                .append(escape(result.title()))
+                .append("</title><style>")
+                .append(STYLE)
+                .append("</style><h1>")
+                .append(escape(result.title()))
+                .append("</h1><p>")
+                .append(escape(result.shows()))
+                .append("</p>");
         if (result.ended() != null) {
-            page.append("<p class=\"bad\"><b>Partial.</b> The run ended early: ").append(escape(result.ended()))
-                .append(". Its figures count nowhere.</p>");
+            page.append("<p class=\"bad\"><b>Partial.</b> The run ended early: ")
+                    .append(escape(result.ended()))
+                    .append(". Its figures count nowhere.</p>");
         } else if (result.invalid() != null) {
-            page.append("<p class=\"bad\"><b>Void.</b> ").append(escape(result.invalid())).append(".</p>");
+            page.append("<p class=\"bad\"><b>Void.</b> ")
+                    .append(escape(result.invalid()))
+                    .append(".</p>");
         }
-        page.append("<p class=\"note\">Seed ").append(result.seed()).append(", ")
-            .append(String.format(Locale.ROOT, "%.0f s", result.length())).append(". Bands mark troubles.</p>");
+        page.append("<p class=\"note\">Seed ")
+                .append(result.seed())
+                .append(", ")
+                .append(String.format(Locale.ROOT, "%.0f s", result.length()))
+                .append(". Bands mark troubles.</p>");
         breaches(page, result);
         if (!result.seconds().isEmpty()) {
             section(page, "Service over time", charts.service());
@@ -49,12 +60,19 @@
         if (result.latencies().stream().anyMatch(l -> l.count() > 0)) {
             section(page, "Latency from the planned sending, by class", charts.latencies());
         }
-        List<Integer> tiers = result.servers().stream().map(RunResult.ServerSecond::tier).distinct().toList();
+        List<Integer> tiers = result.servers().stream()
+                .map(RunResult.ServerSecond::tier)
+                .distinct()
+                .toList();
         for (int tier : tiers) {
-            section(page, "Dispatches to each server a second, tier " + (tier + 1),
-                charts.servers(tier, "dispatches a second", RunResult.ServerSecond::dispatches));
-            section(page, "Held and waiting at each server, tier " + (tier + 1),
-                charts.servers(tier, "in work and queue", s -> s.inWork() + s.inQueue()));
+            section(
+                    page,
+                    "Dispatches to each server a second, tier " + (tier + 1),
+                    charts.servers(tier, "dispatches a second", RunResult.ServerSecond::dispatches));
+            section(
+                    page,
+                    "Held and waiting at each server, tier " + (tier + 1),
+                    charts.servers(tier, "in work and queue", s -> s.inWork() + s.inQueue()));
         }
         if (!result.dispatches().isEmpty()) {
             section(page, "Dispatches for one request", charts.dispatches());
@@ -78,12 +96,23 @@
             page.append("<p>All rules were kept.</p>");
             return;
         }
-        page.append("<div class=\"bad\"><b>").append(result.breaches().size())
-            .append(" broken rules.</b><table><tr><th>rule<th>at s<th>balancer<th>session<th>server<th>details");
-        result.breaches().stream().limit(MOST_BREACHES).forEach(b -> page.append("<tr><td>").append(escape(b.rule()))
-            .append("<td class=\"n\">").append(String.format(Locale.ROOT, "%.3f", b.at())).append("<td>")
-            .append(escape(b.balancer())).append("<td>").append(escape(b.session())).append("<td>")
-            .append(escape(b.server())).append("<td>").append(escape(b.details())));
+        page.append("<div class=\"bad\"><b>")
+                .append(result.breaches().size())
+                .append(" broken rules.</b><table><tr><th>rule<th>at s<th>balancer<th>session<th>server<th>details");
+        result.breaches().stream()
+                .limit(MOST_BREACHES)
+                .forEach(b -> page.append("<tr><td>")
+                        .append(escape(b.rule()))
+                        .append("<td class=\"n\">")
+                        .append(String.format(Locale.ROOT, "%.3f", b.at()))
+                        .append("<td>")
+                        .append(escape(b.balancer()))
+                        .append("<td>")
+                        .append(escape(b.session()))
+                        .append("<td>")
+                        .append(escape(b.server()))
+                        .append("<td>")
+                        .append(escape(b.details())));
         page.append("</table></div>");
     }
 
@@ -92,20 +121,28 @@
             return;
         }
         page.append("<h2>Troubles</h2><table><tr><th>kind<th>from s<th>to s<th>whom");
-        result.troubles().forEach(t -> page.append("<tr><td>").append(escape(t.kind())).append("<td class=\"n\">")
-            .append(String.format(Locale.ROOT, "%.1f<td class=\"n\">%.1f<td>", t.from(), t.to()))
-            .append(escape(String.join(", ", t.victims()))));
+        result.troubles()
+                .forEach(t -> page.append("<tr><td>")
+                        .append(escape(t.kind()))
+                        .append("<td class=\"n\">")
+                        .append(String.format(Locale.ROOT, "%.1f<td class=\"n\">%.1f<td>", t.from(), t.to()))
+                        .append(escape(String.join(", ", t.victims()))));
         page.append("</table>");
     }
 
     private static void figures(StringBuilder page, RunResult result) {
         page.append("<h2>Figures</h2><div class=\"columns\"><table>");
-        result.figures().forEach((name, value) -> page.append("<tr><td>").append(escape(name))
-            .append("<td class=\"n\">").append(String.format(Locale.ROOT, "%.4g", value)));
+        result.figures()
+                .forEach((name, value) -> page.append("<tr><td>")
+                        .append(escape(name))
+                        .append("<td class=\"n\">")
+                        .append(String.format(Locale.ROOT, "%.4g", value)));
         page.append("</table></div>");
     }
 
     static String escape(String text) {
-        return text == null ? "" : text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
+        return text == null
+                ? ""
+                : text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
 }
--- a/lab/src/main/java/calicochute/lab/report/SweepReport.java
+++ b/lab/src/main/java/calicochute/lab/report/SweepReport.java
@@ -17,16 +17,16 @@
 public final class SweepReport {
     private static final int HEIGHT = 300;
     private static final List<List<String>> CHARTS = List.of(
-        List.of("service", "service_worst_10s", "service_worst_class", "service_worst_tenant"),
-        List.of("denied", "failed", "late", "wasted_work"),
-        List.of("latency_p50_ms_all", "latency_p99_ms_all"));
+            List.of("service", "service_worst_10s", "service_worst_class", "service_worst_tenant"),
+            List.of("denied", "failed", "late", "wasted_work"),
+            List.of("latency_p50_ms_all", "latency_p99_ms_all"));
 
-    private SweepReport() {
-    }
+    private SweepReport() {}
 
     public static void write(Path folder, String field, Map<String, RunResult> results) throws IOException {
         Files.createDirectories(folder);
-        List<String> figures = List.copyOf(results.values().iterator().next().figures().keySet());
+        List<String> figures =
+                List.copyOf(results.values().iterator().next().figures().keySet());
         try (CSVPrinter csv = CSVFormat.RFC4180.print(Files.newBufferedWriter(folder.resolve("sweep.csv")))) {
             csv.print(field);
             csv.printRecord(figures);
@@ -38,14 +38,17 @@
                 csv.println();
             }
         }
-        StringBuilder page = new StringBuilder("<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Sweep"
-            + "</title><style>body{font:14px sans-serif;margin:2em auto;max-width:920px}</style><h1>Sweep over ")
-            .append(field.replace("<", "&lt;")).append("</h1>");
+        StringBuilder page = new StringBuilder(
+                        "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Sweep"
+                                + "</title><style>body{font:14px sans-serif;margin:2em auto;max-width:920px}</style><h1>Sweep over ")
+                .append(field.replace("<", "&lt;"))
+                .append("</h1>");
         for (List<String> shown : CHARTS) {
             DefaultCategoryDataset data = new DefaultCategoryDataset();
-            results.forEach((value, r) -> shown.forEach(f -> data.addValue(r.figures().get(f), f, value)));
-            JFreeChart chart = ChartFactory.createLineChart(null, field, null, data, PlotOrientation.VERTICAL, true,
-                false, false);
+            results.forEach(
+                    (value, r) -> shown.forEach(f -> data.addValue(r.figures().get(f), f, value)));
+            JFreeChart chart =
+                    ChartFactory.createLineChart(null, field, null, data, PlotOrientation.VERTICAL, true, false, false);
             chart.getCategoryPlot().setBackgroundPaint(java.awt.Color.WHITE);
             page.append(Charts.svg(chart, HEIGHT));
         }
--- a/lab/src/main/java/calicochute/lab/result/Evenly.java
+++ b/lab/src/main/java/calicochute/lab/result/Evenly.java
@@ -24,6 +24,7 @@
     private static final long SECOND = 1_000_000;
     /** A server that has this part of its capacity is warm. */
     private static final double WARM = 0.999;
+
     private final Outcome outcome;
 
     Evenly(Outcome outcome) {
@@ -35,11 +36,20 @@
         Streams streams = new Streams(outcome.seed());
         for (int t = 0; t < outcome.deployment().scenario().tiers().size(); t++) {
             List<MachineSpec> machines = outcome.deployment().machines(t);
-            List<Dispatch> sent = outcome.sent().get(t).stream().map(d -> new Dispatch(d.at() - outcome.startedAt(),
-                d.balancer(), d.server(), d.first())).sorted(Comparator.comparingLong(Dispatch::at)).toList();
-            tiers.add(Evenness.of(outcome.deployment().scenario().tiers().get(t).name(), machines.stream()
-                .map(m -> new Server(m.id(), m.zone(), m.kind().name(), m.capacity())).toList(), sent,
-                room(t, machines), outcome.length(), troubles(t, machines), streams.of("evenness", t)));
+            List<Dispatch> sent = outcome.sent().get(t).stream()
+                    .map(d -> new Dispatch(d.at() - outcome.startedAt(), d.balancer(), d.server(), d.first()))
+                    .sorted(Comparator.comparingLong(Dispatch::at))
+                    .toList();
+            tiers.add(Evenness.of(
+                    outcome.deployment().scenario().tiers().get(t).name(),
+                    machines.stream()
+                            .map(m -> new Server(m.id(), m.zone(), m.kind().name(), m.capacity()))
+                            .toList(),
+                    sent,
+                    room(t, machines),
+                    outcome.length(),
+                    troubles(t, machines),
+                    streams.of("evenness", t)));
         }
         return tiers;
     }
@@ -53,8 +63,8 @@
             all.set(0, machines.size());
             seconds.add(all);
         }
-        Map<String, Integer> numbers = machines.stream().collect(java.util.stream.Collectors.toMap(MachineSpec::id,
-            MachineSpec::index));
+        Map<String, Integer> numbers =
+                machines.stream().collect(java.util.stream.Collectors.toMap(MachineSpec::id, MachineSpec::index));
         for (Outcome.ServerSample s : outcome.servers()) {
             if (s.tier() == tier && s.capacityShare() < WARM) {
                 for (long second = s.at() / SECOND - 1; second <= s.at() / SECOND; second++) {
@@ -76,8 +86,10 @@
     private static BitSet victims(TroublePlan plan, List<MachineSpec> machines) {
         BitSet victims = new BitSet();
         for (MachineSpec m : machines) {
-            boolean zone = plan.trouble().kind() == Kind.ZONE_CUT && plan.victims().contains(m.zone());
-            boolean named = plan.trouble().kind().target == Target.SERVERS && plan.victims().contains(m.id());
+            boolean zone =
+                    plan.trouble().kind() == Kind.ZONE_CUT && plan.victims().contains(m.zone());
+            boolean named = plan.trouble().kind().target == Target.SERVERS
+                    && plan.victims().contains(m.id());
             if (zone || named) {
                 victims.set(m.index());
             }
@@ -90,10 +102,11 @@
         List<Sick.Trouble> troubles = new ArrayList<>();
         for (TroublePlan plan : outcome.troubles()) {
             BitSet victims = victims(plan, machines);
-            if (!victims.isEmpty() && plan.trouble().kind().target == Target.SERVERS
-                && plan.trouble().kind() != Kind.DRAIN) {
-                troubles.add(new Sick.Trouble(plan.trouble().kind().word() + " " + troubles.size(), plan.from(),
-                    plan.to(), victims));
+            if (!victims.isEmpty()
+                    && plan.trouble().kind().target == Target.SERVERS
+                    && plan.trouble().kind() != Kind.DRAIN) {
+                troubles.add(new Sick.Trouble(
+                        plan.trouble().kind().word() + " " + troubles.size(), plan.from(), plan.to(), victims));
             }
         }
         return troubles;
--- a/lab/src/main/java/calicochute/lab/result/Measured.java
+++ b/lab/src/main/java/calicochute/lab/result/Measured.java
@@ -28,6 +28,7 @@
 public final class Measured {
     /** Beyond this lateness of the lab's own timers at the 99th percentile, in microseconds, a run is void. */
     public static final long LATENESS_BOUND = 10_000;
+
     private static final int WINDOW_S = 10;
     private static final long HIGHEST_US = 600_000_000;
     private final Outcome outcome;
@@ -47,27 +48,64 @@
         List<Second> seconds = seconds();
         List<Latency> latencies = latencies();
         figures(seconds, latencies);
-        List<TroubleBand> bands = outcome.troubles().stream().map(t -> new TroubleBand(t.trouble().kind().word(),
-            t.from() / 1e6, t.to() / 1e6, t.victims())).toList();
-        List<BreachLine> breaches = outcome.breaches().stream().map(b -> new BreachLine(b.rule().name(), b.balancer(),
-            b.session(), b.server(), (b.at() - outcome.startedAt()) / 1e6, b.details())).toList();
-        List<ServerSecond> servers = outcome.servers().stream().map(s -> new ServerSecond(s.at() / 1e6, s.server(),
-            s.tier(), s.inWork(), s.inQueue(), s.dispatches(), s.turnedAway(), s.capacityShare(), s.sluggish()))
-            .toList();
+        List<TroubleBand> bands = outcome.troubles().stream()
+                .map(t -> new TroubleBand(t.trouble().kind().word(), t.from() / 1e6, t.to() / 1e6, t.victims()))
+                .toList();
+        List<BreachLine> breaches = outcome.breaches().stream()
+                .map(b -> new BreachLine(
+                        b.rule().name(),
+                        b.balancer(),
+                        b.session(),
+                        b.server(),
+                        (b.at() - outcome.startedAt()) / 1e6,
+                        b.details()))
+                .toList();
+        List<ServerSecond> servers = outcome.servers().stream()
+                .map(s -> new ServerSecond(
+                        s.at() / 1e6,
+                        s.server(),
+                        s.tier(),
+                        s.inWork(),
+                        s.inQueue(),
+                        s.dispatches(),
+                        s.turnedAway(),
+                        s.capacityShare(),
+                        s.sluggish()))
+                .toList();
         List<BalancerSecond> balancers = new ArrayList<>();
-        outcome.balancers().forEach((b, samples) -> samples.forEach(s ->
-            balancers.add(new BalancerSecond(s.at() / 1e6, b.name(), s.cores(), s.resident() / 1e6))));
+        outcome.balancers()
+                .forEach((b, samples) -> samples.forEach(
+                        s -> balancers.add(new BalancerSecond(s.at() / 1e6, b.name(), s.cores(), s.resident() / 1e6))));
         Map<String, Long> counters = new TreeMap<>();
         outcome.counters().values().forEach(c -> c.forEach((name, count) -> counters.merge(name, count, Long::sum)));
         List<Evenness> evenness = new Evenly(outcome).tiers();
         Evenly.figures(evenness, figures);
         outcome.datagrams().forEach((what, count) -> figures.put("datagrams_" + what, (double) count));
-        String invalid = outcome.lateness()[1] <= LATENESS_BOUND ? null : String.format(Locale.ROOT,
-            "the lab's own timers ran %.1f ms late at the 99th percentile; %.0f ms are allowed",
-            outcome.lateness()[1] / 1e3, LATENESS_BOUND / 1e3);
-        return new RunResult(RunResult.VERSION, scenario.title(), scenario.shows(), outcome.seed(),
-            outcome.length() / 1e6, outcome.ended(), invalid, figures, bands, breaches, seconds, latencies, servers,
-            balancers, dispatches(), counters, evenness);
+        String invalid = outcome.lateness()[1] <= LATENESS_BOUND
+                ? null
+                : String.format(
+                        Locale.ROOT,
+                        "the lab's own timers ran %.1f ms late at the 99th percentile; %.0f ms are allowed",
+                        outcome.lateness()[1] / 1e3,
+                        LATENESS_BOUND / 1e3);
+        return new RunResult(
+                RunResult.VERSION,
+                scenario.title(),
+                scenario.shows(),
+                outcome.seed(),
+                outcome.length() / 1e6,
+                outcome.ended(),
+                invalid,
+                figures,
+                bands,
+                breaches,
+                seconds,
+                latencies,
+                servers,
+                balancers,
+                dispatches(),
+                counters,
+                evenness);
     }
 
     private List<Second> seconds() {
@@ -87,8 +125,8 @@
         }
         List<Second> seconds = new ArrayList<>();
         for (int i = 0; i < length; i++) {
-            seconds.add(new Second(i, counts[i][0], worth[i][0], worth[i][1], counts[i][1], counts[i][2],
-                counts[i][3], counts[i][4]));
+            seconds.add(new Second(
+                    i, counts[i][0], worth[i][0], worth[i][1], counts[i][1], counts[i][2], counts[i][3], counts[i][4]));
         }
         return seconds;
     }
@@ -119,8 +157,14 @@
     }
 
     private static Latency latency(String of, Histogram h) {
-        return new Latency(of, h.getTotalCount(), h.getValueAtPercentile(50) / 1e3, h.getValueAtPercentile(90) / 1e3,
-            h.getValueAtPercentile(99) / 1e3, h.getValueAtPercentile(99.9) / 1e3, h.getMaxValue() / 1e3);
+        return new Latency(
+                of,
+                h.getTotalCount(),
+                h.getValueAtPercentile(50) / 1e3,
+                h.getValueAtPercentile(90) / 1e3,
+                h.getValueAtPercentile(99) / 1e3,
+                h.getValueAtPercentile(99.9) / 1e3,
+                h.getMaxValue() / 1e3);
     }
 
     private double service(Predicate<Root> of) {
@@ -137,8 +181,10 @@
     }
 
     private double share(Predicate<Root> of) {
-        return outcome.roots().isEmpty() ? 0
-            : (double) outcome.roots().stream().filter(of).count() / outcome.roots().size();
+        return outcome.roots().isEmpty()
+                ? 0
+                : (double) outcome.roots().stream().filter(of).count()
+                        / outcome.roots().size();
     }
 
     private void figures(List<Second> seconds, List<Latency> latencies) {
@@ -152,8 +198,8 @@
         }
         for (int i = 0; i < scenario.tenants().size(); i++) {
             int t = i;
-            tenants.put(scenario.tenants().get(i).name(), service(r -> r.arrival.tenant() == t
-                && !r.arrival.overShare()));
+            tenants.put(
+                    scenario.tenants().get(i).name(), service(r -> r.arrival.tenant() == t && !r.arrival.overShare()));
         }
         double worstClass = classes.values().stream().mapToDouble(v -> v).min().orElse(1);
         double worstTenant = tenants.values().stream().mapToDouble(v -> v).min().orElse(1);
@@ -173,15 +219,22 @@
         figures.put("denied", share(r -> r.end == Root.End.DENIED));
         figures.put("failed", share(Measured::failed));
         figures.put("late", share(r -> r.end == Root.End.LATE));
-        figures.put("denials_per_request", outcome.roots().stream().mapToInt(r -> r.denials).sum() / (double) n);
-        figures.put("tries_per_request", outcome.roots().stream().mapToInt(r -> r.tries).sum() / (double) n);
+        figures.put(
+                "denials_per_request",
+                outcome.roots().stream().mapToInt(r -> r.denials).sum() / (double) n);
+        figures.put(
+                "tries_per_request",
+                outcome.roots().stream().mapToInt(r -> r.tries).sum() / (double) n);
         for (int t = 0; t < scenario.tiers().size(); t++) {
             int tier = t;
-            figures.put("dispatches_per_request_" + scenario.tiers().get(t).name(),
-                outcome.roots().stream().mapToInt(r -> r.dispatches[tier]).sum() / (double) n);
+            figures.put(
+                    "dispatches_per_request_" + scenario.tiers().get(t).name(),
+                    outcome.roots().stream().mapToInt(r -> r.dispatches[tier]).sum() / (double) n);
         }
         double offered = outcome.roots().stream().mapToDouble(this::offered).sum();
-        double wasted = outcome.roots().stream().mapToDouble(r -> r.workDone - r.workUsed).sum();
+        double wasted = outcome.roots().stream()
+                .mapToDouble(r -> r.workDone - r.workUsed)
+                .sum();
         figures.put("wasted_work", offered == 0 ? 0 : wasted / offered);
         figures.put("zone_crossings_per_request", outcome.crossings() / (double) n);
         figures.put("probes_per_request", outcome.probes() / (double) n);
@@ -196,12 +249,18 @@
         double cores = 0;
         double most = 0;
         for (var samples : outcome.balancers().values()) {
-            cores += samples.stream().mapToDouble(Outcome.BalancerSample::cores).average().orElse(0);
-            most = Math.max(most, samples.stream().mapToDouble(s -> s.resident() / 1e6).max().orElse(0));
+            cores += samples.stream()
+                    .mapToDouble(Outcome.BalancerSample::cores)
+                    .average()
+                    .orElse(0);
+            most = Math.max(
+                    most,
+                    samples.stream().mapToDouble(s -> s.resident() / 1e6).max().orElse(0));
         }
         figures.put("balancers_cores", cores);
-        figures.put("balancers_cpu_ms_per_dispatch", outcome.dispatches() == 0 ? 0
-            : cores * outcome.length() / 1e3 / outcome.dispatches());
+        figures.put(
+                "balancers_cpu_ms_per_dispatch",
+                outcome.dispatches() == 0 ? 0 : cores * outcome.length() / 1e3 / outcome.dispatches());
         figures.put("balancer_memory_mb_max", most);
         figures.put("lab_cores", outcome.labCpu());
         figures.put("lab_late_ms_p50", outcome.lateness()[0] / 1e3);
@@ -238,7 +297,10 @@
         List<Dispatches> list = new ArrayList<>();
         for (int t = 0; t < scenario.tiers().size(); t++) {
             int tier = t;
-            int most = outcome.roots().stream().mapToInt(r -> r.dispatches[tier]).max().orElse(0);
+            int most = outcome.roots().stream()
+                    .mapToInt(r -> r.dispatches[tier])
+                    .max()
+                    .orElse(0);
             long[] counts = new long[most + 1];
             outcome.roots().forEach(r -> counts[r.dispatches[tier]]++);
             for (int d = 0; d <= most; d++) {
--- a/lab/src/main/java/calicochute/lab/result/RunFolder.java
+++ b/lab/src/main/java/calicochute/lab/result/RunFolder.java
@@ -18,8 +18,7 @@
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
     private static final String RESULT = "result.json";
 
-    private RunFolder() {
-    }
+    private RunFolder() {}
 
     public static void write(Path folder, RunResult result, String scenario) throws IOException {
         Files.createDirectories(folder);
@@ -47,12 +46,15 @@
         try {
             RunResult result = JSON.readValue(file.toFile(), RunResult.class);
             if (result.version() != RunResult.VERSION) {
-                throw new ResultException(file.toString(), "version " + result.version() + " is not " + RunResult.VERSION);
+                throw new ResultException(
+                        file.toString(), "version " + result.version() + " is not " + RunResult.VERSION);
             }
             return result;
         } catch (JacksonException e) {
-            throw new IOException(file + ":" + (e.getLocation() == null ? "" : e.getLocation().getLineNr() + ":")
-                + " is no result of a run: " + e.getOriginalMessage(), e);
+            throw new IOException(
+                    file + ":" + (e.getLocation() == null ? "" : e.getLocation().getLineNr() + ":")
+                            + " is no result of a run: " + e.getOriginalMessage(),
+                    e);
         }
     }
 
@@ -64,8 +66,8 @@
     /** A table of records: a column for each component. */
     private static <T extends Record> void table(Path file, Class<T> type, List<T> rows) throws IOException {
         RecordComponent[] columns = type.getRecordComponents();
-        try (CSVPrinter csv = printer(file, Arrays.stream(columns).map(RecordComponent::getName)
-            .toArray(String[]::new))) {
+        try (CSVPrinter csv = printer(
+                file, Arrays.stream(columns).map(RecordComponent::getName).toArray(String[]::new))) {
             for (T row : rows) {
                 for (RecordComponent column : columns) {
                     csv.print(column.getAccessor().invoke(row));
--- a/lab/src/main/java/calicochute/lab/scenario/Lines.java
+++ b/lab/src/main/java/calicochute/lab/scenario/Lines.java
@@ -18,8 +18,9 @@
         try (JsonParser parser = new YAMLFactory().createParser(text)) {
             for (JsonToken token = parser.nextToken(); token != null; token = parser.nextToken()) {
                 if (token != JsonToken.END_ARRAY && token != JsonToken.END_OBJECT) {
-                    found.lines.putIfAbsent(field(parser.getParsingContext()),
-                        parser.currentTokenLocation().getLineNr());
+                    found.lines.putIfAbsent(
+                            field(parser.getParsingContext()),
+                            parser.currentTokenLocation().getLineNr());
                 }
             }
         }
--- a/lab/src/main/java/calicochute/lab/scenario/Range.java
+++ b/lab/src/main/java/calicochute/lab/scenario/Range.java
@@ -13,8 +13,11 @@
         if (given instanceof Number number) {
             return new Range(number.doubleValue(), number.doubleValue());
         }
-        if (given instanceof List<?> list && list.size() == 2 && list.get(0) instanceof Number low
-            && list.get(1) instanceof Number high && low.doubleValue() <= high.doubleValue()) {
+        if (given instanceof List<?> list
+                && list.size() == 2
+                && list.get(0) instanceof Number low
+                && list.get(1) instanceof Number high
+                && low.doubleValue() <= high.doubleValue()) {
             return new Range(low.doubleValue(), high.doubleValue());
         }
         throw new IllegalArgumentException("'" + given + "' is not " + FORM);
--- a/lab/src/main/java/calicochute/lab/scenario/ScenarioCheck.java
+++ b/lab/src/main/java/calicochute/lab/scenario/ScenarioCheck.java
@@ -14,6 +14,7 @@
 final class ScenarioCheck {
     /** Processes of one run, of all tiers together: at 60 MB each, what a machine of 32 GB holds. */
     private static final int MOST_BALANCERS = 400;
+
     private static final double SHARE_SLACK = 0.011;
     private final Scenario scenario;
     private final BiConsumer<String, String> complain;
@@ -27,7 +28,11 @@
         bounds("", scenario);
         need("title", scenario.title());
         need("shows", scenario.shows());
-        names("zones.names", scenario.zones().names(), n -> n, scenario.zones().names().isEmpty());
+        names(
+                "zones.names",
+                scenario.zones().names(),
+                n -> n,
+                scenario.zones().names().isEmpty());
         classes();
         tenants();
         tiers();
@@ -90,8 +95,10 @@
             high = low;
         }
         if (!(low >= within.min() && high <= within.max())) {
-            complain.accept(field, "must lie between " + figure(within.min()) + unit + " and " + figure(within.max())
-                + unit + "; it is " + (low == high ? figure(low) : figure(low) + " to " + figure(high)) + unit);
+            complain.accept(
+                    field,
+                    "must lie between " + figure(within.min()) + unit + " and " + figure(within.max()) + unit
+                            + "; it is " + (low == high ? figure(low) : figure(low) + " to " + figure(high)) + unit);
         }
     }
 
@@ -152,9 +159,15 @@
     }
 
     private void tenants() {
-        names("tenants", scenario.tenants(), Scenario.Tenant::name, scenario.tenants().isEmpty());
+        names(
+                "tenants",
+                scenario.tenants(),
+                Scenario.Tenant::name,
+                scenario.tenants().isEmpty());
         if (!scenario.tenants().isEmpty()) {
-            shares("tenants", scenario.tenants().stream().mapToDouble(t -> or0(t.share())).sum());
+            shares(
+                    "tenants",
+                    scenario.tenants().stream().mapToDouble(t -> or0(t.share())).sum());
         }
     }
 
@@ -167,7 +180,9 @@
             String at = "tiers[" + i + "]";
             names(at + ".kinds", tier.kinds(), Scenario.Kind::name, tier.kinds().isEmpty());
             if (!tier.kinds().isEmpty()) {
-                shares(at + ".kinds", tier.kinds().stream().mapToDouble(Scenario.Kind::share).sum());
+                shares(
+                        at + ".kinds",
+                        tier.kinds().stream().mapToDouble(Scenario.Kind::share).sum());
             }
             boolean last = i == tiers.size() - 1;
             if (last && tier.calls().high() > 0) {
@@ -183,8 +198,10 @@
             complain.accept("tiers", "there may be three at most");
         }
         if (balancers > MOST_BALANCERS) {
-            complain.accept("tiers", "would need " + balancers + " balancers (one for each server that calls on); "
-                + MOST_BALANCERS + " at most");
+            complain.accept(
+                    "tiers",
+                    "would need " + balancers + " balancers (one for each server that calls on); " + MOST_BALANCERS
+                            + " at most");
         }
     }
 
@@ -205,9 +222,15 @@
         boolean servers = trouble.kind().target == Trouble.Target.SERVERS;
         boolean network = trouble.kind().target == Trouble.Target.NETWORK;
         boolean tier = servers || network || trouble.kind() == Trouble.Kind.BALANCER_PAUSE;
-        if (tier && (servers || trouble.tier() != null) && (trouble.tier() == null
-            || scenario.tiers().stream().noneMatch(t -> trouble.tier().equals(t.name())))) {
-            complain.accept(at + ".tier", "must be one of " + scenario.tiers().stream().map(Tier::name).toList());
+        if (tier
+                && (servers || trouble.tier() != null)
+                && (trouble.tier() == null
+                        || scenario.tiers().stream()
+                                .noneMatch(t -> trouble.tier().equals(t.name())))) {
+            complain.accept(
+                    at + ".tier",
+                    "must be one of "
+                            + scenario.tiers().stream().map(Tier::name).toList());
         }
         if (servers && (trouble.servers() == null) == (trouble.part() == null)) {
             complain.accept(at, "needs either servers (how many) or part (of the tier)");
@@ -218,15 +241,21 @@
         if (network && scenario.fleet() == null) {
             complain.accept(at + ".kind", trouble.kind().word() + " needs a fleet: balancers that talk to each other");
         }
-        boolean share = trouble.kind() == Trouble.Kind.RESET || trouble.kind() == Trouble.Kind.SPOILT
-            || trouble.kind() == Trouble.Kind.NET_LOSS;
+        boolean share = trouble.kind() == Trouble.Kind.RESET
+                || trouble.kind() == Trouble.Kind.SPOILT
+                || trouble.kind() == Trouble.Kind.NET_LOSS;
         if (share && trouble.factor() > 1) {
-            complain.accept(at + ".factor", "is a part of all, between 0 and 1, for " + trouble.kind().word());
+            complain.accept(
+                    at + ".factor",
+                    "is a part of all, between 0 and 1, for " + trouble.kind().word());
         }
         if (trouble.kind().target == Trouble.Target.ZONE != (trouble.zone() != null)
-            || trouble.zone() != null && !scenario.zones().names().contains(trouble.zone())) {
-            complain.accept(at + ".zone", trouble.kind().target == Trouble.Target.ZONE
-                ? "must be one of " + scenario.zones().names() : "does not go with " + trouble.kind().word());
+                || trouble.zone() != null && !scenario.zones().names().contains(trouble.zone())) {
+            complain.accept(
+                    at + ".zone",
+                    trouble.kind().target == Trouble.Target.ZONE
+                            ? "must be one of " + scenario.zones().names()
+                            : "does not go with " + trouble.kind().word());
         }
         if ((trouble.kind().target == Trouble.Target.BALANCERS || network) && trouble.part() == null) {
             int there = balancers(trouble.tier(), network);
@@ -237,12 +266,19 @@
         }
     }
 
-    /** Balancers that a trouble may hit: those of a tier, else all where the network is meant, else the first tier's. */
+    /**
+     * Balancers that a trouble may hit: those of a tier, else all where the network is meant, else the first tier's.
+     */
     private int balancers(String tier, boolean network) {
         int there = 0;
         for (int i = 0; i < scenario.tiers().size(); i++) {
-            Integer callers = i == 0 ? scenario.balancers().count() : scenario.tiers().get(i - 1).servers();
-            if (callers != null && (tier == null ? network || i == 0 : tier.equals(scenario.tiers().get(i).name()))) {
+            Integer callers = i == 0
+                    ? scenario.balancers().count()
+                    : scenario.tiers().get(i - 1).servers();
+            if (callers != null
+                    && (tier == null
+                            ? network || i == 0
+                            : tier.equals(scenario.tiers().get(i).name()))) {
                 there += callers;
             }
         }
--- a/lab/src/main/java/calicochute/lab/scenario/ScenarioException.java
+++ b/lab/src/main/java/calicochute/lab/scenario/ScenarioException.java
@@ -1,7 +1,7 @@
 package calicochute.lab.scenario;
 
-import calicochute.errors.Code;
 import calicochute.errors.CheckedFault;
+import calicochute.errors.Code;
 import java.util.List;
 
 /** A scenario that can't be used, with every fault found in it. */
@@ -18,7 +18,11 @@
     }
 
     public ScenarioException(List<Complaint> complaints) {
-        super(Code.SCENARIO, "", String.join("\n", complaints.stream().map(Complaint::toString).toList()), null);
+        super(
+                Code.SCENARIO,
+                "",
+                String.join("\n", complaints.stream().map(Complaint::toString).toList()),
+                null);
         this.complaints = List.copyOf(complaints);
     }
 
--- a/lab/src/main/java/calicochute/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/calicochute/lab/scenario/ScenarioReader.java
@@ -34,12 +34,23 @@
  * field and what would be right: first those of form; what the fields mean together is checked once the form holds.
  */
 public final class ScenarioReader {
-    private static final Map<Class<?>, String> FORMS = Map.of(Time.class, Time.FORM, Rate.class, Rate.FORM,
-        Range.class, Range.FORM, Integer.class, "a whole number", Double.class, "a number", Boolean.class,
-        "true or false", String.class, "a text");
+    private static final Map<Class<?>, String> FORMS = Map.of(
+            Time.class,
+            Time.FORM,
+            Rate.class,
+            Rate.FORM,
+            Range.class,
+            Range.FORM,
+            Integer.class,
+            "a whole number",
+            Double.class,
+            "a number",
+            Boolean.class,
+            "true or false",
+            String.class,
+            "a text");
 
-    private ScenarioReader() {
-    }
+    private ScenarioReader() {}
 
     public static Scenario read(Path file) throws ScenarioException {
         return parse(Source.read(file));
@@ -57,8 +68,8 @@
         try {
             lines = Lines.of(text);
         } catch (IOException e) {
-            throw new ScenarioException(List.of(source.complaint(line(e), "", "is no YAML: "
-                + firstLine(e.getMessage()))));
+            throw new ScenarioException(
+                    List.of(source.complaint(line(e), "", "is no YAML: " + firstLine(e.getMessage()))));
         }
         if (lines.empty()) {
             throw new ScenarioException(List.of(source.complaint(1, "", "is empty")));
@@ -74,8 +85,9 @@
         }
         unknown(text, (field, rule) -> complaints.add(source.complaint(lines.line(field), field, rule)));
         if (complaints.isEmpty()) {
-            new ScenarioCheck(scenario, (field, rule) ->
-                complaints.add(source.complaint(lines.line(field), field, rule))).run();
+            new ScenarioCheck(
+                            scenario, (field, rule) -> complaints.add(source.complaint(lines.line(field), field, rule)))
+                    .run();
         }
         if (!complaints.isEmpty()) {
             throw new ScenarioException(complaints);
@@ -86,21 +98,25 @@
     /** The scenario as YAML, with every default spelt out. */
     public static String write(Scenario scenario) {
         try {
-            return YAMLMapper.builder().disable(YAMLGenerator.Feature.WRITE_DOC_START_MARKER)
-                .enable(YAMLGenerator.Feature.MINIMIZE_QUOTES)
-                .defaultPropertyInclusion(com.fasterxml.jackson.annotation.JsonInclude.Value.construct(
-                    com.fasterxml.jackson.annotation.JsonInclude.Include.NON_NULL, null))
-                .build().writeValueAsString(scenario);
+            return YAMLMapper.builder()
+                    .disable(YAMLGenerator.Feature.WRITE_DOC_START_MARKER)
+                    .enable(YAMLGenerator.Feature.MINIMIZE_QUOTES)
+                    .defaultPropertyInclusion(com.fasterxml.jackson.annotation.JsonInclude.Value.construct(
+                            com.fasterxml.jackson.annotation.JsonInclude.Include.NON_NULL, null))
+                    .build()
+                    .writeValueAsString(scenario);
         } catch (JacksonException e) {
             throw new IllegalStateException(e);
         }
     }
 
     private static ObjectMapper mapper(Collector collector) {
-        return YAMLMapper.builder().enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
-            .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
-            .disable(DeserializationFeature.ACCEPT_FLOAT_AS_INT)
-            .addHandler(collector).build();
+        return YAMLMapper.builder()
+                .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
+                .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+                .disable(DeserializationFeature.ACCEPT_FLOAT_AS_INT)
+                .addHandler(collector)
+                .build();
     }
 
     /** Complains of every field that nothing is bound to. */
@@ -117,13 +133,18 @@
             for (int i = 0; i < node.size(); i++) {
                 unknown(at + "[" + i + "]", node.get(i), list.getActualTypeArguments()[0], complain);
             }
-        } else if (node.isObject() && type instanceof Class<?> record && record.isRecord()
-            && !FORMS.containsKey(record)) {
+        } else if (node.isObject()
+                && type instanceof Class<?> record
+                && record.isRecord()
+                && !FORMS.containsKey(record)) {
             for (Map.Entry<String, JsonNode> entry : node.properties()) {
                 String field = Lines.join(at, entry.getKey());
-                Arrays.stream(record.getRecordComponents()).filter(c -> c.getName().equals(entry.getKey())).findFirst()
-                    .ifPresentOrElse(c -> unknown(field, entry.getValue(), c.getGenericType(), complain),
-                        () -> complain.accept(field, "is not known; there are: " + Collector.fields(record)));
+                Arrays.stream(record.getRecordComponents())
+                        .filter(c -> c.getName().equals(entry.getKey()))
+                        .findFirst()
+                        .ifPresentOrElse(
+                                c -> unknown(field, entry.getValue(), c.getGenericType(), complain),
+                                () -> complain.accept(field, "is not known; there are: " + Collector.fields(record)));
             }
         }
     }
@@ -132,8 +153,9 @@
     private static String field(JsonMappingException e) {
         String field = "";
         for (JsonMappingException.Reference step : e.getPath()) {
-            field = step.getFieldName() == null ? field + "[" + step.getIndex() + "]"
-                : Lines.join(field, step.getFieldName());
+            field = step.getFieldName() == null
+                    ? field + "[" + step.getIndex() + "]"
+                    : Lines.join(field, step.getFieldName());
         }
         return field;
     }
@@ -143,11 +165,14 @@
             return e.getCause().getMessage();
         }
         return e instanceof MismatchedInputException mismatch && mismatch.getTargetType() != null
-            ? "is not " + Collector.form(mismatch.getTargetType()) : firstLine(e.getOriginalMessage());
+                ? "is not " + Collector.form(mismatch.getTargetType())
+                : firstLine(e.getOriginalMessage());
     }
 
     private static int line(IOException e) {
-        return e instanceof JacksonException j && j.getLocation() != null ? Math.max(0, j.getLocation().getLineNr()) : 0;
+        return e instanceof JacksonException j && j.getLocation() != null
+                ? Math.max(0, j.getLocation().getLineNr())
+                : 0;
     }
 
     private static String firstLine(String text) {
@@ -183,54 +208,71 @@
         }
 
         private static String words(Class<?> type) {
-            return Arrays.stream(type.getFields()).filter(java.lang.reflect.Field::isEnumConstant)
-                .map(f -> f.getAnnotation(com.fasterxml.jackson.annotation.JsonProperty.class).value())
-                .collect(Collectors.joining(", "));
+            return Arrays.stream(type.getFields())
+                    .filter(java.lang.reflect.Field::isEnumConstant)
+                    .map(f -> f.getAnnotation(com.fasterxml.jackson.annotation.JsonProperty.class)
+                            .value())
+                    .collect(Collectors.joining(", "));
         }
 
         private static String fields(Class<?> type) {
-            return type.getRecordComponents() == null ? type.getSimpleName()
-                : Arrays.stream(type.getRecordComponents()).map(java.lang.reflect.RecordComponent::getName)
-                    .collect(Collectors.joining(", "));
+            return type.getRecordComponents() == null
+                    ? type.getSimpleName()
+                    : Arrays.stream(type.getRecordComponents())
+                            .map(java.lang.reflect.RecordComponent::getName)
+                            .collect(Collectors.joining(", "));
         }
 
         /** Told by {@link #unknown}: Jackson may come to it late, when it has read on. */
         @Override
-        public boolean handleUnknownProperty(DeserializationContext context, JsonParser p,
-                                             JsonDeserializer<?> deserializer, Object bean, String property)
+        public boolean handleUnknownProperty(
+                DeserializationContext context,
+                JsonParser p,
+                JsonDeserializer<?> deserializer,
+                Object bean,
+                String property)
                 throws IOException {
             p.skipChildren();
             return true;
         }
 
         @Override
-        public Object handleWeirdStringValue(DeserializationContext context, Class<?> target, String value,
-                                             String failure) {
+        public Object handleWeirdStringValue(
+                DeserializationContext context, Class<?> target, String value, String failure) {
             return note(context.getParser(), "'" + value + "' is not " + form(target));
         }
 
         @Override
-        public Object handleWeirdNumberValue(DeserializationContext context, Class<?> target, Number value,
-                                             String failure) {
+        public Object handleWeirdNumberValue(
+                DeserializationContext context, Class<?> target, Number value, String failure) {
             return note(context.getParser(), value + " is not " + form(target));
         }
 
         @Override
-        public Object handleUnexpectedToken(DeserializationContext context, JavaType target, JsonToken token,
-                                            JsonParser p, String failure) throws IOException {
-            String given = token != null && token.isScalarValue() ? "'" + p.getText() + "'"
-                : token == JsonToken.START_ARRAY ? "a list" : "a group of fields";
+        public Object handleUnexpectedToken(
+                DeserializationContext context, JavaType target, JsonToken token, JsonParser p, String failure)
+                throws IOException {
+            String given = token != null && token.isScalarValue()
+                    ? "'" + p.getText() + "'"
+                    : token == JsonToken.START_ARRAY ? "a list" : "a group of fields";
             note(p, given + " is not " + form(target.getRawClass()));
             p.skipChildren();
             return null;
         }
 
         @Override
-        public Object handleMissingInstantiator(DeserializationContext context, Class<?> type,
-                                                ValueInstantiator instantiator, JsonParser p, String message)
+        public Object handleMissingInstantiator(
+                DeserializationContext context,
+                Class<?> type,
+                ValueInstantiator instantiator,
+                JsonParser p,
+                String message)
                 throws IOException {
             if (p.currentToken() != JsonToken.FIELD_NAME) {
-                note(p, (p.currentToken().isScalarValue() ? "'" + p.getText() + "'" : "a list") + " is not " + form(type));
+                note(
+                        p,
+                        (p.currentToken().isScalarValue() ? "'" + p.getText() + "'" : "a list") + " is not "
+                                + form(type));
                 p.skipChildren();
                 return null;
             }
@@ -246,8 +288,8 @@
         }
 
         @Override
-        public Object handleInstantiationProblem(DeserializationContext context, Class<?> type, Object argument,
-                                                 Throwable cause) {
+        public Object handleInstantiationProblem(
+                DeserializationContext context, Class<?> type, Object argument, Throwable cause) {
             Throwable root = cause.getCause() == null ? cause : cause.getCause();
             return note(context.getParser(), root.getMessage());
         }
--- a/lab/src/main/java/calicochute/lab/scenario/Source.java
+++ b/lab/src/main/java/calicochute/lab/scenario/Source.java
@@ -12,16 +12,15 @@
 import java.util.regex.Pattern;
 
 /**
- * A scenario's text and where each of its lines stands. A file whose first line is {@code # base: FILE} takes over every
- * field of the outermost level that it does not give itself from that file, so that a deployment is written down once;
- * complaints name the file that a line comes from.
+ * A scenario's text and where each of its lines stands. A file whose first line is {@code # base: FILE} takes over
+ * every field of the outermost level that it does not give itself from that file, so that a deployment is written down
+ * once; complaints name the file that a line comes from.
  */
 record Source(String text, String name, List<Place> places) {
     private static final Pattern BASE = Pattern.compile("# *base: *(\\S+) *");
     private static final Pattern FIELD = Pattern.compile("([A-Za-z]\\w*):.*");
 
-    record Place(String file, int line) {
-    }
+    record Place(String file, int line) {}
 
     static Source of(String name, String text) {
         return new Source(text, name, List.of());
@@ -64,8 +63,11 @@
         try {
             return Files.readString(file);
         } catch (IOException e) {
-            throw new ScenarioException(List.of(new Complaint(file.toString(), 0, "", "can't be read: "
-                + (Files.exists(file) ? e.getMessage() : "there is no such file"))));
+            throw new ScenarioException(List.of(new Complaint(
+                    file.toString(),
+                    0,
+                    "",
+                    "can't be read: " + (Files.exists(file) ? e.getMessage() : "there is no such file"))));
         }
     }
 
--- a/lab/src/main/java/calicochute/lab/scenario/Time.java
+++ b/lab/src/main/java/calicochute/lab/scenario/Time.java
@@ -9,6 +9,7 @@
 public record Time(long micros) implements Comparable<Time> {
     /** What a reader of a complaint is told to write. */
     public static final String FORM = "a time with its unit, such as 750ms, 2.5s or 120us";
+
     private static final Pattern TEXT = Pattern.compile("(\\d+(?:\\.\\d+)?)\\s*(us|ms|s|min)");
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
@@ -42,7 +43,8 @@
     @Override
     @JsonValue
     public String toString() {
-        return micros % 1_000_000 == 0 ? micros / 1_000_000 + "s" : micros % 1000 == 0 ? micros / 1000 + "ms"
-            : micros + "us";
+        return micros % 1_000_000 == 0
+                ? micros / 1_000_000 + "s"
+                : micros % 1000 == 0 ? micros / 1000 + "ms" : micros + "us";
     }
 }
--- a/lab/src/main/java/calicochute/lab/server/ColdBudget.java
+++ b/lab/src/main/java/calicochute/lab/server/ColdBudget.java
@@ -4,10 +4,11 @@
 import java.util.Deque;
 
 /**
- * What a cold machine can be sent before it falls over: with N the requests of mean work that a multiple of what it can do
- * at that moment makes in a span, no more than N + 2 root N + 2 of them within any span. The root is what independent
- * senders who keep to N between them go beyond it by chance (two deviations of a Poisson count). All work that reaches
- * it counts, from all balancers, also what it turns away. A model without I/O; times and work in microseconds.
+ * What a cold machine can be sent before it falls over: with N the requests of mean work that a multiple of what it can
+ * do at that moment makes in a span, no more than N + 2 root N + 2 of them within any span. The root is what
+ * independent senders who keep to N between them go beyond it by chance (two deviations of a Poisson count). All work
+ * that reaches it counts, from all balancers, also what it turns away. A model without I/O; times and work in
+ * microseconds.
  */
 public final class ColdBudget {
     private final double multiple;
@@ -19,8 +20,7 @@
     private double worst;
     private double worstInformed;
 
-    private record Sent(long at, double work, boolean informed) {
-    }
+    private record Sent(long at, double work, boolean informed) {}
 
     public ColdBudget(double multiple, long span, double meanWork) {
         this.multiple = multiple;
--- a/lab/src/main/java/calicochute/lab/server/ServerModel.java
+++ b/lab/src/main/java/calicochute/lab/server/ServerModel.java
@@ -12,14 +12,15 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A backend server's machine without sockets: slots, a waiting room, cores shared evenly by what runs (processor sharing
- * in virtual time: all running jobs gain at one rate, so the next to end is the one with the least virtual time left),
- * loss when crowded, a cold start, slowdowns, pauses and hangs. Times and work in microseconds; time is an argument and
- * never goes back.
+ * A backend server's machine without sockets: slots, a waiting room, cores shared evenly by what runs (processor
+ * sharing in virtual time: all running jobs gain at one rate, so the next to end is the one with the least virtual time
+ * left), loss when crowded, a cold start, slowdowns, pauses and hangs. Times and work in microseconds; time is an
+ * argument and never goes back.
  */
 public final class ServerModel {
     /** While capacity changes by itself the model looks again this often. */
     private static final long COLD_STEP = 50_000;
+
     private static final double DONE = 1e-6;
     private final MachineSpec spec;
     private final Kind kind;
@@ -73,12 +74,16 @@
     }
 
     /** The load that a machine would report of itself. */
-    public record Load(int inflight, long taken) {
-    }
+    public record Load(int inflight, long taken) {}
 
     /** @param meanWork of a request at this machine, in microseconds */
-    public ServerModel(MachineSpec spec, UniformRandomProvider noise, double fallMultiple, long fallSpan,
-                       double meanWork, long now) {
+    public ServerModel(
+            MachineSpec spec,
+            UniformRandomProvider noise,
+            double fallMultiple,
+            long fallSpan,
+            double meanWork,
+            long now) {
         this.spec = spec;
         kind = spec.kind();
         this.noise = noise;
@@ -253,8 +258,12 @@
         }
         double heldPerCore = (double) (held + waiting.size()) / kind.cores();
         double efficiency = 1 / (1 + kind.crowding() * Math.max(0, heldPerCore - kind.crowdedAt()));
-        return spec.speed() * Math.min(1, (double) kind.cores() / active) * efficiency * capacityShare(now)
-            / slower / sluggish.slower();
+        return spec.speed()
+                * Math.min(1, (double) kind.cores() / active)
+                * efficiency
+                * capacityShare(now)
+                / slower
+                / sluggish.slower();
     }
 
     /** The part of its capacity that a machine has which may be cold. */
@@ -263,7 +272,9 @@
             return 1;
         }
         double time = (double) (now - startedAt) / kind.warmTime().micros();
-        double work = kind.warmByWork() ? workDone / (0.5 * spec.capacity() * kind.warmTime().micros()) : 0;
+        double work = kind.warmByWork()
+                ? workDone / (0.5 * spec.capacity() * kind.warmTime().micros())
+                : 0;
         return Math.min(1, kind.coldShare() + (1 - kind.coldShare()) * Math.max(time, work));
     }
 
--- a/lab/src/main/java/calicochute/lab/server/SluggishState.java
+++ b/lab/src/main/java/calicochute/lab/server/SluggishState.java
@@ -33,7 +33,7 @@
         }
         restingSince = use >= rule.below() ? -1 : restingSince < 0 ? now : restingSince;
         if (restingSince >= 0 && now - restingSince >= rule.rest().micros()
-            || now - sluggishSince >= rule.most().micros()) {
+                || now - sluggishSince >= rule.most().micros()) {
             sluggishSince = -1;
         }
     }
--- a/lab/src/main/java/calicochute/lab/socket/Blackhole.java
+++ b/lab/src/main/java/calicochute/lab/socket/Blackhole.java
@@ -15,6 +15,7 @@
 public final class Blackhole implements AutoCloseable {
     /** A backlog of one holds two connections on Linux; more fillers than that stay half-open and do no harm. */
     private static final int FILLERS = 3;
+
     private final ServerSocket listener = new ServerSocket();
     private final List<SocketChannel> fillers = new ArrayList<>();
 
--- a/lab/src/main/java/calicochute/lab/socket/Link.java
+++ b/lab/src/main/java/calicochute/lab/socket/Link.java
@@ -8,13 +8,14 @@
 import org.apache.hc.core5.io.CloseMode;
 import org.apache.hc.core5.reactor.IOSession;
 
-/** One connection, as the world sees it. Its owner hears of it on the world's thread; writing is done from there too. */
+/**
+ * One connection, as the world sees it. Its owner hears of it on the world's thread; writing is done from there too.
+ */
 public final class Link {
     /** Whose connection it is. All calls come on the world's thread, in the order of what happened. */
     public interface Owner {
         /** It has just been accepted. */
-        default void accepted(Link link) {
-        }
+        default void accepted(Link link) {}
 
         /** A whole message came. */
         void message(Link link, HttpMessage message);
@@ -28,6 +29,7 @@
 
     /** What the owner keeps with the connection. */
     public Object mark;
+
     private final Deque<ByteBuffer> pending = new ArrayDeque<>();
     private final Owner owner;
     private final IOSession session;
--- a/lab/src/main/java/calicochute/lab/socket/MessageParser.java
+++ b/lab/src/main/java/calicochute/lab/socket/MessageParser.java
@@ -92,8 +92,9 @@
             if (colon <= 0) {
                 throw new Unreadable("a field without a name");
             }
-            fields.putIfAbsent(lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
-                lines[i].substring(colon + 1).trim());
+            fields.putIfAbsent(
+                    lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
+                    lines[i].substring(colon + 1).trim());
         }
         String said = fields.get("content-length");
         try {
--- a/lab/src/main/java/calicochute/lab/socket/Sockets.java
+++ b/lab/src/main/java/calicochute/lab/socket/Sockets.java
@@ -25,36 +25,48 @@
 
 /**
  * The lab's sockets on HttpCore's reactors, below its HTTP: a lab sends what no library would send, and must see bytes
- * when they come. One I/O thread for accepted connections and one for opened ones; both only cut bytes into messages and
- * post these to the world.
+ * when they come. One I/O thread for accepted connections and one for opened ones; both only cut bytes into messages
+ * and post these to the world.
  */
 public final class Sockets implements AutoCloseable {
     private static final int READ_AT_ONCE = 1 << 16;
     /** An address whose former listener is just ending is free within this many pauses. */
     static final int LISTEN_TRIES = 200;
-    private static final IOReactorConfig CONFIG = IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true)
-        .setBacklogSize(1024).setSoReuseAddress(true).setSelectInterval(TimeValue.ofMilliseconds(10)).build();
+
+    private static final IOReactorConfig CONFIG = IOReactorConfig.custom()
+            .setIoThreadCount(1)
+            .setTcpNoDelay(true)
+            .setBacklogSize(1024)
+            .setSoReuseAddress(true)
+            .setSelectInterval(TimeValue.ofMilliseconds(10))
+            .build();
     private final World world;
     private final DefaultListeningIOReactor listening;
     private final DefaultConnectingIOReactor connecting;
 
     /** Says who owns a connection that has just been accepted; on an I/O thread. Null: it is reset at once. */
-    public interface Acceptor extends Function<InetSocketAddress, Link.Owner> {
-    }
+    public interface Acceptor extends Function<InetSocketAddress, Link.Owner> {}
 
     public Sockets(World world) {
         this.world = world;
-        listening = new DefaultListeningIOReactor(this::accepted, CONFIG, new DefaultThreadFactory("lab-accepted", true),
-            new DefaultThreadFactory("lab-accept", true), null, e -> { }, null, null);
-        connecting = new DefaultConnectingIOReactor(this::opened, CONFIG, new DefaultThreadFactory("lab-opened", true),
-            null, e -> { }, null, null);
+        listening = new DefaultListeningIOReactor(
+                this::accepted,
+                CONFIG,
+                new DefaultThreadFactory("lab-accepted", true),
+                new DefaultThreadFactory("lab-accept", true),
+                null,
+                e -> {},
+                null,
+                null);
+        connecting = new DefaultConnectingIOReactor(
+                this::opened, CONFIG, new DefaultThreadFactory("lab-opened", true), null, e -> {}, null, null);
         listening.start();
         connecting.start();
     }
 
     /** Listens at an address, with port 0 at any; tries again for a while where a former listener is just ending. */
     public ListenerEndpoint listen(InetSocketAddress address, Acceptor acceptor) throws IOException {
-        for (int i = 0;; i++) {
+        for (int i = 0; ; i++) {
             try {
                 return listening.listen(address, acceptor, null).get(2, TimeUnit.SECONDS);
             } catch (ExecutionException | TimeoutException e) {
@@ -79,27 +91,32 @@
     }
 
     /** Opens a connection; the world hears {@code opened} with it, or {@code failed}. */
-    public void connect(InetSocketAddress address, long timeoutMicros, Link.Owner owner, Consumer<Link> opened,
-                        Runnable failed) {
+    public void connect(
+            InetSocketAddress address, long timeoutMicros, Link.Owner owner, Consumer<Link> opened, Runnable failed) {
         // With its text for a name: HttpHost would ask the system for the address's name, which can take seconds.
-        connecting.connect(new HttpHost(null, address.getAddress(), address.getHostString(), address.getPort()), address, null,
-            Timeout.ofMilliseconds(Math.max(1, timeoutMicros / 1000)), owner, new FutureCallback<>() {
-                @Override
-                public void completed(IOSession session) {
-                    Link made = ((Handler) session.getHandler()).link;
-                    world.post(() -> opened.accept(made));
-                }
-
-                @Override
-                public void failed(Exception cause) {
-                    world.post(failed);
-                }
-
-                @Override
-                public void cancelled() {
-                    world.post(failed);
-                }
-            });
+        connecting.connect(
+                new HttpHost(null, address.getAddress(), address.getHostString(), address.getPort()),
+                address,
+                null,
+                Timeout.ofMilliseconds(Math.max(1, timeoutMicros / 1000)),
+                owner,
+                new FutureCallback<>() {
+                    @Override
+                    public void completed(IOSession session) {
+                        Link made = ((Handler) session.getHandler()).link;
+                        world.post(() -> opened.accept(made));
+                    }
+
+                    @Override
+                    public void failed(Exception cause) {
+                        world.post(failed);
+                    }
+
+                    @Override
+                    public void cancelled() {
+                        world.post(failed);
+                    }
+                });
     }
 
     private IOEventHandler accepted(ProtocolIOSession session, Object attachment) {
@@ -159,7 +176,11 @@
                 return;
             }
             try {
-                parser.feed(bytes, count, world.now(), m -> world.post(() -> link.owner().message(link, m)));
+                parser.feed(
+                        bytes,
+                        count,
+                        world.now(),
+                        m -> world.post(() -> link.owner().message(link, m)));
             } catch (MessageParser.Unreadable e) {
                 spoilt = true;
                 world.post(() -> link.owner().unreadable(link, e.getMessage()));
--- a/lab/src/test/java/calicochute/lab/evenness/EvennessTest.java
+++ b/lab/src/test/java/calicochute/lab/evenness/EvennessTest.java
@@ -60,8 +60,11 @@
     }
 
     private static Load part(Phase phase, Parts.Against against) {
-        return phase.parts().stream().filter(p -> p.against().equals(against.words())).map(Part::load).findFirst()
-            .orElseThrow();
+        return phase.parts().stream()
+                .filter(p -> p.against().equals(against.words()))
+                .map(Part::load)
+                .findFirst()
+                .orElseThrow();
     }
 
     /** By hand: 10, 20 and 60 against 1, 1, 2 of 4 shares of 90, that is 22.5, 22.5 and 45; the fourth is left out. */
@@ -76,8 +79,14 @@
 
     @Test
     void theHerdIsOfBalancersAtOneServerInOneMoment() {
-        assertEquals(2, Herd.most(List.of(new Dispatch(0, 1, 0, true), new Dispatch(10, 1, 0, true),
-            new Dispatch(99_000, 2, 0, true), new Dispatch(99_500, 3, 1, true), new Dispatch(110_000, 3, 0, true))));
+        assertEquals(
+                2,
+                Herd.most(List.of(
+                        new Dispatch(0, 1, 0, true),
+                        new Dispatch(10, 1, 0, true),
+                        new Dispatch(99_000, 2, 0, true),
+                        new Dispatch(99_500, 3, 1, true),
+                        new Dispatch(110_000, 3, 0, true))));
         assertEquals(0, Herd.most(List.of()));
     }
 
@@ -103,13 +112,17 @@
         // Capacity squared.
         Phase power = of(sent(weighted(1, 1, 1, 1, 4, 4, 4, 4))).phases().get(0);
         assertEquals(2, power.power(), 0.05);
-        assertTrue(part(power, Parts.Against.CAPACITY).spread() > 5 * part(power, Parts.Against.POWER).spread());
+        assertTrue(part(power, Parts.Against.CAPACITY).spread()
+                > 5 * part(power, Parts.Against.POWER).spread());
         // Three times as much in one zone.
         Phase zone = of(sent(weighted(3, 1, 3, 1, 6, 2, 6, 2))).phases().get(0);
-        assertTrue(part(zone, Parts.Against.KIND).spread() > 5 * part(zone, Parts.Against.GROUP).spread());
+        assertTrue(part(zone, Parts.Against.KIND).spread()
+                > 5 * part(zone, Parts.Against.GROUP).spread());
         // All balancers alike, each with one server of each zone and kind: the first of the two for seven of ten.
         UniformRandomProvider draw = new Streams(9).of("test", 1);
-        Phase subset = of(sent(i -> 4 * draw.nextInt(2) + draw.nextInt(2) + (i % 10 < 7 ? 0 : 2))).phases().get(0);
+        Phase subset = of(sent(i -> 4 * draw.nextInt(2) + draw.nextInt(2) + (i % 10 < 7 ? 0 : 2)))
+                .phases()
+                .get(0);
         assertTrue(part(subset, Parts.Against.GROUP).spread() > 0.3);
         assertEquals(0, part(subset, Parts.Against.SUBSET).spread(), 1e-9);
     }
@@ -119,9 +132,17 @@
     void onlyServersWithRoomCount() {
         List<BitSet> seconds = new ArrayList<>(all(8).seconds());
         seconds.set(11, first(7));
-        Evenness e = Evenness.of("t", servers(), sent(i -> i % 8), new Room(seconds), LENGTH, List.of(),
-            new Streams(3).of("evenness", 0));
-        assertEquals(List.of(8, 8, 7), e.windows().stream().map(Evenness.Window::servers).toList());
+        Evenness e = Evenness.of(
+                "t",
+                servers(),
+                sent(i -> i % 8),
+                new Room(seconds),
+                LENGTH,
+                List.of(),
+                new Streams(3).of("evenness", 0));
+        assertEquals(
+                List.of(8, 8, 7),
+                e.windows().stream().map(Evenness.Window::servers).toList());
         assertEquals(8_750, e.windows().get(2).dispatches());
     }
 
@@ -132,15 +153,21 @@
         victims.set(6, 8);
         int[] wheel = {0, 1, 2, 3, 4, 4, 5, 5, 6, 6, 7, 7};
         List<Dispatch> sent = sent(i -> wheel[i % 12] >= 6 && i >= 4_500 && i < 8_950 ? i % 6 : wheel[i % 12]);
-        Sick sick = of(sent, new Sick.Trouble("slow", 4 * S, 8 * S, victims)).sick().get(0);
+        Sick sick =
+                of(sent, new Sick.Trouble("slow", 4 * S, 8 * S, victims)).sick().get(0);
         assertEquals(1 / 3.0, sick.fair(), 1e-9);
         assertEquals(0.3, sick.quarter(), 1e-9);
         assertEquals(0.9, sick.back(), 1e-9);
-        assertEquals(sent.stream().filter(d -> d.first() && d.server() >= 6 && d.at() >= 4 * S && d.at() < 8 * S).count(),
-            sick.firstTries());
+        assertEquals(
+                sent.stream()
+                        .filter(d -> d.first() && d.server() >= 6 && d.at() >= 4 * S && d.at() < 8 * S)
+                        .count(),
+                sick.firstTries());
         assertTrue(sick.firstTries() > 100);
         assertEquals(0, sick.shares().get(6), 1e-9);
-        Sick never = of(sent(i -> wheel[i % 12]), new Sick.Trouble("slow", 4 * S, 8 * S, victims)).sick().get(0);
+        Sick never = of(sent(i -> wheel[i % 12]), new Sick.Trouble("slow", 4 * S, 8 * S, victims))
+                .sick()
+                .get(0);
         assertNull(never.quarter());
         assertEquals(0, never.back(), 1e-9);
         assertEquals(1, never.ofFirstTries(), 0.02);
--- a/lab/src/test/java/calicochute/lab/experiment/ExperimentTest.java
+++ b/lab/src/test/java/calicochute/lab/experiment/ExperimentTest.java
@@ -23,14 +23,30 @@
     Path folder;
 
     private static RunResult run(long seed, double service, String ended) {
-        return new RunResult(RunResult.VERSION, "t", "s", seed, 1, ended, null, Map.of("service", service), List.of(),
-            List.of(), List.of(), List.of(), List.of(), List.of(), List.of(), Map.of(), List.of());
+        return new RunResult(
+                RunResult.VERSION,
+                "t",
+                "s",
+                seed,
+                1,
+                ended,
+                null,
+                Map.of("service", service),
+                List.of(),
+                List.of(),
+                List.of(),
+                List.of(),
+                List.of(),
+                List.of(),
+                List.of(),
+                Map.of(),
+                List.of());
     }
 
     @Test
     void theSpreadOfAFigure() {
-        Spread spread = Spread.of(List.of(run(1, 0.8, null), run(1, 1.0, null), run(1, 0.9, null),
-            run(1, 0.7, null))).get(0);
+        Spread spread = Spread.of(List.of(run(1, 0.8, null), run(1, 1.0, null), run(1, 0.9, null), run(1, 0.7, null)))
+                .get(0);
         assertEquals(0.85, spread.median(), 1e-9);
         assertEquals(0.3 / 0.85, spread.share(), 1e-9);
     }
@@ -38,16 +54,25 @@
     /** Worked by hand: differences 0.1, 0.2, 0.3 have the mean 0.2 and the standard error 0.0577; t(2) is 4.303. */
     @Test
     void pairsBySeedWithTheirInterval() {
-        Map<Long, List<Map<String, Double>>> base = Map.of(1L, List.of(Map.of("x", 1.0)), 2L, List.of(Map.of("x", 2.0)),
-            3L, List.of(Map.of("x", 2.0), Map.of("x", 4.0)), 9L, List.of(Map.of("x", 100.0)));
-        Map<Long, List<Map<String, Double>>> other = Map.of(1L, List.of(Map.of("x", 1.1)),
-            2L, List.of(Map.of("x", 2.2)), 3L, List.of(Map.of("x", 3.3)));
+        Map<Long, List<Map<String, Double>>> base = Map.of(
+                1L,
+                List.of(Map.of("x", 1.0)),
+                2L,
+                List.of(Map.of("x", 2.0)),
+                3L,
+                List.of(Map.of("x", 2.0), Map.of("x", 4.0)),
+                9L,
+                List.of(Map.of("x", 100.0)));
+        Map<Long, List<Map<String, Double>>> other =
+                Map.of(1L, List.of(Map.of("x", 1.1)), 2L, List.of(Map.of("x", 2.2)), 3L, List.of(Map.of("x", 3.3)));
         Difference d = Difference.of(base, other).get(0);
         assertEquals(3, d.pairs());
         assertEquals(0.2, d.mean(), 1e-9);
         assertEquals(0.2 - 4.303 * 0.1 / Math.sqrt(3), d.low(), 1e-3);
         assertFalse(d.clear());
-        assertTrue(Double.isInfinite(Difference.of(base, Map.of(1L, List.of(Map.of("x", 1.0)))).get(0).high()));
+        assertTrue(Double.isInfinite(Difference.of(base, Map.of(1L, List.of(Map.of("x", 1.0))))
+                .get(0)
+                .high()));
         assertEquals(List.of(), Difference.of(base, Map.of(7L, List.of(Map.of("x", 1.0)))));
     }
 
@@ -62,7 +87,8 @@
         assertThrows(IOException.class, () -> Variant.read(folder.resolve("c")));
         assertThrows(IOException.class, () -> Variant.read(folder.resolve("none")));
         Files.writeString(folder.resolve("a/result.json"), "{\"version\": 1,\n \"seed\": tomorrow}");
-        String told = assertThrows(IOException.class, () -> RunFolder.read(folder.resolve("a"))).getMessage();
+        String told = assertThrows(IOException.class, () -> RunFolder.read(folder.resolve("a")))
+                .getMessage();
         assertTrue(told.contains("result.json:2:"), told);
     }
 
@@ -72,12 +98,34 @@
         try (InputStream in = ExperimentTest.class.getResourceAsStream("/calicochute/lab/full.yaml")) {
             yaml = new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
-        assertEquals(0.9, new FieldChange("load.utilisation", "0.9").apply("s", yaml).load().utilisation());
-        assertEquals(8.0, new FieldChange("troubles[0].factor", "8").apply("s", yaml).troubles().get(0).factor());
-        assertEquals(60, new FieldChange("tiers[1].kinds[0].idle", "60s").apply("s", yaml).tiers().get(1).kinds()
-            .get(0).idle().seconds());
-        for (FieldChange wrong : List.of(new FieldChange("load.utilisation", "much"), new FieldChange("lood.x", "1"),
-            new FieldChange("troubles[77].factor", "1"), new FieldChange("troubles[x].factor", "1"))) {
+        assertEquals(
+                0.9,
+                new FieldChange("load.utilisation", "0.9")
+                        .apply("s", yaml)
+                        .load()
+                        .utilisation());
+        assertEquals(
+                8.0,
+                new FieldChange("troubles[0].factor", "8")
+                        .apply("s", yaml)
+                        .troubles()
+                        .get(0)
+                        .factor());
+        assertEquals(
+                60,
+                new FieldChange("tiers[1].kinds[0].idle", "60s")
+                        .apply("s", yaml)
+                        .tiers()
+                        .get(1)
+                        .kinds()
+                        .get(0)
+                        .idle()
+                        .seconds());
+        for (FieldChange wrong : List.of(
+                new FieldChange("load.utilisation", "much"),
+                new FieldChange("lood.x", "1"),
+                new FieldChange("troubles[77].factor", "1"),
+                new FieldChange("troubles[x].factor", "1"))) {
             assertThrows(ScenarioException.class, () -> wrong.apply("s", yaml), wrong::toString);
         }
     }
--- a/lab/src/test/java/calicochute/lab/network/NetTest.java
+++ b/lab/src/test/java/calicochute/lab/network/NetTest.java
@@ -43,8 +43,10 @@
 
     @Test
     void theSenderIsKnownByItsStandInAndAnswersGoBack() throws Exception {
-        try (Net net = Net.between(3, 5); DatagramSocket a = new DatagramSocket(net.real(0));
-             DatagramSocket b = new DatagramSocket(net.real(1)); DatagramSocket stranger = new DatagramSocket()) {
+        try (Net net = Net.between(3, 5);
+                DatagramSocket a = new DatagramSocket(net.real(0));
+                DatagramSocket b = new DatagramSocket(net.real(1));
+                DatagramSocket stranger = new DatagramSocket()) {
             send(a, net, 1, "hello");
             DatagramPacket got = receive(b);
             assertEquals("hello", text(got));
@@ -61,8 +63,9 @@
 
     @Test
     void faultsComeAndGoAtRunTime() throws Exception {
-        try (Net net = Net.between(2, 5); DatagramSocket a = new DatagramSocket(net.real(0));
-             DatagramSocket b = new DatagramSocket(net.real(1))) {
+        try (Net net = Net.between(2, 5);
+                DatagramSocket a = new DatagramSocket(net.real(0));
+                DatagramSocket b = new DatagramSocket(net.real(1))) {
             net.cut(0, 1);
             send(a, net, 1, "cut off");
             await(net, Net.Counted.CUT, 1);
@@ -89,8 +92,9 @@
     void aClosedNetCarriesNothingAndAFreePortIsLeft() throws Exception {
         Net net = Net.between(2, 5);
         net.close();
-        try (DatagramSocket a = new DatagramSocket(net.real(0)); DatagramSocket b = new DatagramSocket(net.real(1));
-             DatagramSocket standIn = new DatagramSocket(net.address(1))) {
+        try (DatagramSocket a = new DatagramSocket(net.real(0));
+                DatagramSocket b = new DatagramSocket(net.real(1));
+                DatagramSocket standIn = new DatagramSocket(net.address(1))) {
             send(a, net, 1, "to whom");
             assertEquals("to whom", text(receive(standIn)));
             b.setSoTimeout(1);
@@ -101,16 +105,20 @@
     @Test
     void theOperatorsFileNamesTheOthersByTheirStandIns() throws Exception {
         try (Net net = Net.between(3, 5)) {
-            FleetFile file = FleetFile.of("front: 1", net, 2, List.of(0, 2), true, false,
-                List.of(java.util.Map.of("name", "e1")), null);
+            FleetFile file = FleetFile.of(
+                    "front: 1", net, 2, List.of(0, 2), true, false, List.of(java.util.Map.of("name", "e1")), null);
             JsonNode read = new YAMLMapper().readTree(file.yaml());
             assertEquals("front: 1", read.get("cluster").asText());
             assertEquals("n2", read.get("me").asText());
-            assertEquals("127.0.0.1:" + net.real(2).getPort(), read.get("listen").asText());
-            assertEquals("[{\"id\":\"n0\",\"address\":\"127.0.0.1:" + net.address(0).getPort() + "\"}]",
-                read.get("peers").toString());
+            assertEquals(
+                    "127.0.0.1:" + net.real(2).getPort(), read.get("listen").asText());
+            assertEquals(
+                    "[{\"id\":\"n0\",\"address\":\"127.0.0.1:" + net.address(0).getPort() + "\"}]",
+                    read.get("peers").toString());
             assertEquals("e1", read.get("experiments").get(0).get("name").asText());
-            assertEquals("true false", read.get("share").asBoolean() + " " + read.get("bandit").asBoolean());
+            assertEquals(
+                    "true false",
+                    read.get("share").asBoolean() + " " + read.get("bandit").asBoolean());
             assertFalse(read.has("state"));
         }
     }
--- a/lab/src/test/java/calicochute/lab/network/WireTest.java
+++ b/lab/src/test/java/calicochute/lab/network/WireTest.java
@@ -66,9 +66,12 @@
         for (int i = 0; i < fates.size(); i++) {
             Fate f = fates.get(i);
             int sent = i;
-            assertEquals(f.cause() == Cause.LOST ? 0 : f.cause() == Cause.REPEATED ? 2 : 1, f.arrivals().size());
-            f.arrivals().forEach(at -> assertTrue(at >= sent + 1_000 && at <= sent + 1_000 + Wire.HELD_MOST
-                + Wire.REPEATED_WITHIN));
+            assertEquals(
+                    f.cause() == Cause.LOST ? 0 : f.cause() == Cause.REPEATED ? 2 : 1,
+                    f.arrivals().size());
+            f.arrivals()
+                    .forEach(at -> assertTrue(
+                            at >= sent + 1_000 && at <= sent + 1_000 + Wire.HELD_MOST + Wire.REPEATED_WITHIN));
             assertTrue(f.cause() != Cause.HELD || f.arrivals().get(0) >= sent + 1_000 + Wire.HELD_LEAST);
         }
     }
--- a/lab/src/test/java/calicochute/lab/plan/PlanTest.java
+++ b/lab/src/test/java/calicochute/lab/plan/PlanTest.java
@@ -57,21 +57,30 @@
         String alike = ScenarioReader.write(scenario(""));
         Deployment same = Deployment.draw(ScenarioReader.parse("s", alike), new Streams(7));
         same.machines().forEach(m -> assertEquals(1, same.size(m)));
-        Deployment mixed = Deployment.draw(ScenarioReader.parse("s", alike.replaceFirst("cores: 2", "cores: 5")), new Streams(7));
+        Deployment mixed =
+                Deployment.draw(ScenarioReader.parse("s", alike.replaceFirst("cores: 2", "cores: 5")), new Streams(7));
         for (int t = 0; t < mixed.scenario().tiers().size(); t++) {
-            assertEquals(1, mixed.machines(t).stream().mapToDouble(mixed::size).average().orElse(0), 1e-9);
+            assertEquals(
+                    1,
+                    mixed.machines(t).stream()
+                            .mapToDouble(mixed::size)
+                            .average()
+                            .orElse(0),
+                    1e-9);
         }
         assertTrue(mixed.machines().stream().anyMatch(m -> m.kind().cores() == 5));
         for (var one : mixed.machines()) {
             for (var other : mixed.machines(one.tier())) {
-                assertEquals((double) one.kind().cores() / other.kind().cores(), mixed.size(one) / mixed.size(other), 1e-9);
+                assertEquals(
+                        (double) one.kind().cores() / other.kind().cores(), mixed.size(one) / mixed.size(other), 1e-9);
             }
         }
     }
 
     private static Set<String> keys(List<Arrival> arrivals) {
-        return arrivals.stream().map(a -> a.at() + " " + a.classIndex() + " " + a.tenant() + " " + a.work() + " "
-            + a.patience()).collect(Collectors.toSet());
+        return arrivals.stream()
+                .map(a -> a.at() + " " + a.classIndex() + " " + a.tenant() + " " + a.work() + " " + a.patience())
+                .collect(Collectors.toSet());
     }
 
     @Test
@@ -104,8 +113,10 @@
     void everyCallingServerHasItsBalancer() throws Exception {
         Deployment deployment = Deployment.draw(scenario(""), new Streams(3));
         assertEquals(3 + 4, deployment.balancers().size());
-        List<String> owners = new ArrayList<>(deployment.balancers().stream().filter(b -> b.tier() == 1)
-            .map(BalancerSpec::owner).toList());
+        List<String> owners = new ArrayList<>(deployment.balancers().stream()
+                .filter(b -> b.tier() == 1)
+                .map(BalancerSpec::owner)
+                .toList());
         assertEquals(deployment.machines(0).stream().map(m -> m.id()).toList(), owners);
     }
 
@@ -119,13 +130,20 @@
         assertTrue(cut.victims().stream().noneMatch(cut.others()::contains));
         Stream.concat(cut.victims().stream(), cut.others().stream()).forEach(b -> assertTrue(b.startsWith("b1-"), b));
         assertEquals(2, plans.get(7).victims().size());
-        assertEquals(1, TroublePlan.draw(Deployment.draw(scenario(""), new Streams(3)), new Streams(3)).get(3).victims()
-            .stream().filter(b -> b.startsWith("b0-")).count());
+        assertEquals(
+                1,
+                TroublePlan.draw(Deployment.draw(scenario(""), new Streams(3)), new Streams(3))
+                        .get(3)
+                        .victims()
+                        .stream()
+                        .filter(b -> b.startsWith("b0-"))
+                        .count());
     }
 
     @Test
     void victimsOfARollingDrainEndOneAfterAnother() throws Exception {
-        TroublePlan drain = TroublePlan.draw(Deployment.draw(scenario(""), new Streams(3)), new Streams(3)).get(4);
+        TroublePlan drain = TroublePlan.draw(Deployment.draw(scenario(""), new Streams(3)), new Streams(3))
+                .get(4);
         assertEquals(2, drain.victims().size());
         assertEquals(2_000_000 + 5_000_000, drain.to() - drain.from());
     }
--- a/lab/src/test/java/calicochute/lab/process/FleetTest.java
+++ b/lab/src/test/java/calicochute/lab/process/FleetTest.java
@@ -38,7 +38,8 @@
 
     @Test
     public void whatSomeSeeTheOthersHeedWithoutATryOfTheirOwn() throws Exception {
-        try (SmallFleet fleet = new SmallFleet(5, 17, List.of("m1", "m1", "m1", "m1"), "share: true\nbandit: true\n", true, false)) {
+        try (SmallFleet fleet =
+                new SmallFleet(5, 17, List.of("m1", "m1", "m1", "m1"), "share: true\nbandit: true\n", true, false)) {
             fleet.net.loss(0.1);
             await("all", () -> fleet.figure(4, "live") == 5);
             fleet.script(0, e -> 500);
@@ -76,7 +77,9 @@
         """;
 
     /** Orders through a balancer, one after another, until the condition holds. */
-    private static void ordersUntil(SmallFleet fleet, int[] through, String what, java.util.concurrent.Callable<Boolean> done) throws Exception {
+    private static void ordersUntil(
+            SmallFleet fleet, int[] through, String what, java.util.concurrent.Callable<Boolean> done)
+            throws Exception {
         await(what, () -> {
             for (int i = 0; i < 40; i++) {
                 fleet.order(through[i % through.length]);
@@ -123,7 +126,11 @@
             fleet.net.split(0, 1);
             fleet.script(2, e -> 500);
             fleet.script(3, e -> 500);
-            ordersUntil(fleet, new int[] {0, 1, 2, 3, 4}, "harm on the larger side", () -> says(fleet, 2, "HARM") && says(fleet, 3, "HARM") && says(fleet, 4, "HARM"));
+            ordersUntil(
+                    fleet,
+                    new int[] {0, 1, 2, 3, 4},
+                    "harm on the larger side",
+                    () -> says(fleet, 2, "HARM") && says(fleet, 3, "HARM") && says(fleet, 4, "HARM"));
             assertTrue(says(fleet, 0, "NONE") && says(fleet, 1, "NONE"));
             fleet.net.heal();
             await("the same on both sides", () -> says(fleet, 0, "HARM") && says(fleet, 1, "HARM"));
@@ -135,13 +142,19 @@
         try (SmallFleet fleet = new SmallFleet(3, 13, List.of("m1", "m2"), TRIAL, true, true)) {
             begun(fleet, 0, 1, 2);
             fleet.script(1, e -> 500);
-            ordersUntil(fleet, new int[] {0, 1, 2}, "harm", () -> says(fleet, 0, "HARM") && says(fleet, 1, "HARM") && says(fleet, 2, "HARM"));
+            ordersUntil(
+                    fleet,
+                    new int[] {0, 1, 2},
+                    "harm",
+                    () -> says(fleet, 0, "HARM") && says(fleet, 1, "HARM") && says(fleet, 2, "HARM"));
             for (int i = 0; i < 3; i++) {
                 fleet.kill(i);
             }
             // A torn file does no harm: that balancer hears it from the others.
             try (var files = Files.list(fleet.folder.resolve("state"))) {
-                Path torn = files.filter(p -> p.getFileName().toString().startsWith("n2.")).findFirst().orElseThrow();
+                Path torn = files.filter(p -> p.getFileName().toString().startsWith("n2."))
+                        .findFirst()
+                        .orElseThrow();
                 Files.write(torn, java.util.Arrays.copyOf(Files.readAllBytes(torn), 20));
             }
             for (int i = 0; i < 3; i++) {
@@ -168,7 +181,9 @@
             fleet.signal(3, "CONT");
             fleet.launch(4);
             fleet.awaitReady(4);
-            await("both back", () -> fleet.figure(0, "live") == 5 && fleet.figure(3, "live") == 5 && fleet.figure(4, "live") == 5);
+            await(
+                    "both back",
+                    () -> fleet.figure(0, "live") == 5 && fleet.figure(3, "live") == 5 && fleet.figure(4, "live") == 5);
         }
     }
 
@@ -192,13 +207,20 @@
             String before = fleet.admin(0, "experiments").split(" ")[0];
             fleet.writeOperatorFile(0, TRIAL.replace("worse: 0.05", "worse: 0.01"));
             fleet.signal(0, "HUP");
-            await("another", () -> !fleet.admin(0, "experiments").split(" ")[0].equals(before) && fleet.admin(0, "experiments").contains("share=0.5"));
+            await(
+                    "another",
+                    () -> !fleet.admin(0, "experiments").split(" ")[0].equals(before)
+                            && fleet.admin(0, "experiments").contains("share=0.5"));
             assertTrue(fleet.log(0), fleet.log(0).contains("experiment-changed"));
             fleet.writeOperatorFile(0, TRIAL.replace("error: 0.05", "error: 0"));
             fleet.signal(0, "HUP");
-            await("refused", () -> fleet.log(0).contains("fleet-reload-failed") && fleet.log(0).contains("ERROR_OUT_OF_RANGE"));
+            await(
+                    "refused",
+                    () -> fleet.log(0).contains("fleet-reload-failed")
+                            && fleet.log(0).contains("ERROR_OUT_OF_RANGE"));
             assertTrue(fleet.admin(0, "experiments").contains("release-12"));
-            // Taken out while a session of it is with a server: the session ends as any other (a fault would show in the log at the end).
+            // Taken out while a session of it is with a server: the session ends as any other (a fault would show in
+            // the log at the end).
             CountDownLatch met = new CountDownLatch(1);
             CountDownLatch release = new CountDownLatch(1);
             for (int server = 0; server < 2; server++) {
@@ -208,7 +230,8 @@
                     return 200;
                 });
             }
-            CompletableFuture<Integer> answer = CompletableFuture.supplyAsync(() -> SmallFleet.unchecked(() -> fleet.view(0)));
+            CompletableFuture<Integer> answer =
+                    CompletableFuture.supplyAsync(() -> SmallFleet.unchecked(() -> fleet.view(0)));
             assertTrue(met.await(30, TimeUnit.SECONDS));
             fleet.writeOperatorFile(0, SHARE);
             fleet.signal(0, "HUP");
@@ -227,7 +250,10 @@
             Files.writeString(config, Files.readString(config).replace("\"name\":\"order\"", "\"name\":\"lend\""));
             fleet.writeOperatorFile(0, TRIAL.replace("order", "lend"));
             fleet.signal(0, "HUP");
-            await("begun, or refused", () -> fleet.log(0).contains("fleet-reload-failed") || fleet.admin(0, "experiments").contains("share=0.5"));
+            await(
+                    "begun, or refused",
+                    () -> fleet.log(0).contains("fleet-reload-failed")
+                            || fleet.admin(0, "experiments").contains("share=0.5"));
             assertTrue(fleet.log(0), !fleet.log(0).contains("fleet-reload-failed"));
         }
     }
@@ -243,8 +269,10 @@
                 assertTrue(threads.noneMatch(t -> named(t, "fleet")));
             }
             // A UDP socket of the process would be listed with the port that its file names.
-            String udp = Files.readString(Path.of("/proc/" + pid + "/net/udp")) + Files.readString(Path.of("/proc/" + pid + "/net/udp6"));
-            assertTrue(udp, !udp.contains(String.format(":%04X ", fleet.net.real(0).getPort())));
+            String udp = Files.readString(Path.of("/proc/" + pid + "/net/udp"))
+                    + Files.readString(Path.of("/proc/" + pid + "/net/udp6"));
+            assertTrue(
+                    udp, !udp.contains(String.format(":%04X ", fleet.net.real(0).getPort())));
         }
     }
 
--- a/lab/src/test/java/calicochute/lab/process/LabCommandTest.java
+++ b/lab/src/test/java/calicochute/lab/process/LabCommandTest.java
@@ -38,11 +38,17 @@
 
     private Process start(String... arguments) throws Exception {
         output = folder.newFile();
-        List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java", "-ea", "-cp",
-            System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-            "calicochute.lab.cli.LabMain"));
+        List<String> command = new ArrayList<>(List.of(
+                System.getProperty("java.home") + "/bin/java",
+                "-ea",
+                "-cp",
+                System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
+                "calicochute.lab.cli.LabMain"));
         command.addAll(List.of(arguments));
-        return new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(output).start();
+        return new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(output)
+                .start();
     }
 
     private int run(String... arguments) throws Exception {
@@ -93,8 +99,18 @@
         Path out = folder.newFolder().toPath();
         String command = RefereeCatchesTest.command("good");
         // Whether a run counts depends on how late a shared machine lets the lab's timers run.
-        int ran = run("lab", "run", file.toString(), "--out", out + "/a", "--seed", "3", "--balancer-command", command,
-            "--balancers", "2");
+        int ran = run(
+                "lab",
+                "run",
+                file.toString(),
+                "--out",
+                out + "/a",
+                "--seed",
+                "3",
+                "--balancer-command",
+                command,
+                "--balancers",
+                "2");
         RunResult result = RunFolder.read(out.resolve("a"));
         assertEquals(output(), result.counts() ? 0 : 1, ran);
         assertEquals(3, result.seed());
@@ -104,18 +120,34 @@
         assertTrue(result.evenness().get(0).windows().get(0).dispatches() > 30);
         assertTrue(result.figures().get("load_most_only") >= 1);
         for (String table : List.of("seconds", "servers", "balancers", "latencies", "figures", "dispatches")) {
-            assertTrue(table, Files.readAllLines(out.resolve("a/" + table + ".csv")).size() > 1);
+            assertTrue(
+                    table,
+                    Files.readAllLines(out.resolve("a/" + table + ".csv")).size() > 1);
         }
         String page = Files.readString(out.resolve("a/report.html"));
-        assertTrue(page.contains("<svg") && page.contains("All rules were kept") && page.contains("How even the load was: only") && !page.contains("src="));
+        assertTrue(page.contains("<svg")
+                && page.contains("All rules were kept")
+                && page.contains("How even the load was: only")
+                && !page.contains("src="));
         Files.delete(out.resolve("a/report.html"));
         assertEquals(0, run("lab", "report", out + "/a"));
         assertTrue(Files.exists(out.resolve("a/report.html")));
         run("lab", "replay", out + "/a", "--times", "2", "--balancer-command", command);
-        assertEquals(result.figures().get("requests"),
-            RunFolder.read(out.resolve("a/replays/replay-2")).figures().get("requests"));
-        run("lab", "sweep", file.toString(), "--field", "load.rate", "--over", "30/s,60/s", "--out", out + "/s",
-            "--balancer-command", command);
+        assertEquals(
+                result.figures().get("requests"),
+                RunFolder.read(out.resolve("a/replays/replay-2")).figures().get("requests"));
+        run(
+                "lab",
+                "sweep",
+                file.toString(),
+                "--field",
+                "load.rate",
+                "--over",
+                "30/s,60/s",
+                "--out",
+                out + "/s",
+                "--balancer-command",
+                command);
         assertEquals(output(), 3, Files.readAllLines(out.resolve("s/sweep.csv")).size());
         // The one that is missing first: whether the other counts depends on the machine.
         assertEquals(1, run("lab", "compare", out + "/nothing", out + "/a"));
@@ -126,8 +158,14 @@
     @Test
     public void theDemoPlaysTwoTiers() throws Exception {
         Path out = folder.newFolder().toPath();
-        int status = run("demo", "--seconds", "5", "--out", out.toString(), "--balancer-command",
-            RefereeCatchesTest.command("good"));
+        int status = run(
+                "demo",
+                "--seconds",
+                "5",
+                "--out",
+                out.toString(),
+                "--balancer-command",
+                RefereeCatchesTest.command("good"));
         assertEquals(output(), 0, status);
         RunResult result = RunFolder.read(out);
         assertTrue(output(), output().contains("service_worst_class") && output().contains("report: "));
@@ -138,8 +176,23 @@
     @Test
     public void overheadComparesThreeWays() throws Exception {
         Path out = folder.newFolder().toPath();
-        assertEquals(0, run("lab", "overhead", "--rounds", "1", "--seconds", "1", "--rate", "50", "--together", "4",
-            "--out", out.toString(), "--balancer-command", RefereeCatchesTest.command("good")));
+        assertEquals(
+                0,
+                run(
+                        "lab",
+                        "overhead",
+                        "--rounds",
+                        "1",
+                        "--seconds",
+                        "1",
+                        "--rate",
+                        "50",
+                        "--together",
+                        "4",
+                        "--out",
+                        out.toString(),
+                        "--balancer-command",
+                        RefereeCatchesTest.command("good")));
         List<String> table = Files.readAllLines(out.resolve("overhead.csv"));
         assertEquals(4, table.size());
         for (String row : table.subList(1, 4)) {
@@ -152,15 +205,25 @@
     @Test
     public void anInterruptLeavesNothingBehind() throws Exception {
         Path out = folder.newFolder().toPath();
-        Process lab = start("lab", "run", scenario("100s").toString(), "--out", out.toString(), "--balancer-command",
-            RefereeCatchesTest.command("good"));
+        Process lab = start(
+                "lab",
+                "run",
+                scenario("100s").toString(),
+                "--out",
+                out.toString(),
+                "--balancer-command",
+                RefereeCatchesTest.command("good"));
         long latest = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
         while (!output().contains("of 100 s") && System.nanoTime() < latest) {
             Thread.sleep(20);
         }
         List<ProcessHandle> balancers = lab.descendants().toList();
         assertFalse(output(), balancers.isEmpty());
-        assertEquals(0, new ProcessBuilder("kill", "-INT", Long.toString(lab.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-INT", Long.toString(lab.pid()))
+                        .start()
+                        .waitFor());
         assertTrue("did not end", lab.waitFor(30, TimeUnit.SECONDS));
         for (ProcessHandle balancer : balancers) {
             balancer.onExit().get(30, TimeUnit.SECONDS);
--- a/lab/src/test/java/calicochute/lab/process/RefereeCatchesTest.java
+++ b/lab/src/test/java/calicochute/lab/process/RefereeCatchesTest.java
@@ -56,13 +56,18 @@
 
     static String command(String mode) {
         return "exec '" + System.getProperty("java.home") + "/bin/java' -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -cp '"
-            + System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"))
-            + "' calicochute.lab.process.ScriptedBalancer " + mode;
+                + System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"))
+                + "' calicochute.lab.process.ScriptedBalancer " + mode;
     }
 
     private Outcome play(String mode, String scenario) throws Exception {
-        return new Emulation(ScenarioReader.parse("test", scenario), 5, folder.newFolder().toPath(),
-            new Emulation.Balancers(command(mode), Path.of(".")), (a, b, c, d, e) -> { }).run();
+        return new Emulation(
+                        ScenarioReader.parse("test", scenario),
+                        5,
+                        folder.newFolder().toPath(),
+                        new Emulation.Balancers(command(mode), Path.of(".")),
+                        (a, b, c, d, e) -> {})
+                .run();
     }
 
     private void caught(String mode, String scenario, Rule... rules) throws Exception {
@@ -88,9 +93,14 @@
     /** Clients are told of failures after 1 s, while servers still wait for the tier behind them: the run waits too. */
     @Test
     public void aGoodOneBehindAnotherIsNotCutOff() throws Exception {
-        caught("good", SCENARIO.replace("work: 10ms", "work: 4s").replace("tiers: [{name: only, servers: 3, work: 1, ",
-            "tiers: [{name: front, servers: 3, work: 0.3, calls: [1, 1], kinds: [{name: f, slots: 200}]}, "
-                + "{name: behind, servers: 3, work: 0.7, ").replace("slots: 4,", "slots: 200,"));
+        caught(
+                "good",
+                SCENARIO.replace("work: 10ms", "work: 4s")
+                        .replace(
+                                "tiers: [{name: only, servers: 3, work: 1, ",
+                                "tiers: [{name: front, servers: 3, work: 0.3, calls: [1, 1], kinds: [{name: f, slots: 200}]}, "
+                                        + "{name: behind, servers: 3, work: 0.7, ")
+                        .replace("slots: 4,", "slots: 200,"));
     }
 
     @Test
@@ -126,8 +136,10 @@
 
     @Test
     public void floodsAColdServer() throws Exception {
-        caught("floods", SCENARIO.replace("work: 10ms", "work: 40ms").replace("notice: 200ms", "notice: 50ms")
-            + TROUBLES, Rule.PUSHED_OVER);
+        caught(
+                "floods",
+                SCENARIO.replace("work: 10ms", "work: 40ms").replace("notice: 200ms", "notice: 50ms") + TROUBLES,
+                Rule.PUSHED_OVER);
     }
 
     /**
@@ -136,9 +148,14 @@
      */
     @Test
     public void aFleetTalksThroughTheLab() throws Exception {
-        Outcome outcome = play("good", SCENARIO.replace("count: 1", "count: 2").replace(
-            "tiers: [{name: only, servers: 3, work: 1, ", "tiers: [{name: front, servers: 2, work: 0.5, calls: [1, 1], "
-                + "kinds: [{name: f, slots: 9}]}, {name: only, servers: 3, work: 0.5, ") + """
+        Outcome outcome = play(
+                "good",
+                SCENARIO.replace("count: 1", "count: 2")
+                                .replace(
+                                        "tiers: [{name: only, servers: 3, work: 1, ",
+                                        "tiers: [{name: front, servers: 2, work: 0.5, calls: [1, 1], "
+                                                + "kinds: [{name: f, slots: 9}]}, {name: only, servers: 3, work: 0.5, ")
+                        + """
             fleet: {state: true, experiments: [{name: e1}], network: {delay: 2ms}}
             troubles:
               - {kind: net-split, at: 500ms, lasts: 1s, tier: only, balancers: 1}
@@ -146,10 +163,16 @@
             """);
         assertNull(outcome.ended(), outcome.ended());
         assertEquals(List.of(), outcome.breaches());
-        assertTrue(outcome.datagrams().toString(), outcome.datagrams().get("cut") > 5
-            && outcome.datagrams().get("delivered") > 50 && outcome.datagrams().get("unknown") == 0);
-        Path work = Files.walk(folder.getRoot().toPath()).filter(p -> p.endsWith("b1-0.log")).findFirst().orElseThrow()
-            .getParent();
+        assertTrue(
+                outcome.datagrams().toString(),
+                outcome.datagrams().get("cut") > 5
+                        && outcome.datagrams().get("delivered") > 50
+                        && outcome.datagrams().get("unknown") == 0);
+        Path work = Files.walk(folder.getRoot().toPath())
+                .filter(p -> p.endsWith("b1-0.log"))
+                .findFirst()
+                .orElseThrow()
+                .getParent();
         assertTrue(Files.readString(work.resolve("b1-0.log")).contains("heard n3 from"));
         assertFalse(Files.readString(work.resolve("b1-0.log")).contains("heard n0 from"));
         assertTrue(Files.readString(work.resolve("b1-0.json")).contains("\"peers\":true"));
--- a/lab/src/test/java/calicochute/lab/process/ScriptedBalancer.java
+++ b/lab/src/test/java/calicochute/lab/process/ScriptedBalancer.java
@@ -26,8 +26,7 @@
     private static final Map<String, JsonNode> SERVERS = new LinkedHashMap<>();
     private static String mode;
 
-    private ScriptedBalancer() {
-    }
+    private ScriptedBalancer() {}
 
     private record Message(String head, byte[] body) {
         byte[] bytes() {
@@ -61,8 +60,8 @@
         if (System.getenv("PROXY_FLEET") != null) {
             thread(() -> talk(new YAMLMapper().readTree(new File(System.getenv("PROXY_FLEET")))));
         }
-        try (ServerSocket listener = new ServerSocket(Integer.parseInt(listen[1]), 200,
-            InetAddress.getByName(listen[0]))) {
+        try (ServerSocket listener =
+                new ServerSocket(Integer.parseInt(listen[1]), 200, InetAddress.getByName(listen[0]))) {
             while (true) {
                 Socket client = listener.accept();
                 thread(() -> serve(client));
@@ -78,7 +77,7 @@
                 while (true) {
                     socket.receive(heard);
                     System.out.println("heard " + new String(heard.getData(), 0, heard.getLength()) + " from "
-                        + heard.getSocketAddress());
+                            + heard.getSocketAddress());
                 }
             });
             while (true) {
@@ -130,7 +129,8 @@
         while (true) {
             try (Socket discovery = new Socket(at[0], Integer.parseInt(at[1]))) {
                 discovery.getOutputStream().write("GET /v1/endpoints HTTP/1.1\r\nHost: d\r\n\r\n".getBytes());
-                JsonNode page = new ObjectMapper().readTree(Message.read(discovery.getInputStream()).body());
+                JsonNode page = new ObjectMapper()
+                        .readTree(Message.read(discovery.getInputStream()).body());
                 if (!mode.equals("drains-late")) {
                     list(page);
                 }
@@ -158,7 +158,8 @@
         try (Socket server = new Socket(at.getAddress(), at.getPort())) {
             server.setTcpNoDelay(true);
             String left = request.head().replaceAll("(?is).*x-remaining-ms: (\\d+).*", "$1");
-            // Half of it is kept for a machine that lets this process run late: its own answer must be in time all the same.
+            // Half of it is kept for a machine that lets this process run late: its own answer must be in time all the
+            // same.
             server.setSoTimeout(Math.max(1, Integer.parseInt(left) / 2));
             server.getOutputStream().write(request.bytes());
             return Message.read(server.getInputStream());
@@ -175,7 +176,8 @@
                     answer = "HTTP/1.1 200 -\r\nContent-Length: 0\r\n\r\n".getBytes();
                 } else {
                     int session = SESSIONS.incrementAndGet();
-                    boolean once = request.head().startsWith("POST") && !request.head().contains("Idempotency-Key");
+                    boolean once =
+                            request.head().startsWith("POST") && !request.head().contains("Idempotency-Key");
                     if (mode.equals("crashes") && session > 20) {
                         Runtime.getRuntime().halt(7);
                     }
@@ -188,7 +190,8 @@
                         }
                         answer = dispatch(request, session).bytes();
                     } catch (IOException | RuntimeException e) {
-                        // 502. Guards against a server that ends without an answer, or a list with none on it: a connection
+                        // 502. Guards against a server that ends without an answer, or a list with none on it: a
+                        // connection
                         // ended for that is a session lost by the balancer that keeps all rules.
                         System.out.println("no answer: " + e);
                     }
--- a/lab/src/test/java/calicochute/lab/process/SmallFleet.java
+++ b/lab/src/test/java/calicochute/lab/process/SmallFleet.java
@@ -32,7 +32,9 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** A few real balancers as processes, their datagrams led through a net with faults, before scripted backend servers. */
+/**
+ * A few real balancers as processes, their datagrams led through a net with faults, before scripted backend servers.
+ */
 final class SmallFleet implements AutoCloseable {
     private static final String SETTINGS = """
         {"accounts":[{"allowance_per_s":1000.0,"name":"library","portion":1.0}],"balancers":%d,"me":%d,
@@ -47,7 +49,7 @@
     private static final String ORDER = "POST";
 
     /** What a backend server answers: 200, or another status. */
-    interface Script extends Function<HttpExchange, Integer> { }
+    interface Script extends Function<HttpExchange, Integer> {}
 
     final Net net;
     final Path folder;
@@ -65,14 +67,16 @@
     private final int[] starts;
     private final CountDownLatch ended = new CountDownLatch(1);
     private final AtomicLong sessions = new AtomicLong();
-    private final HttpClient client = HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(5)).build();
+    private final HttpClient client =
+            HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(5)).build();
 
     /**
      * @param kinds of the servers, one for each
      * @param operators the operator's file behind the peers, such as {@code experiments: [...]}
      * @param peers whether the settings allow talk between balancers
      */
-    SmallFleet(int size, long seed, List<String> kinds, String operators, boolean peers, boolean remembers) throws Exception {
+    SmallFleet(int size, long seed, List<String> kinds, String operators, boolean peers, boolean remembers)
+            throws Exception {
         this.size = size;
         this.operators = operators;
         this.peers = peers;
@@ -149,25 +153,43 @@
     }
 
     private String list() {
-        return IntStream.range(0, servers.size()).mapToObj(i -> "{\"instanceId\":\"s" + i + "\",\"hostPort\":\"127.0.0.1:"
-            + servers.get(i).getAddress().getPort() + "\",\"zone\":\"a\",\"cell\":0,\"machineType\":\"" + kinds.get("s" + i)
-            + "\",\"lifecycle\":\"Ready\",\"weight\":1.0,\"startedAtMs\":0}")
-            .collect(Collectors.joining(",", "{\"generation\":1,\"reset\":true,\"instances\":[", "]}"));
+        return IntStream.range(0, servers.size())
+                .mapToObj(i -> "{\"instanceId\":\"s" + i + "\",\"hostPort\":\"127.0.0.1:"
+                        + servers.get(i).getAddress().getPort() + "\",\"zone\":\"a\",\"cell\":0,\"machineType\":\""
+                        + kinds.get("s" + i)
+                        + "\",\"lifecycle\":\"Ready\",\"weight\":1.0,\"startedAtMs\":0}")
+                .collect(Collectors.joining(",", "{\"generation\":1,\"reset\":true,\"instances\":[", "]}"));
     }
 
     /** Starts a balancer, for the first time or again; {@link #awaitReady} waits for it. */
     void launch(int i) throws IOException {
         Path config = folder.resolve("n" + i + ".json");
-        Files.writeString(config, "{\"name\":\"n" + i + "\",\"listen\":\"127.0.0.1:" + ports[i] + "\",\"admin_addr\":\"127.0.0.1:" + admins[i]
-            + "\",\"discovery\":\"127.0.0.1:" + discovery.getAddress().getPort() + "\",\"seed\":\"" + (i + 1)
-            + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":128,\"sockets\":512},\"known\":" + list() + ",\"settings\":"
-            + SETTINGS.formatted(size, i, peers) + "}");
+        Files.writeString(
+                config,
+                "{\"name\":\"n" + i + "\",\"listen\":\"127.0.0.1:" + ports[i] + "\",\"admin_addr\":\"127.0.0.1:"
+                        + admins[i]
+                        + "\",\"discovery\":\"127.0.0.1:"
+                        + discovery.getAddress().getPort() + "\",\"seed\":\"" + (i + 1)
+                        + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":128,\"sockets\":512},\"known\":" + list()
+                        + ",\"settings\":"
+                        + SETTINGS.formatted(size, i, peers) + "}");
         Path file = operatorFile(i);
         writeOperatorFile(i, operators);
-        List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java", "-ea", "-Xmx96m", "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-            "calicochute.cli.Main", "serve", "--config", config.toString()));
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log(i, starts[i]++).toFile());
+        List<String> command = new ArrayList<>(List.of(
+                System.getProperty("java.home") + "/bin/java",
+                "-ea",
+                "-Xmx96m",
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
+                "calicochute.cli.Main",
+                "serve",
+                "--config",
+                config.toString()));
+        ProcessBuilder builder = new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(log(i, starts[i]++).toFile());
         builder.environment().put("PROXY_FLEET", file.toString());
         processes[i] = builder.start();
     }
@@ -177,10 +199,15 @@
     }
 
     void writeOperatorFile(int i, String rest) throws IOException {
-        Files.writeString(operatorFile(i), "cluster: archive\nme: n" + i + "\nlisten: 127.0.0.1:" + net.real(i).getPort() + "\npeers:\n"
-            + IntStream.range(0, size).mapToObj(p -> "  - {id: n" + p + ", address: \"127.0.0.1:" + net.address(p).getPort() + "\"}\n")
-                .collect(Collectors.joining())
-            + (remembers ? "state: " + folder.resolve("state") + "\n" : "") + rest);
+        Files.writeString(
+                operatorFile(i),
+                "cluster: archive\nme: n" + i + "\nlisten: 127.0.0.1:"
+                        + net.real(i).getPort() + "\npeers:\n"
+                        + IntStream.range(0, size)
+                                .mapToObj(p -> "  - {id: n" + p + ", address: \"127.0.0.1:"
+                                        + net.address(p).getPort() + "\"}\n")
+                                .collect(Collectors.joining())
+                        + (remembers ? "state: " + folder.resolve("state") + "\n" : "") + rest);
     }
 
     private Path log(int i, int start) {
@@ -193,11 +220,14 @@
     }
 
     void awaitReady(int i) throws Exception {
-        await("balancer " + i + " ready", () -> get(ports[i], "/ready", Map.of()).statusCode() == 200);
+        await(
+                "balancer " + i + " ready",
+                () -> get(ports[i], "/ready", Map.of()).statusCode() == 200);
     }
 
     private HttpResponse<String> get(int port, String path, Map<String, String> fields) throws Exception {
-        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path)).timeout(Duration.ofSeconds(10));
+        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
+                .timeout(Duration.ofSeconds(10));
         fields.forEach(request::header);
         return client.send(request.build(), HttpResponse.BodyHandlers.ofString());
     }
@@ -209,13 +239,26 @@
 
     /** A session of class order; its status. */
     int order(int balancer) throws Exception {
-        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + ports[balancer] + "/api")).timeout(Duration.ofSeconds(10));
+        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + ports[balancer] + "/api"))
+                .timeout(Duration.ofSeconds(10));
         fields("order").forEach(request::header);
-        return client.send(request.method(ORDER, HttpRequest.BodyPublishers.ofString("x")).build(), HttpResponse.BodyHandlers.ofString()).statusCode();
+        return client.send(
+                        request.method(ORDER, HttpRequest.BodyPublishers.ofString("x"))
+                                .build(),
+                        HttpResponse.BodyHandlers.ofString())
+                .statusCode();
     }
 
     private Map<String, String> fields(String lane) {
-        return Map.of("X-Txn", String.format("%016x", sessions.incrementAndGet()), "X-Lane", lane, "X-Org", "library", "X-Remaining-Ms", "800");
+        return Map.of(
+                "X-Txn",
+                String.format("%016x", sessions.incrementAndGet()),
+                "X-Lane",
+                lane,
+                "X-Org",
+                "library",
+                "X-Remaining-Ms",
+                "800");
     }
 
     String admin(int balancer, String call) throws Exception {
@@ -224,8 +267,11 @@
 
     /** The value behind a name on the page of the fleet; -1 if there is none. */
     long figure(int balancer, String name) throws Exception {
-        return Arrays.stream(admin(balancer, "fleet").split("\n")).filter(l -> l.startsWith(name + " "))
-            .mapToLong(l -> Long.parseLong(l.substring(name.length() + 1).trim())).findFirst().orElse(-1);
+        return Arrays.stream(admin(balancer, "fleet").split("\n"))
+                .filter(l -> l.startsWith(name + " "))
+                .mapToLong(l -> Long.parseLong(l.substring(name.length() + 1).trim()))
+                .findFirst()
+                .orElse(-1);
     }
 
     long pid(int i) {
@@ -237,7 +283,11 @@
     }
 
     void signal(int i, String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(processes[i].pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, Long.toString(processes[i].pid()))
+                        .start()
+                        .waitFor());
     }
 
     void kill(int i) throws Exception {
