--- a/lab/src/test/java/calicochute/lab/referee/RefereeTest.java
+++ b/lab/src/test/java/calicochute/lab/referee/RefereeTest.java
@@ -19,7 +19,9 @@
     private static void expect(Consumer<Referee> story, Rule... rules) {
         Referee referee = new Referee(3_050 * MS);
         story.accept(referee);
-        assertEquals(Arrays.asList(rules), referee.verdict().stream().map(Breach::rule).toList());
+        assertEquals(
+                Arrays.asList(rules),
+                referee.verdict().stream().map(Breach::rule).toList());
         // A second look finds nothing new.
         assertEquals(rules.length, referee.verdict().size());
     }
@@ -48,13 +50,15 @@
 
     @Test
     void onceIsNotSentAgainUnlessItSurelyNeverRan() {
-        expect(r -> {
-            taken(r, ONCE);
-            r.ended(2 * MS, sent(r, 1 * MS, "a", "s1"));
-            r.ended(5 * MS, sent(r, 4 * MS, "a", "s2"));
-            r.ended(7 * MS, sent(r, 6 * MS, "a", "s3"));
-            r.answered(9 * MS, "a", 502, "");
-        }, Rule.RAN_TWICE);
+        expect(
+                r -> {
+                    taken(r, ONCE);
+                    r.ended(2 * MS, sent(r, 1 * MS, "a", "s1"));
+                    r.ended(5 * MS, sent(r, 4 * MS, "a", "s2"));
+                    r.ended(7 * MS, sent(r, 6 * MS, "a", "s3"));
+                    r.answered(9 * MS, "a", 502, "");
+                },
+                Rule.RAN_TWICE);
     }
 
     @Test
@@ -65,12 +69,14 @@
             r.ended(7_500 * MS, sent(r, 7_400 * MS, "a", "s2"));
             r.answered(7_600 * MS, "a", 503, "");
         });
-        expect(r -> {
-            taken(r, KEYED);
-            r.ended(2 * MS, sent(r, 1 * MS, "a", "s1"));
-            r.ended(7_600 * MS, sent(r, 7_502 * MS, "a", "s2"));
-            r.answered(7_700 * MS, "a", 502, "");
-        }, Rule.RAN_TWICE);
+        expect(
+                r -> {
+                    taken(r, KEYED);
+                    r.ended(2 * MS, sent(r, 1 * MS, "a", "s1"));
+                    r.ended(7_600 * MS, sent(r, 7_502 * MS, "a", "s2"));
+                    r.answered(7_700 * MS, "a", 502, "");
+                },
+                Rule.RAN_TWICE);
     }
 
     @Test
@@ -84,35 +90,43 @@
             r.ended(80 * MS, second);
             r.answered(81 * MS, "a", 200, Referee.token(second));
         });
-        expect(r -> {
-            taken(r, REPEATABLE);
-            Referee.Dispatch first = sent(r, 1 * MS, "a", "s1");
-            Referee.Dispatch second = sent(r, 50 * MS, "a", "s2");
-            r.ended(80 * MS, second);
-            r.answered(81 * MS, "a", 200, Referee.token(second));
-            r.ended(200 * MS, first);
-        }, Rule.TWO_AT_ONCE);
+        expect(
+                r -> {
+                    taken(r, REPEATABLE);
+                    Referee.Dispatch first = sent(r, 1 * MS, "a", "s1");
+                    Referee.Dispatch second = sent(r, 50 * MS, "a", "s2");
+                    r.ended(80 * MS, second);
+                    r.answered(81 * MS, "a", 200, Referee.token(second));
+                    r.ended(200 * MS, first);
+                },
+                Rule.TWO_AT_ONCE);
     }
 
     @Test
     void oneFinalAnswerAndNoneForged() {
-        expect(r -> {
-            taken(r, ONCE);
-            Referee.Dispatch d = sent(r, 1 * MS, "a", "s1");
-            r.ended(2 * MS, d);
-            r.answered(3 * MS, "a", 200, Referee.token(d));
-            r.answeredAgain(4 * MS, "a");
-            r.answeredAgain(5 * MS, "a");
-        }, Rule.ANSWERED_TWICE);
-        expect(r -> {
-            taken(r, ONCE);
-            r.ended(2 * MS, sent(r, 1 * MS, "a", "s1"));
-            r.answered(3 * MS, "a", 200, "made up");
-        }, Rule.FORGED);
-        expect(r -> {
-            taken(r, ONCE);
-            r.unanswered(8_051 * MS, "a", "silence");
-        }, Rule.LOST);
+        expect(
+                r -> {
+                    taken(r, ONCE);
+                    Referee.Dispatch d = sent(r, 1 * MS, "a", "s1");
+                    r.ended(2 * MS, d);
+                    r.answered(3 * MS, "a", 200, Referee.token(d));
+                    r.answeredAgain(4 * MS, "a");
+                    r.answeredAgain(5 * MS, "a");
+                },
+                Rule.ANSWERED_TWICE);
+        expect(
+                r -> {
+                    taken(r, ONCE);
+                    r.ended(2 * MS, sent(r, 1 * MS, "a", "s1"));
+                    r.answered(3 * MS, "a", 200, "made up");
+                },
+                Rule.FORGED);
+        expect(
+                r -> {
+                    taken(r, ONCE);
+                    r.unanswered(8_051 * MS, "a", "silence");
+                },
+                Rule.LOST);
         expect(r -> {
             taken(r, ONCE);
             r.left("a");
@@ -125,28 +139,36 @@
         });
     }
 
-    /** Its connections are reset a while after the kill; the next process, and a balancer that nobody killed, have no such excuse. */
+    /**
+     * Its connections are reset a while after the kill; the next process, and a balancer that nobody killed, have no
+     * such excuse.
+     */
     @Test
     void whatAKilledBalancerIsSentBeforeItsNextStartIsNobodysFault() {
-        expect(r -> {
-            r.killed("b0");
-            r.taken(1 * MS, "a", "b0", ONCE, 8_000 * MS);
-            r.taken(2 * MS, "b", "b1", ONCE, 8_000 * MS);
-            r.unanswered(70 * MS, "a", "the balancer ended the connection");
-            r.unanswered(71 * MS, "b", "the balancer ended the connection");
-            r.started("b0");
-            r.taken(500 * MS, "c", "b0", ONCE, 8_500 * MS);
-            r.unanswered(501 * MS, "c", "the balancer ended the connection");
-        }, Rule.LOST, Rule.LOST);
+        expect(
+                r -> {
+                    r.killed("b0");
+                    r.taken(1 * MS, "a", "b0", ONCE, 8_000 * MS);
+                    r.taken(2 * MS, "b", "b1", ONCE, 8_000 * MS);
+                    r.unanswered(70 * MS, "a", "the balancer ended the connection");
+                    r.unanswered(71 * MS, "b", "the balancer ended the connection");
+                    r.started("b0");
+                    r.taken(500 * MS, "c", "b0", ONCE, 8_500 * MS);
+                    r.unanswered(501 * MS, "c", "the balancer ended the connection");
+                },
+                Rule.LOST,
+                Rule.LOST);
     }
 
     @Test
     void aDenyIsOnlyForWhatNeverRan() {
-        expect(r -> {
-            taken(r, ONCE);
-            r.ended(2 * MS, sent(r, 1 * MS, "a", "s1"));
-            r.answered(3 * MS, "a", 429, "");
-        }, Rule.DENIED_AFTER_RUN);
+        expect(
+                r -> {
+                    taken(r, ONCE);
+                    r.ended(2 * MS, sent(r, 1 * MS, "a", "s1"));
+                    r.answered(3 * MS, "a", 429, "");
+                },
+                Rule.DENIED_AFTER_RUN);
         for (ClassRule rule : List.of(KEYED, REPEATABLE)) {
             expect(r -> {
                 taken(r, rule);
@@ -158,14 +180,16 @@
 
     @Test
     void nothingNewAfterTheGrace() {
-        expect(r -> {
-            taken(r, REPEATABLE);
-            r.toldLeaving(0, "b0", "s1");
-            r.toldLeaving(2_000 * MS, "b0", "s1");
-            r.ended(3_049 * MS, sent(r, 3_040 * MS, "a", "s1"));
-            r.ended(3_099 * MS, sent(r, 3_060 * MS, "a", "s1"));
-            r.answered(3_100 * MS, "a", 502, "");
-        }, Rule.DRAINED);
+        expect(
+                r -> {
+                    taken(r, REPEATABLE);
+                    r.toldLeaving(0, "b0", "s1");
+                    r.toldLeaving(2_000 * MS, "b0", "s1");
+                    r.ended(3_049 * MS, sent(r, 3_040 * MS, "a", "s1"));
+                    r.ended(3_099 * MS, sent(r, 3_060 * MS, "a", "s1"));
+                    r.answered(3_100 * MS, "a", 502, "");
+                },
+                Rule.DRAINED);
         expect(r -> {
             taken(r, REPEATABLE);
             r.toldLeaving(0, "b0", "s1");
@@ -191,21 +215,26 @@
             r.ended(11_000 * MS, sent(r, 10_000 * MS, "c", "s1"));
             r.answered(11_001 * MS, "c", 502, "");
         });
-        expect(r -> {
-            r.paused(10 * MS, "b0", true);
-            r.paused(20 * MS, "b0", false);
-            taken(r, ONCE);
-            r.unanswered(8_000 * MS, "a", "silence");
-        }, Rule.LOST);
+        expect(
+                r -> {
+                    r.paused(10 * MS, "b0", true);
+                    r.paused(20 * MS, "b0", false);
+                    taken(r, ONCE);
+                    r.unanswered(8_000 * MS, "a", "silence");
+                },
+                Rule.LOST);
     }
 
     @Test
     void coldServersAndUnknownIds() {
         expect(r -> r.fellOver(1, "s1", 2.0 / 3));
-        expect(r -> {
-            r.fellOver(1, "s1", 0.67);
-            sent(r, 2, "nobody", "s1");
-        }, Rule.PUSHED_OVER, Rule.UNKNOWN);
+        expect(
+                r -> {
+                    r.fellOver(1, "s1", 0.67);
+                    sent(r, 2, "nobody", "s1");
+                },
+                Rule.PUSHED_OVER,
+                Rule.UNKNOWN);
     }
 
     @Test
--- a/lab/src/test/java/calicochute/lab/scenario/ScenarioReaderTest.java
+++ b/lab/src/test/java/calicochute/lab/scenario/ScenarioReaderTest.java
@@ -30,7 +30,8 @@
     }
 
     private static List<Complaint> complaints(String text) {
-        return assertThrows(ScenarioException.class, () -> ScenarioReader.parse("s.yaml", text)).complaints();
+        return assertThrows(ScenarioException.class, () -> ScenarioReader.parse("s.yaml", text))
+                .complaints();
     }
 
     @Test
@@ -71,67 +72,85 @@
         changed.set(index, with);
         return DynamicTest.dynamicTest("line " + number + ": " + with.trim(), () -> {
             List<Complaint> complaints = complaints(String.join("\n", changed));
-            assertTrue(complaints.stream().anyMatch(c -> c.line() == number && c.file().equals("s.yaml")
-                && c.field().matches(".*\\b" + key + "(\\[\\d+\\])?") && !c.rule().isBlank()),
-                () -> "no complaint of " + key + " at line " + number + " in " + complaints);
+            assertTrue(
+                    complaints.stream()
+                            .anyMatch(c -> c.line() == number
+                                    && c.file().equals("s.yaml")
+                                    && c.field().matches(".*\\b" + key + "(\\[\\d+\\])?")
+                                    && !c.rule().isBlank()),
+                    () -> "no complaint of " + key + " at line " + number + " in " + complaints);
         });
     }
 
     @Test
     void allFaultsAreToldAtOnce() throws IOException {
-        List<Complaint> found = complaints(full().replace("cores: 2", "cores: two").replace("400us", "400")
-            .replace("effect: keyed", "effect: keyd"));
+        List<Complaint> found = complaints(full().replace("cores: 2", "cores: two")
+                .replace("400us", "400")
+                .replace("effect: keyed", "effect: keyd"));
         assertEquals(3, found.size(), found::toString);
     }
 
     @Test
     void whatFieldsMeanTogetherIsChecked() throws IOException {
-        record Case(String from, String to, String field, String rule) {
-        }
+        record Case(String from, String to, String field, String rule) {}
         for (Case c : List.of(
-            new Case("aim: 2500ms", "aim: 8s", "classes[0].aim", "giveUp"),
-            new Case("share: 0.6", "share: 0.5", "tenants", "add up to 1"),
-            new Case("    calls: [1, 2]\n", "", "tiers[0].calls", "between 1 and 5"),
-            new Case("  utilisation: 0.55", "  utilisation: 0.55\n  rate: 9/s", "load", "either rate or utilisation"),
-            new Case("tier: front", "tier: attic", "troubles[4].tier", "front, catalogue"),
-            new Case("    servers: 3\n", "", "troubles[0]", "either servers"),
-            new Case("zone: west", "zone: south", "troubles[2].zone", "one of"),
-            new Case("factor: 0.1", "factor: 1.5", "troubles[1].factor", "between 0 and 1"),
-            new Case("at: 12s", "at: 20s", "troubles[2].at", "after the end"),
-            new Case("window: 7500ms", "window: 0s", "classes[1].window", "window"),
-            new Case("name: univ-library", "name: state-archive", "tenants[1]", "twice"),
-            new Case("balancers: 1", "balancers: 4", "troubles[3].balancers", "only 3"),
-            new Case("others: 2", "others: 4", "troubles[6].balancers", "only 4"),
-            new Case("kind: net-cut", "kind: net-loss\n    factor: 2", "troubles[6].factor", "between 0 and 1"),
-            new Case("  count: 3", "  count: 397", "tiers", "would need 401 balancers"))) {
+                new Case("aim: 2500ms", "aim: 8s", "classes[0].aim", "giveUp"),
+                new Case("share: 0.6", "share: 0.5", "tenants", "add up to 1"),
+                new Case("    calls: [1, 2]\n", "", "tiers[0].calls", "between 1 and 5"),
+                new Case(
+                        "  utilisation: 0.55",
+                        "  utilisation: 0.55\n  rate: 9/s",
+                        "load",
+                        "either rate or utilisation"),
+                new Case("tier: front", "tier: attic", "troubles[4].tier", "front, catalogue"),
+                new Case("    servers: 3\n", "", "troubles[0]", "either servers"),
+                new Case("zone: west", "zone: south", "troubles[2].zone", "one of"),
+                new Case("factor: 0.1", "factor: 1.5", "troubles[1].factor", "between 0 and 1"),
+                new Case("at: 12s", "at: 20s", "troubles[2].at", "after the end"),
+                new Case("window: 7500ms", "window: 0s", "classes[1].window", "window"),
+                new Case("name: univ-library", "name: state-archive", "tenants[1]", "twice"),
+                new Case("balancers: 1", "balancers: 4", "troubles[3].balancers", "only 3"),
+                new Case("others: 2", "others: 4", "troubles[6].balancers", "only 4"),
+                new Case("kind: net-cut", "kind: net-loss\n    factor: 2", "troubles[6].factor", "between 0 and 1"),
+                new Case("  count: 3", "  count: 397", "tiers", "would need 401 balancers"))) {
             String text = full();
             assertTrue(text.contains(c.from), c.from);
             List<Complaint> found = complaints(text.replace(c.from, c.to));
-            assertTrue(found.stream().anyMatch(f -> f.field().equals(c.field) && f.rule().contains(c.rule)
-                && f.line() > 1), () -> c + ": " + found);
+            assertTrue(
+                    found.stream()
+                            .anyMatch(f -> f.field().equals(c.field) && f.rule().contains(c.rule) && f.line() > 1),
+                    () -> c + ": " + found);
         }
     }
 
     /** What stands in an experiment is the balancers' business: it is handed on as it is. */
     @Test
     void experimentsAreFree() throws Exception {
-        Scenario read = ScenarioReader.parse("s.yaml", full().replace("experiments: []",
-            "experiments: [{name: e1, lanes: [view-map], share: 0.5, after: {hold: 1s}}, plain]"));
-        assertEquals("{name=e1, lanes=[view-map], share=0.5, after={hold=1s}}",
-            read.fleet().experiments().get(0).toString());
+        Scenario read = ScenarioReader.parse(
+                "s.yaml",
+                full().replace(
+                                "experiments: []",
+                                "experiments: [{name: e1, lanes: [view-map], share: 0.5, after: {hold: 1s}}, plain]"));
+        assertEquals(
+                "{name=e1, lanes=[view-map], share=0.5, after={hold=1s}}",
+                read.fleet().experiments().get(0).toString());
         assertEquals(read, ScenarioReader.parse("again", ScenarioReader.write(read)));
         assertTrue(complaints(full().replaceAll("(?s)fleet:.*troubles:", "troubles:")).stream()
-            .anyMatch(c -> c.field().equals("troubles[6].kind") && c.rule().contains("fleet")));
+                .anyMatch(c -> c.field().equals("troubles[6].kind") && c.rule().contains("fleet")));
     }
 
     @Test
     void whatIsNoScenarioAtAll() {
-        assertTrue(complaints("").get(0).rule().contains("empty"), () -> complaints("").toString());
+        assertTrue(
+                complaints("").get(0).rule().contains("empty"),
+                () -> complaints("").toString());
         assertTrue(complaints("a: [b").get(0).rule().contains("YAML"));
-        assertTrue(complaints("just words").get(0).rule().contains("not"),
-            () -> complaints("just words").toString());
-        assertTrue(complaints("version: 1\nversion: 1\n").get(0).rule().contains("uplicate"),
-            () -> complaints("version: 1\nversion: 1\n").toString());
+        assertTrue(
+                complaints("just words").get(0).rule().contains("not"),
+                () -> complaints("just words").toString());
+        assertTrue(
+                complaints("version: 1\nversion: 1\n").get(0).rule().contains("uplicate"),
+                () -> complaints("version: 1\nversion: 1\n").toString());
         ScenarioException none = assertThrows(ScenarioException.class, () -> ScenarioReader.read(Path.of("no.yaml")));
         assertTrue(none.getMessage().contains("no such file"), none.getMessage());
     }
--- a/lab/src/test/java/calicochute/lab/server/ServerModelTest.java
+++ b/lab/src/test/java/calicochute/lab/server/ServerModelTest.java
@@ -24,13 +24,30 @@
     private static final long S = 1_000_000;
 
     private static Kind kind(double slots, double queue, double crowding, Sluggish sluggish) {
-        return new Kind("k", 1.0, 2, Range.of(1, 1), slots, queue, crowding, 2.0, 0.5, Time.of("10s"), false, 0.0,
-            Time.of("0s"), 100, Time.of("30s"), 0.0, Time.of("1ms"), sluggish);
+        return new Kind(
+                "k",
+                1.0,
+                2,
+                Range.of(1, 1),
+                slots,
+                queue,
+                crowding,
+                2.0,
+                0.5,
+                Time.of("10s"),
+                false,
+                0.0,
+                Time.of("0s"),
+                100,
+                Time.of("30s"),
+                0.0,
+                Time.of("1ms"),
+                sluggish);
     }
 
     private static ServerModel model(Kind kind) {
-        return new ServerModel(new MachineSpec("m", 0, 0, "z", 0, kind, 1, S, S), new Streams(1).of("n", 0), 3, 3 * S,
-            S, 0);
+        return new ServerModel(
+                new MachineSpec("m", 0, 0, "z", 0, kind, 1, S, S), new Streams(1).of("n", 0), 3, 3 * S, S, 0);
     }
 
     private static ServerModel warm() {
@@ -63,7 +80,8 @@
 
     /** Work is conserved: two cores never do more than two seconds of work in a second, nor rest while work waits. */
     @Property(tries = 200)
-    void busyCoresDoAllTheWorkAndNoMore(@ForAll @Size(min = 2, max = 12) List<@IntRange(min = 1, max = 900) Integer> ms) {
+    void busyCoresDoAllTheWorkAndNoMore(
+            @ForAll @Size(min = 2, max = 12) List<@IntRange(min = 1, max = 900) Integer> ms) {
         ServerModel model = warm();
         long total = 0;
         long longest = 0;
@@ -76,8 +94,9 @@
         Map<Long, Long> ends = play(model, 0);
         assertEquals(ms.size(), ends.size());
         long last = ends.values().stream().mapToLong(e -> e).max().orElse(0);
-        assertTrue(last >= Math.max(longest, total / 2) && last <= total / 2 + longest + ms.size() * 2L,
-            () -> ms + " ended at " + last);
+        assertTrue(
+                last >= Math.max(longest, total / 2) && last <= total / 2 + longest + ms.size() * 2L,
+                () -> ms + " ended at " + last);
         // A job never ends before one with less work that came with it, if both had a slot from the start.
         for (int i = 0; i < ms.size() && ms.size() <= 16; i++) {
             for (int j = 0; j < ms.size(); j++) {
--- a/lab/src/test/java/calicochute/lab/socket/SocketsTest.java
+++ b/lab/src/test/java/calicochute/lab/socket/SocketsTest.java
@@ -9,7 +9,6 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
-import java.util.List;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.apache.hc.core5.io.Closer;
@@ -53,8 +52,8 @@
         world.start();
         Recorder owner = new Recorder();
         try (Sockets sockets = new Sockets(world)) {
-            ListenerEndpoint listener = sockets.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                from -> owner);
+            ListenerEndpoint listener =
+                    sockets.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), from -> owner);
             InetSocketAddress at = (InetSocketAddress) listener.getAddress();
             try (Socket client = new Socket(at.getAddress(), at.getPort())) {
                 assertEquals("accepted", owner.next());
@@ -73,7 +72,9 @@
                 assertEquals("unreadable", owner.next());
                 owner.last.reset();
                 client.setSoTimeout(20_000);
-                assertThrows(java.net.SocketException.class, () -> client.getInputStream().read());
+                assertThrows(
+                        java.net.SocketException.class,
+                        () -> client.getInputStream().read());
             }
             Closer.closeQuietly(listener);
             // The address is free again for a black hole, where connections never come up, and then for a listener.
@@ -94,9 +95,14 @@
         world.start();
         InetAddress address = InetAddress.getByAddress(new byte[] {127, 77, 33, 12});
         LinkedBlockingQueue<Link> opened = new LinkedBlockingQueue<>();
-        try (ServerSocket server = new ServerSocket(0, 5, address); Sockets sockets = new Sockets(world)) {
-            sockets.connect(new InetSocketAddress(address, server.getLocalPort()), 5_000_000, new Recorder(),
-                opened::add, () -> { });
+        try (ServerSocket server = new ServerSocket(0, 5, address);
+                Sockets sockets = new Sockets(world)) {
+            sockets.connect(
+                    new InetSocketAddress(address, server.getLocalPort()),
+                    5_000_000,
+                    new Recorder(),
+                    opened::add,
+                    () -> {});
             opened.poll(20, TimeUnit.SECONDS).reset();
             assertEquals('/', address.toString().charAt(0));
         }
--- a/outcomes/src/main/java/calicochute/outcomes/Board.java
+++ b/outcomes/src/main/java/calicochute/outcomes/Board.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * What a reader holds: of each subject and window the row of most witnesses, by a fixed order of all rows, so that any order, loss and repetition of the same rows
- * ends in the same; the last windows of each subject only.
+ * What a reader holds: of each subject and window the row of most witnesses, by a fixed order of all rows, so that any
+ * order, loss and repetition of the same rows ends in the same; the last windows of each subject only.
  */
 final class Board {
     private final Limits limits;
@@ -80,8 +80,15 @@
         rows.forEach((hash, of) -> {
             Subject subject = names.of(hash);
             if (subject != null) {
-                of.forEach((window, held) -> list.add(new Row(subject, window, held.owner, held.row.witnesses(), held.row.sum(), held.row.clipped(),
-                    held.row.middle(), held.row.between())));
+                of.forEach((window, held) -> list.add(new Row(
+                        subject,
+                        window,
+                        held.owner,
+                        held.row.witnesses(),
+                        held.row.sum(),
+                        held.row.clipped(),
+                        held.row.middle(),
+                        held.row.between())));
             }
         });
         return list;
--- a/outcomes/src/main/java/calicochute/outcomes/Bodies.java
+++ b/outcomes/src/main/java/calicochute/outcomes/Bodies.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Bodies on the wire. Whole numbers of 7 bits a byte, since counts are small: an entry takes about 17 bytes and a row 35, against 30 and 60 in CBOR, and rows are
- * most of what a balancer hears.
+ * Bodies on the wire. Whole numbers of 7 bits a byte, since counts are small: an entry takes about 17 bytes and a row
+ * 35, against 30 and 60 in CBOR, and rows are most of what a balancer hears.
  *
  * <pre>
  *   body   = version (1) kind (1: report, 2: rows) window many entry*
@@ -23,9 +23,10 @@
     static final byte ROWS = 2;
     /** More than any entry takes: 8 + 2 + 2 * 62 + 1 + 4 + 4 bytes for counts up to 1024 * 1,000,000. */
     static final int MOST = 143;
+
     private static final int HEAD = 2 + 10 + 2;
 
-    private Bodies() { }
+    private Bodies() {}
 
     /** A body that is none. */
     static final class Malformed extends Exception {
@@ -36,11 +37,11 @@
         }
     }
 
-    record Entry(long hash, Tally tally) { }
+    record Entry(long hash, Tally tally) {}
 
-    record Report(long window, List<Entry> entries) { }
+    record Report(long window, List<Entry> entries) {}
 
-    record Rows(long window, List<Summed> rows) { }
+    record Rows(long window, List<Summed> rows) {}
 
     /** How many rows fit for certain. */
     static int rows(Limits limits) {
@@ -105,7 +106,8 @@
             if (witnesses > Integer.MAX_VALUE || other < 0 || other > 1) {
                 throw new Malformed("row");
             }
-            rows.add(new Summed(hash, (int) witnesses, sum, other == 0 ? sum : tally(in), getSigned(in), getSigned(in)));
+            rows.add(
+                    new Summed(hash, (int) witnesses, sum, other == 0 ? sum : tally(in), getSigned(in), getSigned(in)));
         });
         return new Rows(window, rows);
     }
@@ -138,7 +140,8 @@
     }
 
     private static byte[] headed(byte kind, long window, int many, ByteBuffer entries) {
-        ByteBuffer whole = ByteBuffer.allocate(HEAD + entries.position()).put(VERSION).put(kind);
+        ByteBuffer whole =
+                ByteBuffer.allocate(HEAD + entries.position()).put(VERSION).put(kind);
         put(whole, window);
         put(whole, many);
         whole.put(entries.flip()).flip();
--- a/outcomes/src/main/java/calicochute/outcomes/Counts.java
+++ b/outcomes/src/main/java/calicochute/outcomes/Counts.java
@@ -20,7 +20,10 @@
         TOO_MANY,
         /** A window's tallies given up for want of room, or a report for one that was. */
         GIVEN_UP,
-        /** An entry whose owner this balancer is not, as it sees the fleet: added up, published only if nobody else does. */
+        /**
+         * An entry whose owner this balancer is not, as it sees the fleet: added up, published only if nobody else
+         * does.
+         */
         NOT_OWNER,
         /** Two known subjects with one hash: the first is kept. */
         COLLISION,
--- a/outcomes/src/main/java/calicochute/outcomes/Ledger.java
+++ b/outcomes/src/main/java/calicochute/outcomes/Ledger.java
@@ -10,8 +10,9 @@
 import java.util.TreeSet;
 
 /**
- * One balancer's own counting. A dispatch counts in the window in which its session was ASSIGNED, and a window is told only once all of its sessions have ended or
- * passed their deadline: else quick failures would be heard before slow successes, and a server that refuses at once would look worse than one that hangs.
+ * One balancer's own counting. A dispatch counts in the window in which its session was ASSIGNED, and a window is told
+ * only once all of its sessions have ended or passed their deadline: else quick failures would be heard before slow
+ * successes, and a server that refuses at once would look worse than one that hangs.
  */
 public final class Ledger {
     private static final int WINDOWS = 64;
@@ -47,7 +48,10 @@
         this.ahead = limits.ahead();
     }
 
-    /** A session begins: the number of its window, for {@link #count} and {@link #over}. One that was told already stays as it was, should the clock go back. */
+    /**
+     * A session begins: the number of its window, for {@link #count} and {@link #over}. One that was told already stays
+     * as it was, should the clock go back.
+     */
     public long assign(long now) {
         long window = windows.number(now);
         while (closed.contains(window)) {
@@ -89,7 +93,7 @@
     public void over(long window) {
         Open of = open.get(window);
         if (of == null) {
-            return;    // passed its deadline before
+            return; // passed its deadline before
         }
         assert of.sessions > 0 : "more sessions over than begun";
         of.sessions = Math.max(0, of.sessions - 1);
@@ -98,12 +102,12 @@
     /** The windows that are whole now; each once, none without a dispatch. */
     public List<Closed> close(long now) {
         List<Closed> whole = new ArrayList<>();
-        for (Iterator<Map.Entry<Long, Open>> i = open.entrySet().iterator(); i.hasNext();) {
+        for (Iterator<Map.Entry<Long, Open>> i = open.entrySet().iterator(); i.hasNext(); ) {
             Map.Entry<Long, Open> next = i.next();
             long window = next.getKey();
             Open of = next.getValue();
             if (window > windows.number(now) + ahead) {
-                counts.add(Cause.CLOCK_OFF);    // this clock was put back: when that time comes again the outcomes are old
+                counts.add(Cause.CLOCK_OFF); // this clock was put back: when that time comes again the outcomes are old
                 i.remove();
                 continue;
             }
@@ -121,7 +125,8 @@
                 }
                 if (!of.cells.isEmpty()) {
                     Map<Subject, Tally> tallies = new HashMap<>();
-                    of.cells.forEach((subject, cell) -> tallies.put(subject, new Tally(cell.ends, cell.logs, cell.squares, cell.speeds)));
+                    of.cells.forEach((subject, cell) ->
+                            tallies.put(subject, new Tally(cell.ends, cell.logs, cell.squares, cell.speeds)));
                     whole.add(new Closed(window, tallies));
                 }
             }
--- a/outcomes/src/main/java/calicochute/outcomes/Owners.java
+++ b/outcomes/src/main/java/calicochute/outcomes/Owners.java
@@ -12,19 +12,23 @@
 import java.util.TreeSet;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** Who adds up a server's outcomes: rendezvous hashing, so that a peer that goes hands on its own servers and no others. */
+/**
+ * Who adds up a server's outcomes: rendezvous hashing, so that a peer that goes hands on its own servers and no others.
+ */
 public final class Owners {
     /** Owners of a server: one may be dead and not found out, another cut off. */
     public static final int MANY = 3;
+
     private final Set<String> live;
     private final String[] peers;
     private final long[] hashes;
     private final Map<String, List<String>> found = new HashMap<>();
 
     /**
-     * Owners of the servers of a list, evenly: no peer has more than a quarter over its share of them (rounded up), and a server goes past those that are full.
-     * Otherwise of 300 peers and 60 servers some would have several, and publish to all peers as many times as much as others. Who has another list finds others
-     * for a few servers; a server in no list has those of {@link #of(String, Collection, int)}.
+     * Owners of the servers of a list, evenly: no peer has more than a quarter over its share of them (rounded up), and
+     * a server goes past those that are full. Otherwise of 300 peers and 60 servers some would have several, and
+     * publish to all peers as many times as much as others. Who has another list finds others for a few servers; a
+     * server in no list has those of {@link #of(String, Collection, int)}.
      */
     Owners(Collection<String> live, Collection<String> servers) {
         this.live = Set.copyOf(live);
@@ -35,13 +39,19 @@
         List<String> inTurn = new ArrayList<>(new TreeSet<>(servers));
         inTurn.sort(Comparator.comparingLong(Owners::hash));
         for (String server : inTurn) {
-            List<String> of = rank(server, peers.length).stream().filter(p -> has.getOrDefault(p, 0) < most).limit(MANY).toList();
+            List<String> of = rank(server, peers.length).stream()
+                    .filter(p -> has.getOrDefault(p, 0) < most)
+                    .limit(MANY)
+                    .toList();
             of.forEach(p -> has.merge(p, 1, Integer::sum));
             found.put(server, of);
         }
     }
 
-    /** The first few of {@code live} for that server, in its order. Each peer that sees the same {@code live} finds the same. */
+    /**
+     * The first few of {@code live} for that server, in its order. Each peer that sees the same {@code live} finds the
+     * same.
+     */
     public static List<String> of(String server, Collection<String> live, int many) {
         return new Owners(live, Set.of()).rank(server, many);
     }
@@ -62,7 +72,7 @@
 
     private List<String> rank(String server, int many) {
         long of = hash(server);
-        long[] ranked = new long[peers.length];    // by score; of two alike the first by name
+        long[] ranked = new long[peers.length]; // by score; of two alike the first by name
         for (int i = 0; i < peers.length; i++) {
             ranked[i] = (long) MurmurHash3.hash32(hashes[i], of) << 32 | i;
         }
--- a/outcomes/src/main/java/calicochute/outcomes/Picture.java
+++ b/outcomes/src/main/java/calicochute/outcomes/Picture.java
@@ -7,10 +7,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What this balancer knows of the fleet's outcomes: the rows of the last windows of each known subject. A copy: later rows do not change it. */
+/**
+ * What this balancer knows of the fleet's outcomes: the rows of the last windows of each known subject. A copy: later
+ * rows do not change it.
+ */
 public final class Picture {
     /** Microseconds in which an outcome's weight falls to 1/e: as the decision module's estimates. */
     public static final long AGE = 3_000_000;
+
     private final Windows windows;
     private final List<Row> rows;
 
@@ -35,7 +39,8 @@
      * @param between the mean of the rows' variances between witnesses, by their weight
      * @param witnesses the most of any of its rows
      */
-    public record Aged(List<Double> ends, double logSpeed, double logSpeedSquares, double speeds, double between, int witnesses) {
+    public record Aged(
+            List<Double> ends, double logSpeed, double logSpeedSquares, double speeds, double between, int witnesses) {
         public double total() {
             return ends.stream().mapToDouble(Double::doubleValue).sum();
         }
@@ -47,7 +52,9 @@
 
     /** All rows held of the last windows, those of a subject one after the other. */
     public Collection<Row> rows(long now) {
-        return rows.stream().filter(r -> windows.number(now) - r.window() <= Limits.USUAL.behind()).toList();
+        return rows.stream()
+                .filter(r -> windows.number(now) - r.window() <= Limits.USUAL.behind())
+                .toList();
     }
 
     /** Of each subject the row of the newest window. */
@@ -60,7 +67,10 @@
     /** Sums for each server; {@code now}: a window's age counts from its end, 0 at least. */
     public Map<Server, Aged> aged(long now) {
         Map<Server, List<Row>> by = new TreeMap<>();
-        rows(now).forEach(r -> by.computeIfAbsent(new Server(r.subject().server(), r.subject().startedAt()), s -> new ArrayList<>()).add(r));
+        rows(now)
+                .forEach(r -> by.computeIfAbsent(
+                                new Server(r.subject().server(), r.subject().startedAt()), s -> new ArrayList<>())
+                        .add(r));
         Map<Server, Aged> aged = new TreeMap<>();
         by.forEach((server, of) -> aged.put(server, sum(of, now)));
         return aged;
--- a/outcomes/src/main/java/calicochute/outcomes/Sharing.java
+++ b/outcomes/src/main/java/calicochute/outcomes/Sharing.java
@@ -11,19 +11,23 @@
 import java.util.TreeMap;
 
 /**
- * One balancer's part in sharing: it reports each window it closed to the owners of its servers, adds up as an owner what others report, publishes the sums, and
- * reads the rows of all. Reports to the first two owners are sent again once, unchanged, since datagrams are lost; these two publish, the third where they do
- * not. Times are microseconds of the wall clock. Used on one thread.
+ * One balancer's part in sharing: it reports each window it closed to the owners of its servers, adds up as an owner
+ * what others report, publishes the sums, and reads the rows of all. Reports to the first two owners are sent again
+ * once, unchanged, since datagrams are lost; these two publish, the third where they do not. Times are microseconds of
+ * the wall clock. Used on one thread.
  */
 public final class Sharing {
     /** Owners of a server that publish in any case; the others where these do not. */
     private static final int PUBLISHING = 2;
+
     private static final int WAITING = 4096;
     /** What a datagram costs besides its body, for {@link Limits#rate}. */
     private static final int ENVELOPE = 60;
+
     private static final int REVISIONS = 64;
     /** Keys name the window by this many slots: more than are held, so that no two that matter share one. */
     private static final int SLOTS = 64;
+
     private static final int NAME = 64;
 
     private final Origin me;
@@ -40,7 +44,7 @@
     private double credit;
     private long credited = Long.MIN_VALUE;
 
-    private record Again(long due, int sends, String to, byte[] body) { }
+    private record Again(long due, int sends, String to, byte[] body) {}
 
     public Sharing(Origin me, Windows windows, Carrier carrier) {
         this(me, windows, carrier, Limits.USUAL);
@@ -57,7 +61,10 @@
         owners = new Owners(Set.of(me.id()), Set.of());
     }
 
-    /** The subjects that rows may name: every listed start of a server with every class and arm. Rows of others are held, a few, until a list names them. */
+    /**
+     * The subjects that rows may name: every listed start of a server with every class and arm. Rows of others are
+     * held, a few, until a list names them.
+     */
     public void known(Collection<Subject> subjects) {
         names.known(subjects);
         board.named();
@@ -69,7 +76,7 @@
         look();
         Map<String, List<Bodies.Entry>> first = new TreeMap<>();
         Map<String, List<Bodies.Entry>> spare = new TreeMap<>();
-        Map<Long, Subject> inTurn = new TreeMap<>();    // a copied map's own order is another in each process
+        Map<Long, Subject> inTurn = new TreeMap<>(); // a copied map's own order is another in each process
         closed.tallies().keySet().forEach(subject -> inTurn.put(names.own(subject), subject));
         inTurn.forEach((hash, subject) -> {
             Tally tally = closed.tallies().get(subject);
@@ -82,12 +89,16 @@
                 if (owner.equals(me.id())) {
                     witnesses.heard(now, me, closed.window(), hash, tally, this::place);
                 } else {
-                    (of.indexOf(owner) < PUBLISHING ? first : spare).computeIfAbsent(owner, o -> new ArrayList<>()).add(new Bodies.Entry(hash, tally));
+                    (of.indexOf(owner) < PUBLISHING ? first : spare)
+                            .computeIfAbsent(owner, o -> new ArrayList<>())
+                            .add(new Bodies.Entry(hash, tally));
                 }
             }
         });
-        first.forEach((owner, entries) -> Bodies.reports(closed.window(), entries, limits.body()).forEach(body -> send(now, owner, body, 1)));
-        spare.forEach((owner, entries) -> Bodies.reports(closed.window(), entries, limits.body()).forEach(body -> carrier.direct(owner, body)));
+        first.forEach((owner, entries) ->
+                Bodies.reports(closed.window(), entries, limits.body()).forEach(body -> send(now, owner, body, 1)));
+        spare.forEach((owner, entries) ->
+                Bodies.reports(closed.window(), entries, limits.body()).forEach(body -> carrier.direct(owner, body)));
     }
 
     private void send(long now, String to, byte[] body, int sends) {
@@ -130,7 +141,9 @@
         }
     }
 
-    /** Which owner of that subject this balancer is, as far as it knows: 0, 1, 2 for a spare one or none; -1: not known. */
+    /**
+     * Which owner of that subject this balancer is, as far as it knows: 0, 1, 2 for a spare one or none; -1: not known.
+     */
     private int place(long hash) {
         Subject subject = names.of(hash);
         if (subject == null) {
@@ -144,7 +157,9 @@
     }
 
     private void publish(long now) {
-        credit = credited == Long.MIN_VALUE || now < credited ? limits.rate() : Math.min(limits.rate(), credit + (now - credited) * 1e-6 * limits.rate());
+        credit = credited == Long.MIN_VALUE || now < credited
+                ? limits.rate()
+                : Math.min(limits.rate(), credit + (now - credited) * 1e-6 * limits.rate());
         credited = now;
         for (boolean first : new boolean[] {true, false}) {
             witnesses.windows().forEach((number, window) -> {
@@ -165,7 +180,8 @@
         for (Witnesses.Sum sum : chunk.sums) {
             Summed mine = sum.summed(limits.cap());
             Summed held = board.held(mine.hash(), window);
-            boolean wanted = chunk.place < PUBLISHING || held == null || held.witnesses() * 100L < mine.witnesses() * 95L;
+            boolean wanted =
+                    chunk.place < PUBLISHING || held == null || held.witnesses() * 100L < mine.witnesses() * 95L;
             needed |= sum.changed && wanted;
             if (wanted || sum.published) {
                 rows.add(mine);
@@ -184,7 +200,10 @@
         credit -= (double) (body.length + ENVELOPE) * (owners.live().size() - 1);
         chunk.revision++;
         chunk.due = now + (chunk.revision == 1 ? limits.gap() : 2 * limits.gap());
-        carrier.spread(Long.toString(Math.floorMod(window, (long) SLOTS), 36) + "." + Integer.toString(number, 36), window * REVISIONS + chunk.revision, body);
+        carrier.spread(
+                Long.toString(Math.floorMod(window, (long) SLOTS), 36) + "." + Integer.toString(number, 36),
+                window * REVISIONS + chunk.revision,
+                body);
         for (Witnesses.Sum sum : chunk.sums) {
             sum.published |= rows.contains(sum.summed(limits.cap()));
             sum.changed = false;
--- a/outcomes/src/main/java/calicochute/outcomes/Subject.java
+++ b/outcomes/src/main/java/calicochute/outcomes/Subject.java
@@ -18,9 +18,13 @@
         }
     }
 
-    /** What stands for it in a datagram (64 bits): ids may be 64 characters long, and both sides know them from lists and settings. */
+    /**
+     * What stands for it in a datagram (64 bits): ids may be 64 characters long, and both sides know them from lists
+     * and settings.
+     */
     public long hash() {
-        byte[] text = (server.length() + ":" + server + startedAt + ":" + lane.length() + ":" + lane + arm).getBytes(StandardCharsets.UTF_8);
+        byte[] text = (server.length() + ":" + server + startedAt + ":" + lane.length() + ":" + lane + arm)
+                .getBytes(StandardCharsets.UTF_8);
         return MurmurHash3.hash128x64(text, 0, text.length, 0)[0];
     }
 }
--- a/outcomes/src/main/java/calicochute/outcomes/Tally.java
+++ b/outcomes/src/main/java/calicochute/outcomes/Tally.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * Dispatches counted by how they ended, and the speeds seen. Immutable. The logs are multiples of 1/16384, so that their sums are exact: added in any order
- * they are the same to the last bit.
+ * Dispatches counted by how they ended, and the speeds seen. Immutable. The logs are multiples of 1/16384, so that
+ * their sums are exact: added in any order they are the same to the last bit.
  *
  * @param ends how many ended in each way, by {@link End#ordinal()}
  * @param logSpeed the sum of the natural logs of the speeds (1: the time that was expected; 2: half of it)
@@ -16,6 +16,7 @@
     static final double UNITS = 16_384;
     /** No balancer can measure a speed over 1000 or under a thousandth. */
     public static final double GREATEST_LOG = Math.log(1000);
+
     private static final int WAYS = End.values().length;
 
     public static final Tally NONE = new Tally(new long[WAYS], 0, 0, 0);
@@ -72,10 +73,14 @@
         for (int i = 0; i < WAYS; i++) {
             sum[i] += other.ends[i];
         }
-        return new Tally(sum, logSpeed + other.logSpeed, logSpeedSquares + other.logSpeedSquares, speeds + other.speeds);
+        return new Tally(
+                sum, logSpeed + other.logSpeed, logSpeedSquares + other.logSpeedSquares, speeds + other.speeds);
     }
 
-    /** The same shares of ends and the same mean speed with {@code most} dispatches, if there are more: whole numbers by the largest remainders. */
+    /**
+     * The same shares of ends and the same mean speed with {@code most} dispatches, if there are more: whole numbers by
+     * the largest remainders.
+     */
     public Tally atMost(long most) {
         long total = total();
         if (total <= most) {
@@ -105,7 +110,9 @@
         return new Tally(fewer, logSpeed * of, logSpeedSquares * of, seen);
     }
 
-    /** Whether a balancer (or {@code witnesses} of them) can have counted this, at most {@code most} dispatches each. */
+    /**
+     * Whether a balancer (or {@code witnesses} of them) can have counted this, at most {@code most} dispatches each.
+     */
     boolean possible(long most, int witnesses) {
         for (long many : ends) {
             if (many < 0 || many > most * witnesses) {
@@ -116,13 +123,19 @@
         if (total < 1 || total > most * witnesses || speeds < 0 || speeds > total) {
             return false;
         }
-        // Each sum is off by half a unit for each sample or clipped witness at most; a mean of logs that far off moves the square by as much times 2 logs.
+        // Each sum is off by half a unit for each sample or clipped witness at most; a mean of logs that far off moves
+        // the square by as much times 2 logs.
         double slack = (speeds + witnesses) * 16 / UNITS;
-        return Math.abs(logSpeed) <= speeds * GREATEST_LOG + slack && logSpeedSquares <= speeds * GREATEST_LOG * GREATEST_LOG + slack
-            && logSpeedSquares >= 0 && logSpeedSquares * speeds + slack * speeds >= logSpeed * logSpeed && (speeds > 0 || logSpeed == 0 && logSpeedSquares == 0);
+        return Math.abs(logSpeed) <= speeds * GREATEST_LOG + slack
+                && logSpeedSquares <= speeds * GREATEST_LOG * GREATEST_LOG + slack
+                && logSpeedSquares >= 0
+                && logSpeedSquares * speeds + slack * speeds >= logSpeed * logSpeed
+                && (speeds > 0 || logSpeed == 0 && logSpeedSquares == 0);
     }
 
-    /** A fixed order of all tallies, more dispatches first of all: of two that cannot both be true the greater is kept. */
+    /**
+     * A fixed order of all tallies, more dispatches first of all: of two that cannot both be true the greater is kept.
+     */
     @Override
     public int compareTo(Tally other) {
         int by = Long.compare(total(), other.total());
--- a/outcomes/src/main/java/calicochute/outcomes/Witnesses.java
+++ b/outcomes/src/main/java/calicochute/outcomes/Witnesses.java
@@ -9,8 +9,9 @@
 import java.util.function.LongToIntFunction;
 
 /**
- * What an owner holds: of each window and subject the tallies by origin. An origin's tally of a window is an immutable whole, so the merge is a union of maps; of two
- * different ones the greater is kept. Bounded: an origin names so many subjects a window, and with too many tallies in all the oldest window is given up.
+ * What an owner holds: of each window and subject the tallies by origin. An origin's tally of a window is an immutable
+ * whole, so the merge is a union of maps; of two different ones the greater is kept. Bounded: an origin names so many
+ * subjects a window, and with too many tallies in all the oldest window is given up.
  */
 final class Witnesses {
     private final Limits limits;
@@ -19,7 +20,10 @@
     private int entries;
     private long floor = Long.MIN_VALUE;
 
-    /** One window: its rows are published in chunks that stay as they were first laid out, so that a later version of one holds all that an earlier did. */
+    /**
+     * One window: its rows are published in chunks that stay as they were first laid out, so that a later version of
+     * one holds all that an earlier did.
+     */
     static final class Window {
         final long first;
         final Map<Long, Sum> sums = new HashMap<>();
@@ -102,7 +106,9 @@
             }
         } else {
             int named = window.named.getOrDefault(origin, 0);
-            if (named >= limits.subjects() || window.named.size() >= limits.witnesses() && named == 0 || sum != null && sum.by.size() >= limits.witnesses()) {
+            if (named >= limits.subjects()
+                    || window.named.size() >= limits.witnesses() && named == 0
+                    || sum != null && sum.by.size() >= limits.witnesses()) {
                 counts.add(Cause.TOO_MANY);
                 return;
             }
@@ -131,7 +137,8 @@
             window.last[place].due = Math.min(window.last[place].due, now + limits.settle() + place * limits.gap() / 2);
             return;
         }
-        // One owner after the other: what was lost on the way from one comes from the next, and news in between is early. A spare hears what they said first.
+        // One owner after the other: what was lost on the way from one comes from the next, and news in between is
+        // early. A spare hears what they said first.
         Chunk chunk = new Chunk(place, Math.max(now, window.first + limits.settle() + place * limits.gap() / 2));
         chunk.sums.add(sum);
         window.chunks.add(chunk);
@@ -155,7 +162,9 @@
     }
 
     private void forget(long number) {
-        entries -= windows.remove(number).named.values().stream().mapToInt(Integer::intValue).sum();
+        entries -= windows.remove(number).named.values().stream()
+                .mapToInt(Integer::intValue)
+                .sum();
     }
 
     int size() {
--- a/outcomes/src/test/java/calicochute/outcomes/Drawn.java
+++ b/outcomes/src/test/java/calicochute/outcomes/Drawn.java
@@ -7,23 +7,30 @@
 
 /** Drawn values. */
 final class Drawn {
-    private Drawn() { }
+    private Drawn() {}
 
-    record Dispatch(End end, double log) { }
+    record Dispatch(End end, double log) {}
 
     static Arbitrary<Tally> tally() {
-        Arbitrary<Double> log = Arbitraries.doubles().between(-8, 8).injectNull(0.2).map(d -> d == null ? Double.NaN : d);
+        Arbitrary<Double> log =
+                Arbitraries.doubles().between(-8, 8).injectNull(0.2).map(d -> d == null ? Double.NaN : d);
         Arbitrary<Integer> times = Arbitraries.of(1, 1, 1, 7, 1000);
-        return Combinators.combine(Combinators.combine(Arbitraries.of(End.class), log).as(Dispatch::new).list().ofMinSize(1).ofMaxSize(12), times)
-            .as((of, many) -> {
-                Tally tally = Tally.NONE;
-                for (int i = 0; i < many; i++) {
-                    for (Dispatch one : of) {
-                        tally = tally.plus(Tally.of(one.end, one.log));
+        return Combinators.combine(
+                        Combinators.combine(Arbitraries.of(End.class), log)
+                                .as(Dispatch::new)
+                                .list()
+                                .ofMinSize(1)
+                                .ofMaxSize(12),
+                        times)
+                .as((of, many) -> {
+                    Tally tally = Tally.NONE;
+                    for (int i = 0; i < many; i++) {
+                        for (Dispatch one : of) {
+                            tally = tally.plus(Tally.of(one.end, one.log));
+                        }
                     }
-                }
-                return tally;
-            });
+                    return tally;
+                });
     }
 
     static Arbitrary<List<Tally>> tallies() {
--- a/outcomes/src/test/java/calicochute/outcomes/Fleet.java
+++ b/outcomes/src/test/java/calicochute/outcomes/Fleet.java
@@ -11,9 +11,10 @@
 import java.util.SplittableRandom;
 
 /**
- * A fleet in virtual time: each balancer's Ledger and Sharing, ticked every 100 ms; datagrams of up to 1,200 bytes (60 of them envelope, 12 or 24 with each body),
- * bundled by peer and tick, each lost with a chance of 10% or here after 1 to 30 ms. Rows go straight to each peer, without repair. A tenth of the outcomes known
- * by name: every so many balancers count one dispatch a window of a subject that is theirs alone, so that its row tells who knows of it.
+ * A fleet in virtual time: each balancer's Ledger and Sharing, ticked every 100 ms; datagrams of up to 1,200 bytes (60
+ * of them envelope, 12 or 24 with each body), bundled by peer and tick, each lost with a chance of 10% or here after 1
+ * to 30 ms. Rows go straight to each peer, without repair. A tenth of the outcomes known by name: every so many
+ * balancers count one dispatch a window of a subject that is theirs alone, so that its row tells who knows of it.
  */
 final class Fleet {
     static final long START = 1_000_000_000;
@@ -25,7 +26,8 @@
     private final List<Member> members = new ArrayList<>();
     private final Map<String, Member> byName = new HashMap<>();
     private final List<Subject> servers = new ArrayList<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
     private final Map<Long, Long> told = new HashMap<>();
     private long order;
     private long now = START;
@@ -34,7 +36,7 @@
     /** Of each balancer and window the share of all dispatches in its rows, 2 s after the window closed everywhere. */
     final List<Double> shares = new ArrayList<>();
 
-    private record Event(long at, long order, Runnable what) { }
+    private record Event(long at, long order, Runnable what) {}
 
     private record Item(boolean direct, String key, long version, byte[] body) {
         int size() {
@@ -54,7 +56,9 @@
         Member(int number) {
             name = "balancer-" + number;
             sharing = new Sharing(new Origin(name, 1), Windows.USUAL, this, limits);
-            probe = number % PROBES == 0 ? new Subject(servers.get(random.nextInt(servers.size())).server(), 1, "a", "probe-" + number) : null;
+            probe = number % PROBES == 0
+                    ? new Subject(servers.get(random.nextInt(servers.size())).server(), 1, "a", "probe-" + number)
+                    : null;
         }
 
         @Override
@@ -64,8 +68,10 @@
 
         @Override
         public void spread(String key, long version, byte[] body) {
-            byName.keySet().stream().filter(p -> !p.equals(name))
-                .forEach(p -> out.computeIfAbsent(p, q -> new ArrayList<>()).add(new Item(false, key, version, body)));
+            byName.keySet().stream()
+                    .filter(p -> !p.equals(name))
+                    .forEach(p ->
+                            out.computeIfAbsent(p, q -> new ArrayList<>()).add(new Item(false, key, version, body)));
         }
 
         @Override
@@ -76,9 +82,19 @@
         void tick() {
             for (Closed closed : ledger.close(now)) {
                 sharing.closed(now, closed);
-                told.merge(closed.window(), closed.tallies().values().stream().mapToLong(Tally::total).sum(), Long::sum);
+                told.merge(
+                        closed.window(),
+                        closed.tallies().values().stream()
+                                .mapToLong(Tally::total)
+                                .sum(),
+                        Long::sum);
                 if (probe != null && closed.tallies().containsKey(probe)) {
-                    after(2_000_000, () -> known.add(members.stream().filter(m -> m.knows(probe, closed.window())).count() / (double) members.size()));
+                    after(
+                            2_000_000,
+                            () -> known.add(members.stream()
+                                            .filter(m -> m.knows(probe, closed.window()))
+                                            .count()
+                                    / (double) members.size()));
                 }
             }
             sharing.tick(now);
@@ -177,10 +193,18 @@
     }
 
     void run(long length) {
-        for (long window = Windows.USUAL.number(START); Windows.USUAL.end(window) + 5_000_000 <= START + length; window++) {
+        for (long window = Windows.USUAL.number(START);
+                Windows.USUAL.end(window) + 5_000_000 <= START + length;
+                window++) {
             long number = window;
-            events.add(new Event(Windows.USUAL.end(window) + 5_000_000, order++, () -> members.forEach(m -> shares.add(m.sharing.picture().rows(now).stream()
-                .filter(r -> r.window() == number).mapToLong(r -> r.sum().total()).sum() / (double) told.get(number)))));
+            events.add(new Event(
+                    Windows.USUAL.end(window) + 5_000_000,
+                    order++,
+                    () -> members.forEach(m -> shares.add(m.sharing.picture().rows(now).stream()
+                                    .filter(r -> r.window() == number)
+                                    .mapToLong(r -> r.sum().total())
+                                    .sum()
+                            / (double) told.get(number)))));
         }
         long end = START + length;
         while (events.peek().at <= end) {
@@ -192,7 +216,10 @@
 
     /** Bytes a second in and out together, of each balancer, least first. */
     long[] rates() {
-        return members.stream().mapToLong(m -> m.bytes * 1_000_000 / (now - START)).sorted().toArray();
+        return members.stream()
+                .mapToLong(m -> m.bytes * 1_000_000 / (now - START))
+                .sorted()
+                .toArray();
     }
 
     int held() {
@@ -210,17 +237,46 @@
 
     /** Balancers, backends, sessions a second at each, seconds, bytes a second published, sends. */
     public static void main(String[] args) {
-        Fleet fleet = new Fleet(Integer.parseInt(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]), 1, new Limits(1000, 1024, 256, 1_000_000, 1024, 32_768, 10, 2, 30, 3, 300_000, Integer.parseInt(args[5]),
-            500_000, 1_000_000, Long.parseLong(args[4])));
+        Fleet fleet = new Fleet(
+                Integer.parseInt(args[0]),
+                Integer.parseInt(args[1]),
+                Integer.parseInt(args[2]),
+                1,
+                new Limits(
+                        1000,
+                        1024,
+                        256,
+                        1_000_000,
+                        1024,
+                        32_768,
+                        10,
+                        2,
+                        30,
+                        3,
+                        300_000,
+                        Integer.parseInt(args[5]),
+                        500_000,
+                        1_000_000,
+                        Long.parseLong(args[4])));
         long before = heap();
         fleet.run(Long.parseLong(args[3]) * 1_000_000);
         fleet.events.clear();
         long[] rates = fleet.rates();
-        System.out.printf("known 2 s after: mean %.4f most %.4f least %.4f of %d; shares: mean %.4f most %.4f least %.4f of %d; B/s: median %d 99%% %d most %d; held: %d; heap %d kB a balancer%n",
-            fleet.known.stream().mapToDouble(d -> d).average().orElse(0), mostReach(fleet.known), fleet.known.stream().mapToDouble(d -> d).min().orElse(0), fleet.known.size(),
-            fleet.shares.stream().mapToDouble(d -> d).average().orElse(0), mostReach(fleet.shares), fleet.shares.stream().mapToDouble(d -> d).min().orElse(0),
-            fleet.shares.size(), rates[rates.length / 2], rates[rates.length * 99 / 100], rates[rates.length - 1], fleet.held(),
-            (heap() - before) / 1024 / fleet.members.size());
+        System.out.printf(
+                "known 2 s after: mean %.4f most %.4f least %.4f of %d; shares: mean %.4f most %.4f least %.4f of %d; B/s: median %d 99%% %d most %d; held: %d; heap %d kB a balancer%n",
+                fleet.known.stream().mapToDouble(d -> d).average().orElse(0),
+                mostReach(fleet.known),
+                fleet.known.stream().mapToDouble(d -> d).min().orElse(0),
+                fleet.known.size(),
+                fleet.shares.stream().mapToDouble(d -> d).average().orElse(0),
+                mostReach(fleet.shares),
+                fleet.shares.stream().mapToDouble(d -> d).min().orElse(0),
+                fleet.shares.size(),
+                rates[rates.length / 2],
+                rates[rates.length * 99 / 100],
+                rates[rates.length - 1],
+                fleet.held(),
+                (heap() - before) / 1024 / fleet.members.size());
         System.out.println(fleet.members.get(0).sharing.counts().all());
     }
 
--- a/outcomes/src/test/java/calicochute/outcomes/Fuzz.java
+++ b/outcomes/src/test/java/calicochute/outcomes/Fuzz.java
@@ -5,20 +5,27 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 
-/** Bodies as they may come from anybody: true ones cut, lengthened and changed. As a main: a million of them, or as many as the argument says. */
+/**
+ * Bodies as they may come from anybody: true ones cut, lengthened and changed. As a main: a million of them, or as many
+ * as the argument says.
+ */
 final class Fuzz {
     private static final long NOW = 1_000_000_000;
 
-    private Fuzz() { }
+    private Fuzz() {}
 
     public static void main(String[] args) {
-        System.out.println(run(args.length == 0 ? 1_000_000 : Integer.parseInt(args[0]), 1).counts().all());
+        System.out.println(run(args.length == 0 ? 1_000_000 : Integer.parseInt(args[0]), 1)
+                .counts()
+                .all());
     }
 
     static Sharing run(int bodies, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Sharing sharing = new Sharing(new Origin("me", 1), Windows.USUAL, new SharingTest.Sent("me", "a", "b"));
-        List<Subject> subjects = IntStream.range(0, 60).mapToObj(i -> new Subject("s" + i, 1, "a", "")).toList();
+        List<Subject> subjects = IntStream.range(0, 60)
+                .mapToObj(i -> new Subject("s" + i, 1, "a", ""))
+                .toList();
         sharing.known(subjects);
         for (int i = 0; i < bodies; i++) {
             long now = NOW + i * 100L;
@@ -45,7 +52,8 @@
             throw new AssertionError("held: " + sharing.held());
         }
         for (Row row : sharing.picture().rows(now)) {
-            Summed summed = new Summed(row.subject().hash(), row.witnesses(), row.sum(), row.clipped(), row.middle(), row.between());
+            Summed summed = new Summed(
+                    row.subject().hash(), row.witnesses(), row.sum(), row.clipped(), row.middle(), row.between());
             if (!summed.possible(Limits.USUAL)) {
                 throw new AssertionError("impossible: " + row);
             }
@@ -77,11 +85,13 @@
     }
 
     private static byte[] mutated(SplittableRandom random, byte[] body) {
-        byte[] other = java.util.Arrays.copyOf(body, switch (random.nextInt(8)) {
-            case 0 -> random.nextInt(body.length + 1);
-            case 1 -> body.length + random.nextInt(1, 1200);
-            default -> body.length;
-        });
+        byte[] other = java.util.Arrays.copyOf(
+                body,
+                switch (random.nextInt(8)) {
+                    case 0 -> random.nextInt(body.length + 1);
+                    case 1 -> body.length + random.nextInt(1, 1200);
+                    default -> body.length;
+                });
         for (int i = random.nextInt(4); i > 0 && other.length > 0; i--) {
             int at = random.nextInt(other.length);
             other[at] = (byte) (random.nextBoolean() ? random.nextInt(256) : other[at] ^ 1 << random.nextInt(8));
--- a/outcomes/src/test/java/calicochute/outcomes/FuzzTest.java
+++ b/outcomes/src/test/java/calicochute/outcomes/FuzzTest.java
@@ -10,7 +10,8 @@
     @Example
     void whateverComes() {
         Counts counts = Fuzz.run(100_000, 2).counts();
-        for (Cause cause : new Cause[] {Cause.MALFORMED, Cause.IMPOSSIBLE, Cause.CLOCK_OFF, Cause.CLASH, Cause.TOO_MANY}) {
+        for (Cause cause :
+                new Cause[] {Cause.MALFORMED, Cause.IMPOSSIBLE, Cause.CLOCK_OFF, Cause.CLASH, Cause.TOO_MANY}) {
             assertTrue(counts.of(cause) > 100, () -> counts.all().toString());
         }
     }
--- a/outcomes/src/test/java/calicochute/outcomes/LedgerTest.java
+++ b/outcomes/src/test/java/calicochute/outcomes/LedgerTest.java
@@ -21,14 +21,22 @@
     private static final Subject ONE = new Subject("s1", 1, "a", "");
 
     /** A session: when it began and how long it took (in 100 ms). */
-    record Session(int at, int took) { }
+    record Session(int at, int took) {}
 
     @Provide
     Arbitrary<List<Session>> sessions() {
-        return Combinators.combine(Arbitraries.integers().between(0, 100), Arbitraries.integers().between(1, 60)).as(Session::new).list().ofMaxSize(40);
+        return Combinators.combine(
+                        Arbitraries.integers().between(0, 100),
+                        Arbitraries.integers().between(1, 60))
+                .as(Session::new)
+                .list()
+                .ofMaxSize(40);
     }
 
-    /** Each session within its deadline is in exactly one closed window, its own; one past it is counted as late; no window is told with one still open. */
+    /**
+     * Each session within its deadline is in exactly one closed window, its own; one past it is counted as late; no
+     * window is told with one still open.
+     */
     @Property(tries = 300, seed = "3")
     void eachOutcomeOnceInItsWindow(@ForAll("sessions") List<Session> sessions) {
         Ledger ledger = new Ledger(Windows.USUAL, 3 * S);
@@ -57,14 +65,18 @@
             }
             for (Closed closed : ledger.close(now)) {
                 assertTrue(told.put(closed.window(), closed.tallies().get(ONE).total()) == null, "told twice");
-                open.forEach((session, window) -> assertTrue(window != closed.window() || now >= (closed.window() + 1) * 2 * S + 3 * S));
+                open.forEach((session, window) ->
+                        assertTrue(window != closed.window() || now >= (closed.window() + 1) * 2 * S + 3 * S));
             }
         }
         // A window of which all passed their deadline is told of as nothing: what ended after that is late as well.
         expected.keySet().removeIf(w -> !told.containsKey(w));
         assertEquals(expected, told);
         assertTrue(ledger.counts().of(Cause.LATE) >= late.size());
-        assertEquals(distinct.size(), told.values().stream().mapToLong(Long::longValue).sum() + ledger.counts().of(Cause.LATE));
+        assertEquals(
+                distinct.size(),
+                told.values().stream().mapToLong(Long::longValue).sum()
+                        + ledger.counts().of(Cause.LATE));
         assertEquals(0, ledger.open());
     }
 
@@ -103,6 +115,7 @@
             ledger.count(window, new Subject("s" + i, 1, "a", ""), End.FULL, Double.NaN);
         }
         assertEquals(2000 - Limits.USUAL.subjects(), ledger.counts().of(Cause.TOO_MANY));
-        assertEquals(Limits.USUAL.subjects(), ledger.close(4 * S).get(0).tallies().size());
+        assertEquals(
+                Limits.USUAL.subjects(), ledger.close(4 * S).get(0).tallies().size());
     }
 }
--- a/outcomes/src/test/java/calicochute/outcomes/SharingTest.java
+++ b/outcomes/src/test/java/calicochute/outcomes/SharingTest.java
@@ -66,10 +66,11 @@
     }
 
     private static byte[] report(long window, Subject subject, Tally tally) {
-        return Bodies.reports(window, List.of(new Bodies.Entry(subject.hash(), tally)), 1000).get(0);
+        return Bodies.reports(window, List.of(new Bodies.Entry(subject.hash(), tally)), 1000)
+                .get(0);
     }
 
-    private record Message(String from, long start, boolean direct, byte[] body) { }
+    private record Message(String from, long start, boolean direct, byte[] body) {}
 
     private static void hear(Sharing sharing, long now, Message message) {
         if (message.direct) {
@@ -79,15 +80,21 @@
         }
     }
 
-    /** All sequences of up to six of six messages: which of them came decides alone what the third balancer holds, and what it publishes. */
+    /**
+     * All sequences of up to six of six messages: which of them came decides alone what the third balancer holds, and
+     * what it publishes.
+     */
     @Example
     void anyOrderLossAndRepetitionEndInTheSamePicture() {
         Tally a = tally(2, End.IN_AIM, 0.3);
         Tally b = tally(3, End.ERROR, Double.NaN);
-        List<Message> messages = List.of(new Message("a", 1, true, report(WINDOW, ONE, a)), new Message("b", 1, true, report(WINDOW, ONE, b)),
-            new Message("a", 2, true, report(WINDOW, ONE, a)), new Message("a", 1, true, report(WINDOW, ONE, tally(2, End.IN_AIM, 0.4))),
-            new Message("a", 1, false, Bodies.rows(WINDOW, List.of(Summed.of(ONE.hash(), List.of(a, b), 3)))),
-            new Message("b", 1, false, Bodies.rows(WINDOW, List.of(Summed.of(ONE.hash(), List.of(b, b), 3)))));
+        List<Message> messages = List.of(
+                new Message("a", 1, true, report(WINDOW, ONE, a)),
+                new Message("b", 1, true, report(WINDOW, ONE, b)),
+                new Message("a", 2, true, report(WINDOW, ONE, a)),
+                new Message("a", 1, true, report(WINDOW, ONE, tally(2, End.IN_AIM, 0.4))),
+                new Message("a", 1, false, Bodies.rows(WINDOW, List.of(Summed.of(ONE.hash(), List.of(a, b), 3)))),
+                new Message("b", 1, false, Bodies.rows(WINDOW, List.of(Summed.of(ONE.hash(), List.of(b, b), 3)))));
         Map<Set<Integer>, Set<Row>> ends = new HashMap<>();
         int many = messages.size();
         for (int length = 0; length <= 6; length++) {
@@ -98,7 +105,7 @@
                 for (int i = 0, rest = code; i < length; i++, rest /= many) {
                     hear(c, now, messages.get(rest % many));
                     heard.add(rest % many);
-                    now += code % 2 * 400_000;    // half of them with rows published in between
+                    now += code % 2 * 400_000; // half of them with rows published in between
                     c.tick(now);
                 }
                 c.tick(NOW + 4 * S);
@@ -130,7 +137,9 @@
         sent.direct.forEach(body -> c.heardDirect(NOW, "a", 1, body));
         c.tick(NOW + 2 * S);
         Row row = c.picture().newest(NOW + 2 * S).get(ONE);
-        assertEquals(new Row(ONE, WINDOW, new Origin("c", 1), 1, tally(4, End.LATE, -1), tally(4, End.LATE, -1), -1, 0), row);
+        assertEquals(
+                new Row(ONE, WINDOW, new Origin("c", 1), 1, tally(4, End.LATE, -1), tally(4, End.LATE, -1), -1, 0),
+                row);
         assertEquals(0, c.counts().of(Cause.CLASH));
         int spread = ofC.spread.size();
         c.heardDirect(NOW, "b", 1, report(WINDOW, ONE, tally(1, End.LATE, -1)));
@@ -157,12 +166,19 @@
         Sharing c = c(new Sent("a", "b", "c"));
         Subject later = new Subject("s3", 9, "a", "b");
         Tally tally = tally(1, End.IN_AIM, 0);
-        c.heardSpread(NOW, "a", 1, "f.0", WINDOW * 64 + 1, Bodies.rows(WINDOW, List.of(Summed.of(later.hash(), List.of(tally), 3))));
+        c.heardSpread(
+                NOW,
+                "a",
+                1,
+                "f.0",
+                WINDOW * 64 + 1,
+                Bodies.rows(WINDOW, List.of(Summed.of(later.hash(), List.of(tally), 3))));
         assertEquals(0, c.picture().rows(NOW).size());
         c.known(List.of(later));
         assertEquals(1, c.picture().rows(NOW).size());
         for (int i = 0; i < 5000; i++) {
-            c.heardSpread(NOW, "a", 1, "f.0", WINDOW * 64 + 1, Bodies.rows(WINDOW, List.of(Summed.of(i, List.of(tally), 3))));
+            c.heardSpread(
+                    NOW, "a", 1, "f.0", WINDOW * 64 + 1, Bodies.rows(WINDOW, List.of(Summed.of(i, List.of(tally), 3))));
         }
         assertEquals(1 + Limits.USUAL.unknown(), c.held());
     }
@@ -171,10 +187,16 @@
     @Example
     void anOwnerHoldsOnlySoMuch() {
         Sharing c = c(new Sent("a", "b", "c"));
-        c.known(IntStream.range(0, 1024).mapToObj(i -> new Subject("s" + i, 1, "a", "")).toList());
+        c.known(IntStream.range(0, 1024)
+                .mapToObj(i -> new Subject("s" + i, 1, "a", ""))
+                .toList());
         for (int from = 0; from < 40; from++) {
             for (int i = 0; i < 1100; i++) {
-                c.heardDirect(NOW, "p" + from, 1, report(WINDOW - from % 4, new Subject("s" + i, 1, "a", ""), tally(1, End.IN_AIM, 0)));
+                c.heardDirect(
+                        NOW,
+                        "p" + from,
+                        1,
+                        report(WINDOW - from % 4, new Subject("s" + i, 1, "a", ""), tally(1, End.IN_AIM, 0)));
             }
         }
         assertTrue(c.held() <= Limits.USUAL.entries(), "held: " + c.held());
--- a/outcomes/src/test/java/calicochute/outcomes/TallyTest.java
+++ b/outcomes/src/test/java/calicochute/outcomes/TallyTest.java
@@ -23,9 +23,13 @@
         return Drawn.tallies();
     }
 
-    /** The row is the same to the last bit whatever the order, could have been measured, and comes back from the wire as it went. */
+    /**
+     * The row is the same to the last bit whatever the order, could have been measured, and comes back from the wire as
+     * it went.
+     */
     @Property(tries = 300, seed = "1")
-    void rowsOfAnyOrderAreOneRow(@ForAll("tallies") List<Tally> tallies, @ForAll Random random) throws Bodies.Malformed {
+    void rowsOfAnyOrderAreOneRow(@ForAll("tallies") List<Tally> tallies, @ForAll Random random)
+            throws Bodies.Malformed {
         Summed row = Summed.of(7, tallies, LIMITS.cap());
         List<Tally> other = new ArrayList<>(tallies);
         Collections.shuffle(other, random);
@@ -34,7 +38,8 @@
         assertTrue(row.possible(LIMITS), row::toString);
         byte[] body = Bodies.rows(12, List.of(row));
         assertEquals(new Bodies.Rows(12, List.of(row)), Bodies.rows(body, LIMITS));
-        List<Bodies.Entry> entries = tallies.stream().map(t -> new Bodies.Entry(t.hashCode(), t)).toList();
+        List<Bodies.Entry> entries =
+                tallies.stream().map(t -> new Bodies.Entry(t.hashCode(), t)).toList();
         List<Bodies.Entry> back = new ArrayList<>();
         for (byte[] report : Bodies.reports(12, entries, 200)) {
             assertTrue(report.length <= 200);
@@ -43,7 +48,10 @@
         assertEquals(entries, back);
     }
 
-    /** Whoever the witness and whatever it says: no more than three times the median's dispatches, with its own shares and mean. */
+    /**
+     * Whoever the witness and whatever it says: no more than three times the median's dispatches, with its own shares
+     * and mean.
+     */
     @Property(tries = 300, seed = "2")
     void oneWitnessCountsOnlySoMuch(@ForAll("tallies") List<Tally> tallies) {
         long[] totals = tallies.stream().mapToLong(Tally::total).sorted().toArray();
@@ -58,12 +66,15 @@
                 assertEquals(tally.meanLogSpeed(), fewer.meanLogSpeed(), 1 / Tally.UNITS);
             }
         }
-        assertEquals(tallies.stream().mapToLong(t -> Math.min(most, t.total())).sum(), Summed.of(7, tallies, 3).clipped().total());
+        assertEquals(
+                tallies.stream().mapToLong(t -> Math.min(most, t.total())).sum(),
+                Summed.of(7, tallies, 3).clipped().total());
     }
 
     @Example
     void aBadWitnessAmongTwenty() {
-        List<Tally> tallies = new ArrayList<>(Collections.nCopies(20, Tally.of(End.IN_AIM, 0.5).plus(Tally.of(End.IN_AIM, 0.5))));
+        List<Tally> tallies = new ArrayList<>(
+                Collections.nCopies(20, Tally.of(End.IN_AIM, 0.5).plus(Tally.of(End.IN_AIM, 0.5))));
         Tally bad = Tally.NONE;
         for (int i = 0; i < 900; i++) {
             bad = bad.plus(Tally.of(End.ERROR, -6));
@@ -94,8 +105,20 @@
     /** The widest row fits its bound, and six of them a body. */
     @Example
     void theWidestRowFits() throws Bodies.Malformed {
-        Tally wide = new Tally(new long[] {128_000_000, 128_000_000, 128_000_000, 128_000_000, 128_000_000, 128_000_000, 128_000_000, 128_000_000},
-            -1_024_000_000 * 6.9, 1_024_000_000 * 47.7, 1_024_000_000);
+        Tally wide = new Tally(
+                new long[] {
+                    128_000_000,
+                    128_000_000,
+                    128_000_000,
+                    128_000_000,
+                    128_000_000,
+                    128_000_000,
+                    128_000_000,
+                    128_000_000
+                },
+                -1_024_000_000 * 6.9,
+                1_024_000_000 * 47.7,
+                1_024_000_000);
         Tally other = new Tally(wide.ends(), wide.logSpeed() + 1, wide.logSpeedSquares(), wide.speeds() - 1);
         Summed row = new Summed(-1, 1024, wide, other, Tally.exact(-6.9), 47);
         assertTrue(row.possible(LIMITS));
