--- a/balancer/src/main/java/calicochute/discovery/Discovery.java
+++ b/balancer/src/main/java/calicochute/discovery/Discovery.java
@@ -77,7 +77,7 @@
 
     private static long longestPause(Settings rules) {
         // Guards against a storm where no asking time is told: none is not 0.
-        long askEvery = rules.rules().askEvery();
+        long askEvery = rules.rules().listRefreshInterval();
         return rules.subscribes() && askEvery > 0 ? askEvery / 2 : WatchClock.LONGEST;
     }
 
--- a/balancer/src/main/java/calicochute/fleet/Adviser.java
+++ b/balancer/src/main/java/calicochute/fleet/Adviser.java
@@ -48,10 +48,10 @@
         bandit.heard(now, picture.get(), live, listed);
         Advices advices = bandit.advise(now);
         Set<String> turns = new HashSet<>();
-        List<Balancer.OfFleet> told = new ArrayList<>();
+        List<Balancer.FleetEstimate> told = new ArrayList<>();
         for (Advice a : advices.of()) {
             boolean turn = a.mayTry() && !trying.contains(a.server());
-            told.add(new Balancer.OfFleet(a.server(), a.startedAt(), a.speed(), a.worth(), turn));
+            told.add(new Balancer.FleetEstimate(a.server(), a.startedAt(), a.speed(), a.worth(), turn));
             if (a.mayTry()) {
                 turns.add(a.server());
             }
@@ -59,7 +59,7 @@
         }
         trying = turns;
         sick = advices.of().stream().filter(Advice::sick).count();
-        module.accept(new Balancer.Advised(told, advices.until()));
+        module.accept(new Balancer.FleetEstimates(told, advices.until()));
     }
 
     /** Servers said to be sick in the last advice. */
--- a/balancer/src/main/java/calicochute/fleet/Placing.java
+++ b/balancer/src/main/java/calicochute/fleet/Placing.java
@@ -83,7 +83,7 @@
         known.accept(subjects);
         if (!placing.equals(arms)) {
             arms = placing;
-            module.accept(new Balancer.Arms(Map.copyOf(arms)));
+            module.accept(new Balancer.ExperimentArms(Map.copyOf(arms)));
         }
     }
 
--- a/balancer/src/main/java/calicochute/fleet/Sessions.java
+++ b/balancer/src/main/java/calicochute/fleet/Sessions.java
@@ -131,7 +131,7 @@
 
     private static End end(Outcome outcome, long elapsed, RequestClass c) {
         return switch (outcome) {
-            case OK -> elapsed <= c.aim() ? End.IN_AIM : End.LATE;
+            case OK -> elapsed <= c.objective() ? End.IN_AIM : End.LATE;
             case ERROR -> End.ERROR;
             case FULL -> End.FULL;
             case CONNECT_FAILED -> End.UNREACHABLE;
@@ -149,7 +149,7 @@
         p.answered = true;
         if (p.ticket != null) {
             RequestClass c = classes.get().get(exchange.classIndex);
-            boolean inAim = served && queue.now() - exchange.arrivedAt() <= c.aim();
+            boolean inAim = served && queue.now() - exchange.arrivedAt() <= c.objective();
             // A dispatch's outcome may come behind the answer: where it went is known at its beginning.
             String server = exchange.latest() == null ? "" : exchange.latest().server;
             boolean crossed = p.crossed || !server.isEmpty() && p.strange(placing.server(server));
--- a/balancer/src/main/java/calicochute/node/Heritage.java
+++ b/balancer/src/main/java/calicochute/node/Heritage.java
@@ -2,7 +2,7 @@
 
 import calicochute.decision.Balancer;
 import calicochute.decision.Handover;
-import calicochute.decision.Learnt;
+import calicochute.decision.LearntState;
 import calicochute.exchange.DecisionQueue;
 import calicochute.metrics.Counters;
 import calicochute.metrics.Log;
@@ -61,7 +61,7 @@
                         "recalled",
                         "age_ms=" + age / 1000 + " servers="
                                 + note.learnt().servers().size());
-                queue.post(() -> Handover.recall(balancer, note.learnt(), queue.now(), age));
+                queue.post(() -> Handover.restore(balancer, note.learnt(), queue.now(), age));
             }
         } catch (IOException e) {
             Log.warn("learnt-not-read", String.valueOf(e.getMessage()));
@@ -72,7 +72,7 @@
         if (!stays.getAsBoolean()) {
             return;
         }
-        Learnt now = Handover.of(balancer);
+        LearntState now = Handover.export(balancer);
         Origin by = origin.get();
         counters.mustHold(now.sane(), "what the module has learnt is no number");
         files.accept(() -> {
--- a/balancer/src/main/java/calicochute/node/ModuleActions.java
+++ b/balancer/src/main/java/calicochute/node/ModuleActions.java
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public void timer(long delay, int purpose, long subject) {
+    public void startTimer(long delay, int purpose, long subject) {
         queue.after(delay, () -> node.tell(new Balancer.Timer(purpose, subject)));
     }
 
@@ -110,12 +110,12 @@
     }
 
     @Override
-    public void closeIdle(String server) {
+    public void closeIdleConnections(String server) {
         backend.closeIdle(server);
     }
 
     @Override
-    public void tell(int peer, byte[] bytes) {
+    public void sendToPeer(int peer, byte[] bytes) {
         counters.mustHold(false, "messages to peers are not carried");
     }
 
--- a/balancer/src/main/java/calicochute/node/Node.java
+++ b/balancer/src/main/java/calicochute/node/Node.java
@@ -159,7 +159,7 @@
             succession = next;
             next.classes().forEach(c -> figures.listClass(c.name()));
             backend.retune(changed.settings().limits().connectTimeout(), changed.connectionIdle());
-            tell(new Balancer.Retuned(next.forModule()));
+            tell(new Balancer.SettingsChanged(next.forModule()));
             counters.count(Counter.RELOADS);
             figures.reloaded(true);
             Log.info(
@@ -222,7 +222,7 @@
         }
         if (unanswered >= exchange.limits.maxOpen()) {
             counters.count(Counter.SESSIONS_OVER_LIMIT);
-            answer(exchange, new Answer.Denied(exchange.limits.away()));
+            answer(exchange, new Answer.Denied(exchange.limits.advisedRetryAfter()));
             return;
         }
         if (!clientIds.add(exchange.clientId)) {
@@ -322,7 +322,11 @@
         }
         boolean stop = queue.now() < exchange.deadline() - Margins.answer(exchange.patience);
         counters.count(stop ? Counter.SESSIONS_ENDED_BY_STOP : Counter.SESSIONS_ENDED_BY_DEADLINE);
-        answer(exchange, exchange.mayHaveRun() ? new Answer.Failed(!stop) : new Answer.Denied(exchange.limits.away()));
+        answer(
+                exchange,
+                exchange.mayHaveRun()
+                        ? new Answer.Failed(!stop)
+                        : new Answer.Denied(exchange.limits.advisedRetryAfter()));
         sessionOver(exchange);
         retire(exchange);
     }
--- a/balancer/src/main/java/calicochute/settings/Succession.java
+++ b/balancer/src/main/java/calicochute/settings/Succession.java
@@ -117,7 +117,7 @@
         Settings s = current;
         return new Settings(
                 s.seed(),
-                s.me(),
+                s.instance(),
                 s.balancers(),
                 s.tier(),
                 s.passesDeadline(),
--- a/balancer/src/main/java/calicochute/takeover/LearntFile.java
+++ b/balancer/src/main/java/calicochute/takeover/LearntFile.java
@@ -1,6 +1,6 @@
 package calicochute.takeover;
 
-import calicochute.decision.Learnt;
+import calicochute.decision.LearntState;
 import calicochute.metrics.Log;
 import com.google.gson.Gson;
 import com.google.gson.JsonParseException;
@@ -19,13 +19,13 @@
     private final Path file;
 
     /** {@code learnt} as it was at that Unix time in milliseconds, and by whom. */
-    public record Note(int version, long atMs, Origin origin, Learnt learnt) {}
+    public record Note(int version, long atMs, Origin origin, LearntState learnt) {}
 
     public LearntFile(SharedFolder shared) {
         file = shared.file(".learnt");
     }
 
-    public void write(Origin origin, Learnt learnt, long nowMs) throws IOException {
+    public void write(Origin origin, LearntState learnt, long nowMs) throws IOException {
         SharedFolder.replace(file, gson.toJson(new Note(VERSION, nowMs, origin, learnt)));
     }
 
--- a/balancer/src/main/java/calicochute/wire/Host.java
+++ b/balancer/src/main/java/calicochute/wire/Host.java
@@ -96,7 +96,7 @@
             case "timed_out_client" -> tell(new Balancer.ClientGone(line.hex("xid")));
             case "ring" -> tell(timer());
             case "probe_done" ->
-                tell(new Balancer.Probed(line.text("backend"), outcome(), line.number("wait_time", 0), load()));
+                tell(new Balancer.ProbeEnded(line.text("backend"), outcome(), line.number("wait_time", 0), load()));
             case "note_from" -> tell(new Balancer.PeerMessage((int) line.number("sender", 0), bytes()));
             default -> throw line.error("unknown event '" + word + "'");
         }
--- a/balancer/src/main/java/calicochute/wire/ReplyWriter.java
+++ b/balancer/src/main/java/calicochute/wire/ReplyWriter.java
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public void timer(long delay, int purpose, long subject) {
+    public void startTimer(long delay, int purpose, long subject) {
         start("remind");
         number(" offset=", delay);
         number(" label=", purpose);
@@ -104,14 +104,14 @@
     }
 
     @Override
-    public void closeIdle(String backend) {
+    public void closeIdleConnections(String backend) {
         start("free_links");
         text(" backend=", backend);
         newline();
     }
 
     @Override
-    public void tell(int peer, byte[] bytes) {
+    public void sendToPeer(int peer, byte[] bytes) {
         start("broadcast_to");
         number(" neighbour_id=", peer);
         text(" bytes=", bytes.length == 0 ? "-" : Base64.getEncoder().encodeToString(bytes));
--- a/balancer/src/test/java/calicochute/example/Example.java
+++ b/balancer/src/test/java/calicochute/example/Example.java
@@ -28,7 +28,7 @@
         public void cancel(long request, int attempt) {}
 
         @Override
-        public void timer(long delay, int purpose, long subject) {}
+        public void startTimer(long delay, int purpose, long subject) {}
 
         @Override
         public void subscribe(boolean on) {}
@@ -40,10 +40,10 @@
         public void probe(String backend) {}
 
         @Override
-        public void closeIdle(String backend) {}
+        public void closeIdleConnections(String backend) {}
 
         @Override
-        public void tell(int peer, byte[] bytes) {}
+        public void sendToPeer(int peer, byte[] bytes) {}
 
         @Override
         public void log(String text) {}
--- a/balancer/src/test/java/calicochute/settings/CustomerSettingsTest.java
+++ b/balancer/src/test/java/calicochute/settings/CustomerSettingsTest.java
@@ -18,7 +18,7 @@
 import calicochute.decision.Balancer.ListKind;
 import calicochute.decision.Balancer.Outcome;
 import calicochute.decision.Balancer.RequestClass;
-import calicochute.decision.Balancer.Retuned;
+import calicochute.decision.Balancer.SettingsChanged;
 import calicochute.decision.Balancer.StreamStarted;
 import calicochute.decision.Balancer.Timer;
 import java.nio.file.Files;
@@ -248,7 +248,7 @@
 
         void reload(Configuration changed) throws SettingsException {
             succession = succession.next(changed.settings(), now);
-            tell(new Retuned(succession.forModule()));
+            tell(new SettingsChanged(succession.forModule()));
         }
 
         void run() {
@@ -466,7 +466,7 @@
         }
 
         @Override
-        public void timer(long delay, int purpose, long subject) {
+        public void startTimer(long delay, int purpose, long subject) {
             assertTrue(delay > 0, "a timer that is due at once, for ever");
             if (purpose == HELD) {
                 assertTrue(
@@ -491,10 +491,10 @@
         }
 
         @Override
-        public void closeIdle(String backend) {}
+        public void closeIdleConnections(String backend) {}
 
         @Override
-        public void tell(int peer, byte[] bytes) {
+        public void sendToPeer(int peer, byte[] bytes) {
             throw new AssertionError("messages to peers");
         }
 
--- a/balancer/src/test/java/calicochute/settings/SettingsParserTest.java
+++ b/balancer/src/test/java/calicochute/settings/SettingsParserTest.java
@@ -59,10 +59,10 @@
                 SettingsParser.parse(with("classes.0.objective", "1"))
                         .classes()
                         .get(0)
-                        .aim());
+                        .objective());
         assertEquals(
                 3_000_000,
-                SettingsParser.parse(with("obligations.fall", "3e6")).rules().fall());
+                SettingsParser.parse(with("obligations.fall", "3e6")).rules().overloadWindow());
         assertEquals(30_000_000, SettingsParser.time(with("caps.conn_idle", "3e7"), "caps.conn_idle", 5));
         assertThrows(
                 SettingsException.class, () -> SettingsParser.time(with("caps.conn_idle", "0"), "caps.conn_idle", 5));
--- a/balancer/src/test/java/calicochute/takeover/LearntFileTest.java
+++ b/balancer/src/test/java/calicochute/takeover/LearntFileTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import calicochute.decision.Learnt;
+import calicochute.decision.LearntState;
 import calicochute.settings.SettingsException;
 import calicochute.settings.SettingsParser;
 import java.io.IOException;
@@ -16,9 +16,9 @@
 
 class LearntFileTest {
     private static final long NOW = 1_000_000;
-    private static final Learnt LEARNT = new Learnt(
-            Map.of("s1", new Learnt.OfServer(0.5, true, 0)),
-            Map.of("view", new Learnt.OfClass(9, 5, 3, 7, 1)),
+    private static final LearntState LEARNT = new LearntState(
+            Map.of("s1", new LearntState.ServerEstimate(0.5, true, 0)),
+            Map.of("view", new LearntState.ClassEstimate(9, 5, 3, 7, 1)),
             1,
             8,
             0.5,
@@ -55,7 +55,7 @@
         return Origin.of(balancer, SettingsParser.parse(values));
     }
 
-    private Learnt taken(Origin reader) throws IOException {
+    private LearntState taken(Origin reader) throws IOException {
         LearntFile.Note note = file().read(reader, NOW + 100);
         return note == null ? null : note.learnt();
     }
--- a/balancer/src/test/java/calicochute/wire/HostTest.java
+++ b/balancer/src/test/java/calicochute/wire/HostTest.java
@@ -37,13 +37,13 @@
                 to.refuse(a.request(), 250);
                 to.fail(a.request());
                 to.cancel(a.request(), 1);
-                to.timer(500, 2, -1);
+                to.startTimer(500, 2, -1);
                 to.subscribe(true);
                 to.fetchList();
                 to.probe("b1");
-                to.closeIdle("b2");
-                to.tell(-1, "hi 7".getBytes(StandardCharsets.UTF_8));
-                to.tell(2, new byte[0]);
+                to.closeIdleConnections("b2");
+                to.sendToPeer(-1, "hi 7".getBytes(StandardCharsets.UTF_8));
+                to.sendToPeer(2, new byte[0]);
                 to.log("two servers known");
             }
             if (event instanceof ClientGone) {
@@ -71,7 +71,7 @@
     @Test
     void settingsAreReadAndAbsentOnesHaveDefaults() throws Exception {
         talk("batch time=1\n" + BORN + "commit\n");
-        assertEquals(1, settings.me());
+        assertEquals(1, settings.instance());
         assertEquals(4, settings.balancers());
         assertEquals(true, settings.subscribes());
         assertEquals(3, settings.limits().maxAttempts());
@@ -110,7 +110,7 @@
         assertEquals(-1, ended.request());
         assertEquals(Balancer.Outcome.RESET, ended.outcome());
         assertEquals(2.5, ended.load()[1]);
-        assertEquals(new Balancer.Probed("b1", Balancer.Outcome.OK, 14, null), events.get(6));
+        assertEquals(new Balancer.ProbeEnded("b1", Balancer.Outcome.OK, 14, null), events.get(6));
         assertEquals("hi 7", new String(((Balancer.PeerMessage) events.get(7)).bytes(), StandardCharsets.UTF_8));
     }
 
@@ -192,7 +192,7 @@
     @Test
     void haltAndBirthInOneBatchStartAfresh() throws Exception {
         talk("batch time=1\n" + BORN + "halt i=proxy/1\n" + BORN.replace("me=1", "me=2") + "commit\n");
-        assertEquals(2, settings.me());
+        assertEquals(2, settings.instance());
     }
 
     @Test
--- a/decision/src/main/java/calicochute/decision/Admission.java
+++ b/decision/src/main/java/calicochute/decision/Admission.java
@@ -4,52 +4,67 @@
 import calicochute.decision.Balancer.RequestClass;
 import java.util.Arrays;
 
-/** Who is taken in: a limit on open requests follows what answers take of their aim; worth ranks near it. */
-record Admission(Known known) {
-    /** Queueing may take this share of the slack between a class's lowest typical answer time and its aim. */
-    private static final double AIM_SHARE = 0.3;
-    /** The least worthy request is refused this far below the limit. */
+/**
+ * Admission control. An adaptive limit bounds the number of open requests: it is cut while queueing takes too much of
+ * the latency objectives and raised otherwise. Near the limit the requests of least worth are refused first.
+ */
+record Admission(BalancerState state) {
+    /** Share of the slack between a class's base latency and its objective that queueing may take. */
+    private static final double MAX_QUEUEING_SHARE = 0.3;
+    /** The requests of least worth are refused from this share of the limit below the limit. */
     private static final double WORTH_SPREAD = 0.3;
+    /** Requests. */
+    private static final int MIN_OPEN_LIMIT = 8;
 
-    private static final int LIMIT_MIN = 8;
-    /** Least time between cuts of the limit. */
-    private static final long CUT_GAP = 250_000;
-    /** Arrivals by which the common patience must lead for another to be a later try, and leads at most. */
-    private static final int VOTES = 8, MOST_VOTES = 1000;
+    private static final long MIN_CUT_INTERVAL_MICROS = 250_000;
+    /** Arrivals by which the usual time left must lead before another time left counts as a later try. */
+    private static final int MIN_VOTES = 8;
+    /** Arrivals. */
+    private static final int MAX_VOTES = 1000;
 
-    /** How long the client waited before this try, 0 if untold; first tries share a patience, by majority. */
-    long waited(Arrival e) {
-        Seen seen = known.seen[e.classIndex()];
-        long deadline = known.classes[e.classIndex()].deadline();
-        boolean usual = Math.abs(e.timeLeft() - seen.patience) < deadline / 50;
-        if (!usual && seen.votes == 0) {
-            seen.patience = e.timeLeft();
+    /**
+     * How long the client waited before this try, in microseconds; 0 if unknown. The usual time left of first tries is
+     * the one that the majority of arrivals has.
+     */
+    long waited(Arrival arrival) {
+        ClassStats stats = state.classStats[arrival.classIndex()];
+        long deadline = state.classes[arrival.classIndex()].deadline();
+        boolean usual = Math.abs(arrival.timeLeft() - stats.usualTimeLeft) < deadline / 50;
+        if (!usual && stats.usualTimeLeftVotes == 0) {
+            stats.usualTimeLeft = arrival.timeLeft();
         }
-        seen.votes = Math.max(0, Math.min(seen.votes, MOST_VOTES) + (usual ? 1 : -1));
-        boolean later = !usual && (known.settings.marksRetries() ? e.retry() : seen.votes > VOTES);
-        return later ? Math.max(0, deadline - e.timeLeft()) : 0;
+        stats.usualTimeLeftVotes = Math.max(0, Math.min(stats.usualTimeLeftVotes, MAX_VOTES) + (usual ? 1 : -1));
+        boolean later =
+                !usual && (state.settings.marksRetries() ? arrival.retry() : stats.usualTimeLeftVotes > MIN_VOTES);
+        return later ? Math.max(0, deadline - arrival.timeLeft()) : 0;
     }
 
-    /** Under the limit all are taken; near it, only those with little of more worth arriving. */
-    boolean admit(Arrival e, long waited) {
-        // DANGER: refused clients come back; served in turn with first tries, they make all of them late.
-        int bin = e.classIndex() * 3 + (e.retry() && waited == 0 ? 2 : overShare(e.tenantIndex()) ? 1 : 0);
-        // Retries have no say in the ranks: there are the more of them the more is refused.
-        known.arrivals[bin] += bin % 3 < 2 ? 1 : 0;
-        double above = 0, all = 0;
-        for (int i = 0; i < known.arrivals.length; i++) {
-            all += known.arrivals[i];
-            above += worth(i) > worth(bin) ? known.arrivals[i] : 0;
+    /**
+     * Whether to admit a request. Far below the limit all are admitted; near it, only those for which few of the
+     * arrivals are worth more.
+     */
+    boolean admit(Arrival arrival, long waited) {
+        // Refused clients come back: if their retries were served in turn with first tries, all would be late.
+        int bin = arrival.classIndex() * 3
+                + (arrival.retry() && waited == 0 ? 2 : overShare(arrival.tenantIndex()) ? 1 : 0);
+        // Retries are not counted among the arrivals, because their number grows with the number of refusals.
+        state.arrivalsByBin[bin] += bin % 3 < 2 ? 1 : 0;
+        double above = 0;
+        double all = 0;
+        for (int i = 0; i < state.arrivalsByBin.length; i++) {
+            all += state.arrivalsByBin[i];
+            above += worth(i) > worth(bin) ? state.arrivalsByBin[i] : 0;
         }
-        return known.open <= known.limit * (1 - WORTH_SPREAD * above / Math.max(1, all));
+        return state.openRequests <= state.openLimit * (1 - WORTH_SPREAD * above / Math.max(1, all));
     }
 
+    /** Takes a token from the tenant's bucket; true if it has none, so that the tenant is over its allowance. */
     private boolean overShare(int tenant) {
-        double seconds = (known.now - known.tenantTokensAt) / 1e6;
-        known.tenantTokensAt = known.now;
-        double[] tokens = known.tenantTokens;
+        double seconds = (state.now - state.tenantTokensAt) / 1e6;
+        state.tenantTokensAt = state.now;
+        double[] tokens = state.tenantTokens;
         for (int i = 0; i < tokens.length; i++) {
-            double rate = known.settings.tenants().get(i).allowancePerSecond() / known.settings.balancers();
+            double rate = state.settings.tenants().get(i).allowancePerSecond() / state.settings.balancers();
             tokens[i] = Math.min(Math.max(1, rate), tokens[i] + seconds * rate);
         }
         if (tenant < 0 || tokens[tenant] < 1) {
@@ -59,36 +74,40 @@
         return false;
     }
 
+    /** Worth per unit of work of the requests in a bin. */
     private double worth(int bin) {
-        RequestClass c = known.classes[bin / 3];
-        double share = bin % 3 == 0 ? 1 : bin % 3 == 1 ? known.settings.overShareWorth() : c.lateWorth();
-        return c.worth() * share / Math.max(1, known.seen[bin / 3].latency);
+        RequestClass requestClass = state.classes[bin / 3];
+        double share = bin % 3 == 0 ? 1 : bin % 3 == 1 ? state.settings.overShareWorth() : requestClass.lateWorth();
+        return requestClass.worth() * share / Math.max(1, state.classStats[bin / 3].latency);
     }
 
-    /** Moves the limit of requests open by how long answers take of their aim. */
-    void aim(Request r, double least) {
-        Seen seen = known.seen(r);
-        long aim = known.classOf(r).aim();
-        double base = Math.min(seen.base, aim / 2.0);
-        double ratio = Math.max(least, (known.now - r.arrivedAt - base) / Math.max(1, aim - base));
-        known.aimRatio += (Math.min(ratio, 1) - known.aimRatio) / 16;
-        if (known.aimRatio > AIM_SHARE) {
-            if (known.now >= known.limitCutAt) {
-                known.limit = Math.max(LIMIT_MIN, Math.min(known.limit, known.open + 1) * 0.95);
-                known.limitCutAt = known.now + Math.max(CUT_GAP, (long) seen.latency);
+    /**
+     * Adjusts the limit by the share of the objective's slack that the request's queueing took. The share counts as at
+     * least {@code minShare}; 1 reports overload.
+     */
+    void adjustLimit(Request request, double minShare) {
+        ClassStats stats = state.statsOf(request);
+        long objective = state.classOf(request).objective();
+        double base = Math.min(stats.baseLatency, objective / 2.0);
+        double share = Math.max(minShare, (state.now - request.arrivedAt - base) / Math.max(1, objective - base));
+        state.queueingShare += (Math.min(share, 1) - state.queueingShare) / 16;
+        if (state.queueingShare > MAX_QUEUEING_SHARE) {
+            if (state.now >= state.nextLimitCutAt) {
+                state.openLimit = Math.max(MIN_OPEN_LIMIT, Math.min(state.openLimit, state.openRequests + 1) * 0.95);
+                state.nextLimitCutAt = state.now + Math.max(MIN_CUT_INTERVAL_MICROS, (long) stats.latency);
             }
         } else if (!farFromLimit()) {
-            known.limit += Math.max(6 / known.limit, 0.25 - known.aimRatio / AIM_SHARE / 2);
+            state.openLimit += Math.max(6 / state.openLimit, 0.25 - state.queueingShare / MAX_QUEUEING_SHARE / 2);
         }
     }
 
-    /** Even the least worthy would be taken. */
+    /** True where even the requests of least worth are admitted. */
     boolean farFromLimit() {
-        return known.open <= known.limit * (1 - WORTH_SPREAD);
+        return state.openRequests <= state.openLimit * (1 - WORTH_SPREAD);
     }
 
-    /** What has come in counts ever less. */
-    void age() {
-        Arrays.setAll(known.arrivals, i -> known.arrivals[i] * 0.9);
+    /** Decays the arrival counts, so that recent arrivals count most. */
+    void decayArrivals() {
+        Arrays.setAll(state.arrivalsByBin, i -> state.arrivalsByBin[i] * 0.9);
     }
 }
--- a/decision/src/main/java/calicochute/decision/Attempt.java
+++ b/decision/src/main/java/calicochute/decision/Attempt.java
@@ -1,37 +1,45 @@
 package calicochute.decision;
 
-/** One sending of a request to a backend. Data, no decisions. */
+/** One sending of a request to a backend. Holds data and makes no decisions. */
 final class Attempt {
     final Request request;
-    final Server server;
-    /** Its backend as it was listed then: one that has moved since remembers no key where it is now. */
-    final Balancer.Backend to;
+    final TrackedBackend backend;
+    /**
+     * The backend's list entry when the attempt was sent. A backend that has moved to another zone or cell since does
+     * not remember the key there.
+     */
+    final Balancer.Backend sentTo;
 
     final int number;
     long sentAt;
-    boolean out = true, mayHaveRun = true, begun;
-    /** Its neighbours among those out at its backend. */
-    Attempt older, newer;
+    boolean pending = true;
+    boolean mayHaveRun = true;
+    /** Its answer has begun to stream to the client. */
+    boolean streaming;
+    /** Neighbours in the backend's list of pending attempts. */
+    Attempt older;
 
-    Attempt(Request request, Server server, int number, long sentAt) {
+    Attempt newer;
+
+    Attempt(Request request, TrackedBackend backend, int number, long sentAt) {
         this.request = request;
-        this.server = server;
-        to = server.entry;
+        this.backend = backend;
+        sentTo = backend.entry;
         this.number = number;
         this.sentAt = sentAt;
     }
 
-    void ended(boolean provesNotRun) {
-        out = false;
+    void end(boolean provesNotRun) {
+        pending = false;
         mayHaveRun = !provesNotRun;
-        server.out--;
+        backend.pending--;
         if (older == null) {
-            server.oldest = newer;
+            backend.oldest = newer;
         } else {
             older.newer = newer;
         }
         if (newer == null) {
-            server.newest = older;
+            backend.newest = older;
         } else {
             newer.older = older;
         }
--- a/decision/src/main/java/calicochute/decision/Balancer.java
+++ b/decision/src/main/java/calicochute/decision/Balancer.java
@@ -4,33 +4,36 @@
 import java.util.Map;
 
 /**
- * The whole interface between a proxy (the host) and the decision module: what the host tells ({@link Settings},
- * {@link Event}) and what it is asked to do ({@link Actions}). All times are microseconds of the host's clock.
+ * The interface between a proxy (the host) and the decision module: the host passes {@link Settings} and {@link Event},
+ * and the module calls {@link Actions}. All times and durations are microseconds of the host's clock.
  */
 public interface Balancer {
-    /** A new instance; instances share nothing. */
+    /** Creates an instance. Instances share no state. */
     static Balancer create(Settings settings) {
-        return Choice.of(settings);
+        return DefaultBalancer.of(settings);
     }
 
-    /** Handles one event; what is to be done is called on {@code actions} before this returns. */
+    /** Handles one event. Calls on {@code actions} are made before this method returns. */
     void on(long nowMicros, Event event, Actions actions);
 
-    /** May a request run twice: freely, never, or only where its key is remembered. */
+    /** Whether a request may run twice: always, never, or only at backends that remember its idempotency key. */
     enum Effect {
         REPEATABLE,
         ONCE,
         KEYED
     }
 
-    /** Which backends drop a repeat of a keyed request. */
+    /** Which backends drop a repeat of a keyed request: all, those of the same zone, or those of the same cell. */
     enum KeyScope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** How an attempt ended. */
+    /**
+     * How an attempt ended. {@code FULL} means that the backend turned it away, {@code MOOT} that it ended before it
+     * was sent.
+     */
     enum Outcome {
         OK,
         ERROR,
@@ -41,19 +44,23 @@
         CANCELLED,
         MOOT;
 
-        /** True where the backend certainly did none of the work. */
+        /** True if the backend certainly did none of the work. */
         public boolean provesNotRun() {
             return this == FULL || this == CONNECT_FAILED || this == MOOT;
         }
     }
 
+    /** Lifecycle state of a backend in the list. */
     enum BackendState {
         READY,
         DRAINING,
         GONE
     }
 
-    /** CHANGES apply to the list held; FULL replaces it; RESTORED is an old full list; UNAVAILABLE has no entries. */
+    /**
+     * Kind of a backend list: {@code CHANGES} update the current list, {@code FULL} replaces it, {@code RESTORED} is an
+     * old full list that replaces it, {@code UNAVAILABLE} reports a failed call and has no entries.
+     */
     enum ListKind {
         CHANGES,
         FULL,
@@ -61,22 +68,25 @@
         UNAVAILABLE
     }
 
-    /** One entry of a backend list; {@code startedAt} is 0 when it started long ago. */
+    /** One entry of a backend list. {@code startedAt} is 0 if the backend started long ago. */
     record Backend(String id, String zone, int cell, double weight, BackendState state, long startedAt, String kind) {}
 
-    /** A class of requests. {@code aim} is the wanted time, {@code window} how long repeats of a key are dropped. */
+    /**
+     * A class of requests. {@code window} is how long backends drop repeats of a key, {@code objective} the wanted
+     * answer time, {@code worth} the value of an answer and {@code lateWorth} the share of it that a late answer keeps.
+     */
     record RequestClass(
             String name,
             Effect effect,
             KeyScope scope,
             long window,
-            long aim,
+            long objective,
             long deadline,
             double worth,
             double lateWorth,
             boolean streaming) {}
 
-    /** A tenant and the rate, over all proxies, up to which its requests have their full worth. */
+    /** A tenant. Up to {@code allowancePerSecond}, over all proxies, its requests have their full worth. */
     record Tenant(String name, double share, double allowancePerSecond) {}
 
     /** What the site permits. */
@@ -91,25 +101,29 @@
             int streamsPerConnection,
             long connectTimeout,
             long maxRetryAfter) {
-        /** How long a denied client is told to stay away; 0 where the site tells it nothing. */
-        public long away() {
+        /** Delay that a refused client is advised to wait before it retries; 0 if the site gives no advice. */
+        public long advisedRetryAfter() {
             return retryAfter ? maxRetryAfter : 0;
         }
     }
 
-    /** The figures behind the rules on answers, drains, lists and cold starts. */
+    /**
+     * Parameters of the rules on answers, drains, lists and cold starts. A backend that has just started bears the
+     * share {@code coldCapacityShare} of its capacity, which rises to the whole over {@code warmUp}. It crashes if more
+     * than {@code overloadMultiple} times its capacity reaches it within {@code overloadWindow}.
+     */
     record Rules(
             long answerSlack,
-            long askEvery,
-            double coldFrom,
+            long listRefreshInterval,
+            double coldCapacityShare,
             long warmUp,
             long drainGrace,
-            double fallMultiple,
-            long fall) {}
+            double overloadMultiple,
+            long overloadWindow) {}
 
-    /** Weights of what is judged and the prices that come into a choice. */
+    /** Weights of the parts of the optimisation goal, and the prices that enter a choice. */
     record Goal(
-            double whole,
+            double overall,
             double worstWindow,
             double worstClass,
             double worstTenant,
@@ -117,10 +131,13 @@
             double wastePrice,
             double lateFailPrice) {}
 
-    /** All that an instance is told at its birth. */
+    /**
+     * The settings of an instance. {@code instance} is its index among {@code balancers}; {@code tier} 0 receives its
+     * requests from clients; {@code marksRetries} says that clients mark their retries.
+     */
     record Settings(
             long seed,
-            int me,
+            int instance,
             int balancers,
             int tier,
             boolean passesDeadline,
@@ -136,31 +153,33 @@
             Rules rules,
             Goal goal) {}
 
+    /** Something that happened at the host. */
     sealed interface Event {}
 
+    /** An answer of the list service, or its failure to answer. */
     record BackendList(ListKind kind, List<Backend> entries) implements Event {}
 
     /**
-     * New settings from here on; open requests keep what they began with. An index never names another class than
-     * before.
+     * New settings. Open requests keep the settings under which they arrived. A class index never names another class
+     * than before.
      */
-    record Retuned(Settings settings) implements Event {}
+    record SettingsChanged(Settings settings) implements Event {}
 
-    /** Which servers are in an arm of an experiment, by id; arms count from 1. Replaces what was told before. */
-    record Arms(Map<String, Integer> of) implements Event {}
+    /** Experiment arms by backend id, counted from 1. Replaces the arms set before. */
+    record ExperimentArms(Map<String, Integer> armById) implements Event {}
 
     /**
-     * What the fleet knows of one start of a server: {@code speed} 1 is typical, {@code worth} counts as so many own
-     * samples, {@code mayTry} has this instance try it once.
+     * What the fleet of balancers has measured of one start of a backend. {@code speed} 1 is typical; the estimate
+     * counts as {@code sampleWeight} own samples; {@code mayTry} asks this instance to send it one request.
      */
-    record OfFleet(String id, long startedAt, double speed, double worth, boolean mayTry) {}
+    record FleetEstimate(String id, long startedAt, double speed, double sampleWeight, boolean mayTry) {}
 
-    /** Holds until that time; then an instance is alone again. Replaces what was told before. */
-    record Advised(List<OfFleet> servers, long until) implements Event {}
+    /** The fleet's estimates, valid until that time. Replaces those set before. */
+    record FleetEstimates(List<FleetEstimate> backends, long until) implements Event {}
 
     /**
-     * A request; {@code classIndex} and {@code tenantIndex} point into the settings (-1: no tenant), {@code arm} is the
-     * arm it belongs in (0: any server).
+     * A request arrived. {@code classIndex} and {@code tenantIndex} are indices in the settings (-1: no tenant);
+     * {@code arm} is its experiment arm (0: any backend).
      */
     record Arrival(long request, int classIndex, int tenantIndex, String key, long timeLeft, boolean retry, int arm)
             implements Event {
@@ -170,12 +189,15 @@
     }
 
     /**
-     * Of a request whose body comes in pieces: some were handed on, so no further attempt can be made; its last byte
-     * came.
+     * Progress of a request body that arrives in pieces. {@code partlySent}: some were forwarded and are not kept, so
+     * no further attempt can be made. {@code complete}: the last byte has arrived.
      */
-    record BodyState(long request, boolean spent, boolean whole) implements Event {}
+    record BodyState(long request, boolean partlySent, boolean complete) implements Event {}
 
-    /** {@code finished}: the request has its final answer; else one is still owed. {@code load} may be null. */
+    /**
+     * An attempt ended. {@code finished}: the request has its final answer; otherwise one is still owed. {@code load}
+     * may be null.
+     */
     record AttemptEnded(
             long request, int attempt, String backend, boolean finished, Outcome outcome, long elapsed, double[] load)
             implements Event {}
@@ -183,38 +205,44 @@
     /** The answer of this attempt has begun to stream to the client. */
     record StreamStarted(long request, int attempt, String backend, long elapsed) implements Event {}
 
+    /** The client has closed its connection or cancelled the request. */
     record ClientGone(long request) implements Event {}
 
+    /** A timer started by {@link Actions#startTimer} has expired. */
     record Timer(int purpose, long subject) implements Event {}
 
-    record Probed(String backend, Outcome outcome, long elapsed, double[] load) implements Event {}
+    /** A probe started by {@link Actions#probe} has ended. */
+    record ProbeEnded(String backend, Outcome outcome, long elapsed, double[] load) implements Event {}
 
+    /** A message from another instance. */
     record PeerMessage(int sender, byte[] bytes) implements Event {}
 
-    /** What a host does for the module. */
+    /** The operations that the host carries out for the module. */
     interface Actions {
-        /** Starts an attempt; attempts of a request are numbered from 0 in the order sent. */
+        /** Starts an attempt. Attempts of a request are numbered from 0 in the order sent. */
         void send(long request, String backend, long timeout);
 
-        /** Final answer: not done, and a retry does no harm. {@code retryAfter} 0 gives no advice. */
+        /** Final answer: the work was not done, and a retry is safe. {@code retryAfter} 0 gives no advice. */
         void refuse(long request, long retryAfter);
 
-        /** Final answer: failed, nothing promised. */
+        /** Final answer: failed, and the work may or may not have been done. */
         void fail(long request);
 
         void cancel(long request, int attempt);
 
-        void timer(long delay, int purpose, long subject);
+        /** Delivers a {@link Timer} event with this purpose and subject after the delay. */
+        void startTimer(long delay, int purpose, long subject);
 
+        /** Subscribes to changes of the backend list, or unsubscribes. */
         void subscribe(boolean on);
 
         void fetchList();
 
         void probe(String backend);
 
-        void closeIdle(String backend);
+        void closeIdleConnections(String backend);
 
-        void tell(int peer, byte[] bytes);
+        void sendToPeer(int peer, byte[] bytes);
 
         void log(String text);
     }
--- a/decision/src/main/java/calicochute/decision/Estimates.java
+++ b/decision/src/main/java/calicochute/decision/Estimates.java
@@ -4,131 +4,144 @@
 import calicochute.decision.Balancer.Outcome;
 import java.util.Arrays;
 
-/** How fast each backend is. Times in microseconds, speeds relative to the class's latency (1 = typical). */
-record Estimates(Known known, ColdStarts coldStarts) {
-    /** Time constant of the aged EWMA; the paper's value. */
-    private static final double DELTA = 3e6;
-    /** Where samples are few, age so slowly that about this many count: one draw says little. */
-    private static final double SAMPLES = 12;
-    /** A sample never outweighs all that came before: one failure after a silence is not a verdict. */
-    private static final double ALPHA_MAX = 0.5;
-    /** A failure says more than a slow answer and comes in bursts too short for ageing to see. */
-    private static final double ALPHA_FAIL = 0.25;
-    /** Bound of one sample, lest a few tiny requests rule the mean of inverses. */
-    private static final double SPEED_MAX = 3;
-    /** Unsampled for this long, an estimate has mostly returned to the typical: the way back for the sick. */
-    static final double FORGET = 10e6;
-    /** The same for what may not run twice; the share at which it counts one that was never called. */
-    private static final double CAREFUL = 40e6, UNKNOWN = 0.5;
-    /** How strongly an own attempt still out discounts its backend. */
-    static final double CROWD = 0.5;
-    /** Under this share of the typical speed a backend is sick. */
-    private static final double SICK = 1.0 / 3;
-    /** Typical latencies past which an attempt's age bounds its backend's speed. */
-    private static final double PATIENCE = 2;
+/** Estimates how fast each backend is. Times are microseconds; speeds are relative to typical latency (1 = typical). */
+record Estimates(BalancerState state, ColdStartBudget coldStartBudget) {
+    /** Time constant of the time-aged EWMA, as in the paper. */
+    private static final double TIME_CONSTANT_MICROS = 3e6;
+    /** Where samples are rare the EWMA ages so slowly that about this many count, since one sample says little. */
+    private static final double MIN_SAMPLES = 12;
+    /** A sample never has more weight than all before it, so that one failure after a pause does not decide alone. */
+    private static final double MAX_ALPHA = 0.5;
+    /**
+     * Least weight of a failure: it says more than a slow answer, and failures come in bursts shorter than the EWMA.
+     */
+    private static final double MIN_FAILURE_ALPHA = 0.25;
+    /** Upper bound of one sample's speed, so that a few very short requests do not dominate the mean of inverses. */
+    private static final double MAX_SPEED = 3;
+    /** Time constant of an unsampled estimate's return to the typical speed, by which slow backends are tried again. */
+    static final double FORGET_MICROS = 10e6;
+    /** The same for requests that may not run twice. */
+    private static final double CAREFUL_FORGET_MICROS = 40e6;
+    /** Share of the typical speed that a backend never called counts for requests that may not run twice. */
+    private static final double UNSAMPLED_SHARE = 0.5;
+    /** Discount on a backend's speed for each pending attempt of this instance. */
+    static final double PENDING_DISCOUNT = 0.5;
+    /** A backend is slow below this share of the typical speed. */
+    private static final double SLOW_SHARE = 1.0 / 3;
+    /** Typical latencies after which the age of a pending attempt bounds its backend's speed. */
+    private static final double PATIENCE_LATENCIES = 2;
 
-    /** A backend's speed as it counts now: shared with own attempts out. */
-    double effective(Server s, boolean careful) {
-        return Math.max(1e-3, alone(s, careful) / (1 + CROWD * s.out));
+    /** Effective speed of a backend for one more request, which shares it with this instance's pending attempts. */
+    double effective(TrackedBackend backend, boolean careful) {
+        return Math.max(1e-3, uncontended(backend, careful) / (1 + PENDING_DISCOUNT * backend.pending));
     }
 
-    /** For one that would be alone: aged to the usual, bounded by the age of attempts out. */
-    double alone(Server s, boolean careful) {
-        // DANGER: what may not run twice must not find out whether a backend is well, or well again.
-        // An estimate from the future, by an older process's clock, is one of now.
-        double forget = careful ? CAREFUL : FORGET;
-        double keep = s.polled ? Math.exp(Math.min(0, s.sampledAt - known.now) / forget) : 0;
-        var fleet = known.fleet(s);
-        double usual = known.typical * (fleet != null ? fleet.speed() : careful && !s.polled ? UNKNOWN : 1);
-        // DANGER: a path broken here alone is no matter of the fleet's: what failed here is not outweighed.
-        double own = s.samples * keep;
-        if (fleet != null && s.speed >= SICK * known.typical) {
-            keep *= own / (own + fleet.worth() + 1e-9);
+    /** Speed without the pending discount, aged towards the expected speed and bounded by pending attempts' age. */
+    double uncontended(TrackedBackend backend, boolean careful) {
+        // Requests that may not run twice should not be the ones that find out whether a backend is well again.
+        // An estimate taken over from a process whose clock was ahead counts as one made at this moment.
+        double forget = careful ? CAREFUL_FORGET_MICROS : FORGET_MICROS;
+        double keep = backend.called ? Math.exp(Math.min(0, backend.sampledAt - state.now) / forget) : 0;
+        var fleet = state.fleetEstimate(backend);
+        double expected =
+                state.typicalSpeed * (fleet != null ? fleet.speed() : careful && !backend.called ? UNSAMPLED_SHARE : 1);
+        // The fleet's estimate must not outweigh failures on a network path that is broken only here.
+        double own = backend.samples * keep;
+        if (fleet != null && backend.speed >= SLOW_SHARE * state.typicalSpeed) {
+            keep *= own / (own + fleet.sampleWeight() + 1e-9);
         }
-        double speed = s.speed * keep + usual * (1 - keep);
-        // DANGER: a hung backend keeps its score until time-outs; the age of what is out speaks sooner.
-        return s.oldest == null ? speed : Math.min(speed, PATIENCE * bound(s.oldest));
+        double speed = backend.speed * keep + expected * (1 - keep);
+        // A backend that hangs gets no new sample until its attempts time out; their age shows it earlier.
+        return backend.oldest == null ? speed : Math.min(speed, PATIENCE_LATENCIES * speedBound(backend.oldest));
     }
 
-    /** The speed of an answer that came now; without bound until the attempt has tried patience. */
-    private double bound(Attempt a) {
-        double usual = known.seen(a.request).latency, age = known.now - a.sentAt;
-        return usual > 0 && age > PATIENCE * usual ? usual / age : Double.POSITIVE_INFINITY;
+    /**
+     * Speed of an answer that arrived at this moment; infinite until the attempt is older than
+     * {@link #PATIENCE_LATENCIES}.
+     */
+    private double speedBound(Attempt attempt) {
+        double latency = state.statsOf(attempt.request).latency;
+        double age = state.now - attempt.sentAt;
+        return latency > 0 && age > PATIENCE_LATENCIES * latency ? latency / age : Double.POSITIVE_INFINITY;
     }
 
-    /** Takes in how an attempt ended; true where its backend failed it. */
-    boolean learn(Attempt a, AttemptEnded e) {
-        if (e.outcome() == Outcome.OK && !a.begun) {
-            answered(a, e.elapsed());
+    /** Records how an attempt ended; true if its backend failed. */
+    boolean learn(Attempt attempt, AttemptEnded ended) {
+        if (ended.outcome() == Outcome.OK && !attempt.streaming) {
+            answered(attempt, ended.elapsed());
         }
-        if (e.outcome() == Outcome.CONNECT_FAILED) {
-            known.unconnectedAt = known.now;
+        if (ended.outcome() == Outcome.CONNECT_FAILED) {
+            state.connectFailedAt = state.now;
         }
-        boolean failed = switch (e.outcome()) {
+        boolean failed = switch (ended.outcome()) {
             case OK, CANCELLED, MOOT -> false;
             default -> true;
         };
         if (failed) {
-            blend(a.server, 0, ALPHA_FAIL);
+            addSample(attempt.backend, 0, MIN_FAILURE_ALPHA);
         }
         return failed;
     }
 
-    void answered(Attempt a, long elapsed) {
-        Seen c = known.seen(a.request);
-        double took = Math.max(elapsed, known.settings.tick());
-        c.answers = Math.min(c.answers, 31) + 1;
-        double weight = 1.0 / c.answers;
-        c.latency += weight * (took - c.latency);
-        c.base = c.answers < 32 ? c.latency : Math.min(c.latency, c.base + (c.latency - c.base) / 1024);
-        blend(a.server, Math.min(SPEED_MAX, c.latency / took), 0);
-        known.allAnswers++;
-        known.warmAnswers += coldStarts.cold(a.server) ? 0 : 1;
+    void answered(Attempt attempt, long elapsed) {
+        ClassStats stats = state.statsOf(attempt.request);
+        double latency = Math.max(elapsed, state.settings.tick());
+        stats.answers = Math.min(stats.answers, 31) + 1;
+        double weight = 1.0 / stats.answers;
+        stats.latency += weight * (latency - stats.latency);
+        stats.baseLatency = stats.answers < 32
+                ? stats.latency
+                : Math.min(stats.latency, stats.baseLatency + (stats.latency - stats.baseLatency) / 1024);
+        addSample(attempt.backend, Math.min(MAX_SPEED, stats.latency / latency), 0);
+        state.answers++;
+        state.warmAnswers += coldStartBudget.cold(attempt.backend) ? 0 : 1;
     }
 
-    /** DANGER: a silent backend has only its attempts' age against it: keep that when they are withdrawn. */
-    void withdrawn(Attempt a) {
-        double bound = bound(a);
+    /** Records a withdrawn attempt's age: where a backend does not answer, nothing else shows that it is slow. */
+    void withdrawn(Attempt attempt) {
+        double bound = speedBound(attempt);
         if (Double.isFinite(bound)) {
-            blend(a.server, Math.min(a.server.speed, bound), 0);
+            addSample(attempt.backend, Math.min(attempt.backend.speed, bound), 0);
         }
     }
 
-    private void blend(Server s, double speed, double atLeast) {
-        // Several samples in one tick would have no weight at all: a tick is the least gap.
-        double gap = Math.max(known.now - s.sampledAt, known.settings.tick());
-        double rate = known.answerRate;
-        double delta = Math.max(DELTA, rate > 0 ? SAMPLES * known.use.length / rate * 1e6 : DELTA);
-        double alpha = Math.min(ALPHA_MAX, Math.max(atLeast, 1 - Math.exp(-gap / delta)));
-        s.speed += alpha * (speed - s.speed);
-        s.samples = 1 + s.samples * Math.exp(-gap / delta);
-        s.sampledAt = known.now;
+    private void addSample(TrackedBackend backend, double speed, double minAlpha) {
+        // Samples of the same tick would have a weight of 0, so that the gap is at least a tick.
+        double gap = Math.max(state.now - backend.sampledAt, state.settings.tick());
+        double rate = state.answerRate;
+        double timeConstant = Math.max(
+                TIME_CONSTANT_MICROS, rate > 0 ? MIN_SAMPLES * state.subset.length / rate * 1e6 : TIME_CONSTANT_MICROS);
+        double alpha = Math.min(MAX_ALPHA, Math.max(minAlpha, 1 - Math.exp(-gap / timeConstant)));
+        backend.speed += alpha * (speed - backend.speed);
+        backend.samples = 1 + backend.samples * Math.exp(-gap / timeConstant);
+        backend.sampledAt = state.now;
     }
 
-    /** Begins with the first sample there is: from 0 up, a new instance underrates its part for seconds. */
+    /** Smooths a rate from its first sample on: if it rose from 0, a new instance would underrate it for seconds. */
     private static double smooth(double rate, double sample, double weight) {
         return rate == 0 ? sample : rate + weight * (sample - rate);
     }
 
-    /** Renews what is typical and how fast answers come; how many of the backends in use are sick. */
+    /** Updates the typical speed and the rates; returns how many backends of the subset are slow. */
     int review(double seconds, double weight) {
-        var speeds = Arrays.stream(known.use)
-                .filter(s -> s.polled)
-                .mapToDouble(s -> s.speed)
+        var mean = Arrays.stream(state.subset)
+                .filter(backend -> backend.called)
+                .mapToDouble(backend -> backend.speed)
                 .average();
-        known.typical = Math.max(0.01, speeds.orElse(known.typical));
-        var warm = Known.sizes(known.use, s -> !coldStarts.cold(s));
-        // Where all are cold, what warm ones took is still the best guide.
-        if (warm.getCount() > 0) {
-            known.warmRate = smooth(known.warmRate, known.warmAnswers / seconds / warm.getSum(), weight);
-            known.warmSize = warm.getAverage();
+        state.typicalSpeed = Math.max(0.01, mean.orElse(state.typicalSpeed));
+        var warmSizes = BalancerState.sizes(state.subset, backend -> !coldStartBudget.cold(backend));
+        // While all backends are cold, the rate of those that were warm before remains the best guide.
+        if (warmSizes.getCount() > 0) {
+            state.warmAnswerRate =
+                    smooth(state.warmAnswerRate, state.warmAnswers / seconds / warmSizes.getSum(), weight);
+            state.meanWarmSize = warmSizes.getAverage();
         }
-        known.askedRate = smooth(known.askedRate, known.asked / seconds, weight);
-        known.answerRate += weight * (known.allAnswers / seconds - known.answerRate);
-        known.warmAnswers = known.allAnswers = known.asked = 0;
-        double sick = known.typical * SICK;
-        return (int) Arrays.stream(known.use)
-                .filter(s -> s.polled && alone(s, false) < sick)
+        state.firstTryRate = smooth(state.firstTryRate, state.firstTries / seconds, weight);
+        state.answerRate += weight * (state.answers / seconds - state.answerRate);
+        state.warmAnswers = state.answers = state.firstTries = 0;
+        double slow = state.typicalSpeed * SLOW_SHARE;
+        return (int) Arrays.stream(state.subset)
+                .filter(backend -> backend.called && uncontended(backend, false) < slow)
                 .count();
     }
 }
--- a/decision/src/main/java/calicochute/decision/Handover.java
+++ b/decision/src/main/java/calicochute/decision/Handover.java
@@ -2,65 +2,79 @@
 
 import java.util.TreeMap;
 
-/** Moves what a module has learnt to the one that takes over; decides nothing. */
+/** Copies the learnt state of a module to the module of the next process; makes no decisions. */
 public final class Handover {
     private Handover() {}
 
-    /** What the module knows as it counts now: aged, and bounded by the attempts that are out. */
-    public static Learnt of(Balancer balancer) {
-        Estimates estimates = ((Choice) balancer).estimates();
-        Known from = estimates.known();
-        var servers = new TreeMap<String, Learnt.OfServer>();
-        for (Server s : from.servers.values()) {
-            // Without the discount for the attempts out: the other module has none.
+    /** Exports the learnt state at this moment: speeds are aged and bounded by the age of pending attempts. */
+    public static LearntState export(Balancer balancer) {
+        Estimates estimates = ((DefaultBalancer) balancer).estimates();
+        BalancerState from = estimates.state();
+        var servers = new TreeMap<String, LearntState.ServerEstimate>();
+        for (TrackedBackend backend : from.backends.values()) {
+            // Without the discount for pending attempts, which the other module does not have.
             servers.put(
-                    s.id,
-                    new Learnt.OfServer(
-                            estimates.effective(s, false) * (1 + Estimates.CROWD * s.out),
-                            s.polled,
-                            s.entry.startedAt()));
+                    backend.id,
+                    new LearntState.ServerEstimate(
+                            estimates.effective(backend, false) * (1 + Estimates.PENDING_DISCOUNT * backend.pending),
+                            backend.called,
+                            backend.entry.startedAt()));
         }
-        var classes = new TreeMap<String, Learnt.OfClass>();
-        from.named.forEach(
-                (name, c) -> classes.put(name, new Learnt.OfClass(c.latency, c.base, c.answers, c.patience, c.votes)));
-        return new Learnt(
+        var classes = new TreeMap<String, LearntState.ClassEstimate>();
+        from.statsByName.forEach((name, stats) -> classes.put(
+                name,
+                new LearntState.ClassEstimate(
+                        stats.latency,
+                        stats.baseLatency,
+                        stats.answers,
+                        stats.usualTimeLeft,
+                        stats.usualTimeLeftVotes)));
+        return new LearntState(
                 servers,
                 classes,
-                from.typical,
-                from.limit,
-                from.aimRatio,
-                from.warmRate * from.warmSize,
+                from.typicalSpeed,
+                from.openLimit,
+                from.queueingShare,
+                from.warmAnswerRate * from.meanWarmSize,
                 from.answerRate,
                 from.retryTokens);
     }
 
-    /** Takes it over as if learnt {@code age} ago, where this module has learnt nothing itself; after its list. */
-    public static void recall(Balancer balancer, Learnt learnt, long nowMicros, long age) {
-        Known to = ((Choice) balancer).known();
-        learnt.servers().forEach((id, known) -> {
-            Server s = to.servers.get(id);
-            if (s != null && !s.polled && known.polled() && s.entry.startedAt() == known.startedAt()) {
-                s.speed = known.speed();
-                s.sampledAt = nowMicros - age;
-                s.polled = true;
+    /**
+     * Restores state that was exported {@code ageMicros} ago, for the backends and classes that this module has not
+     * sampled itself. To be called after its first backend list.
+     */
+    public static void restore(Balancer balancer, LearntState learnt, long nowMicros, long ageMicros) {
+        BalancerState to = ((DefaultBalancer) balancer).state();
+        learnt.servers().forEach((id, estimate) -> {
+            TrackedBackend backend = to.backends.get(id);
+            if (backend != null
+                    && !backend.called
+                    && estimate.polled()
+                    && backend.entry.startedAt() == estimate.startedAt()) {
+                backend.speed = estimate.speed();
+                backend.sampledAt = nowMicros - ageMicros;
+                backend.called = true;
             }
         });
-        learnt.classes().forEach((name, known) -> {
-            Seen c = to.named.get(name);
-            if (c != null && c.answers == 0) {
-                c.latency = known.latency();
-                c.base = known.base();
-                c.answers = known.answers();
-                c.patience = known.patience();
-                c.votes = known.votes();
+        learnt.classes().forEach((name, estimate) -> {
+            ClassStats stats = to.statsByName.get(name);
+            if (stats != null && stats.answers == 0) {
+                stats.latency = estimate.latency();
+                stats.baseLatency = estimate.base();
+                stats.answers = estimate.answers();
+                stats.usualTimeLeft = estimate.patience();
+                stats.usualTimeLeftVotes = estimate.votes();
             }
         });
-        to.typical = learnt.typical();
-        to.limit = learnt.limit();
-        to.aimRatio = learnt.aimRatio();
-        // Noted for a server of mean size: sizes may be told on another scale by now.
-        to.warmSize = to.use.length > 0 ? Known.sizes(to.use, s -> true).getAverage() : 1;
-        to.warmRate = learnt.warmRate() / to.warmSize;
+        to.typicalSpeed = learnt.typical();
+        to.openLimit = learnt.limit();
+        to.queueingShare = learnt.aimRatio();
+        // The rate was exported for a backend of mean size, because the list may give sizes on another scale since.
+        to.meanWarmSize = to.subset.length > 0
+                ? BalancerState.sizes(to.subset, backend -> true).getAverage()
+                : 1;
+        to.warmAnswerRate = learnt.warmRate() / to.meanWarmSize;
         to.answerRate = learnt.answerRate();
         to.retryTokens = learnt.retryTokens();
     }
--- a/decision/src/main/java/calicochute/decision/Request.java
+++ b/decision/src/main/java/calicochute/decision/Request.java
@@ -2,74 +2,77 @@
 
 import java.util.Arrays;
 
-/** A request and its attempts. Data and the links between them, no decisions. */
+/** A request and its attempts. Holds data and makes no decisions. */
 final class Request {
     final long id;
-    final int cls;
-    long arrivedAt, deadline;
+    final int classIndex;
+    long arrivedAt;
+    long deadline;
     Attempt[] attempts = new Attempt[2];
-    /** Attempts sent, and how many it may have, as the settings were when it arrived. */
-    int sent, most;
+    /** Attempts sent. */
+    int sent;
+    /** Attempts allowed by the settings under which the request arrived. */
+    int maxAttempts;
 
     boolean ended;
-    /** The arm it belongs in; 0 for any backend. */
+    /** Experiment arm; 0 for any backend. */
     int arm;
 
-    Request(long id, int cls, long arrivedAt, long deadline, int most) {
+    Request(long id, int classIndex, long arrivedAt, long deadline, int maxAttempts) {
         this.id = id;
-        this.cls = cls;
+        this.classIndex = classIndex;
         this.arrivedAt = arrivedAt;
         this.deadline = deadline;
-        this.most = most;
+        this.maxAttempts = maxAttempts;
     }
 
-    Attempt send(Server server, long now) {
+    Attempt send(TrackedBackend backend, long now) {
         if (sent == attempts.length) {
             attempts = Arrays.copyOf(attempts, sent * 2);
         }
-        Attempt a = new Attempt(this, server, sent, now);
-        attempts[sent++] = a;
-        a.older = server.newest;
-        if (a.older == null) {
-            server.oldest = a;
+        Attempt attempt = new Attempt(this, backend, sent, now);
+        attempts[sent++] = attempt;
+        attempt.older = backend.newest;
+        if (attempt.older == null) {
+            backend.oldest = attempt;
         } else {
-            a.older.newer = a;
+            attempt.older.newer = attempt;
         }
-        server.newest = a;
-        server.out++;
-        server.peak = Math.max(server.peak, server.out);
-        server.polled = true;
-        return a;
+        backend.newest = attempt;
+        backend.pending++;
+        backend.maxPending = Math.max(backend.maxPending, backend.pending);
+        backend.called = true;
+        return attempt;
     }
 
-    /** Its last byte has come: all times count from here. */
-    void whole(long now) {
+    /** Restarts all times: they count from the arrival of the body's last byte. */
+    void bodyComplete(long now) {
         deadline += now - arrivedAt;
         arrivedAt = now;
-        if (out()) {
+        if (pending()) {
             newest().sentAt = now;
         }
     }
 
-    /** One is: the newest, since none goes out beside another. */
-    boolean out() {
-        return sent > 0 && newest().out;
+    /** Whether an attempt is pending. It can only be the newest, since attempts of a request never overlap. */
+    boolean pending() {
+        return sent > 0 && newest().pending;
     }
 
     Attempt newest() {
         return attempts[sent - 1];
     }
 
-    boolean tried(Server server) {
+    boolean tried(TrackedBackend backend) {
         for (int i = 0; i < sent; i++) {
-            if (attempts[i].server == server) {
+            if (attempts[i].backend == backend) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The first attempt that is out or may have taken effect; null if there is none. */
+    /** The first attempt that is pending or may have taken effect; null if there is none. */
     Attempt firstThatMayHaveRun() {
         for (int i = 0; i < sent; i++) {
             if (attempts[i].mayHaveRun) {
--- a/decision/src/main/java/calicochute/decision/Subset.java
+++ b/decision/src/main/java/calicochute/decision/Subset.java
@@ -11,125 +11,146 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 
-/** The list of backends, when to ask for it, and which of them this instance uses and stays connected to. */
-record Subset(Known known) {
-    /** Callers for each backend (tables of connections are small), and backends a caller needs. */
-    private static final double CALLERS = 8;
+/**
+ * Maintains the list of backends, subscribes to it, and chooses the subset of backends that this instance uses and
+ * stays connected to.
+ */
+record Subset(BalancerState state) {
+    /** Instances for each backend, since backends hold few connections. */
+    private static final double CALLERS_PER_BACKEND = 8;
+    /** Backends. */
+    private static final int MIN_SUBSET_SIZE = 12;
 
-    private static final int LEAST = 12;
-    private static final double GOLDEN = 0.6180339887498949;
-    /** Share of them that is at home, where crossing zones is priced. */
-    private static final double AT_HOME = 2.0 / 3;
+    private static final double GOLDEN_RATIO = 0.6180339887498949;
+    /** Share of the subset that is in the own zone, where crossing zones has a price. */
+    private static final double OWN_ZONE_SHARE = 2.0 / 3;
 
+    /** Purpose of the timer that subscribes to the list again. */
     static final int TIMER_SUBSCRIBE = 2;
 
-    void list(BackendList e) {
-        boolean lost = e.kind() == ListKind.UNAVAILABLE;
-        known.subscribed = !lost && e.kind() != ListKind.RESTORED;
-        known.failedCalls = lost ? known.failedCalls : 0;
-        if (lost || !known.subscribed && known.settings.subscribes()) {
+    void update(BackendList list) {
+        boolean unavailable = list.kind() == ListKind.UNAVAILABLE;
+        state.subscribed = !unavailable && list.kind() != ListKind.RESTORED;
+        state.failedListCalls = unavailable ? state.failedListCalls : 0;
+        if (unavailable || !state.subscribed && state.settings.subscribes()) {
             subscribeLater();
         }
-        if (lost) {
+        if (unavailable) {
             return;
         }
-        if (e.kind() != ListKind.CHANGES) {
-            known.servers.values().forEach(s -> s.listed = false);
+        if (list.kind() != ListKind.CHANGES) {
+            state.backends.values().forEach(backend -> backend.listed = false);
         }
-        for (Backend b : e.entries()) {
-            entry(b);
+        for (Backend entry : list.entries()) {
+            update(entry);
         }
-        known.servers.values().removeIf(s -> !s.listed);
-        known.ranked = known.servers.values().toArray(new Server[0]);
-        Arrays.sort(known.ranked, Comparator.comparingLong((Server s) -> s.rank).thenComparing(s -> s.id));
+        state.backends.values().removeIf(backend -> !backend.listed);
+        state.ring = state.backends.values().toArray(new TrackedBackend[0]);
+        Arrays.sort(
+                state.ring,
+                Comparator.comparingLong((TrackedBackend backend) -> backend.ringPosition)
+                        .thenComparing(backend -> backend.id));
         choose(size());
     }
 
-    /** DANGER: the list service is small and proxies die in crowds: calls are spread, but due within 6 s. */
+    /**
+     * Subscribes after a random delay. The list service is small and many proxies may lose it at once, so that their
+     * calls are spread; each call is due within 6 s.
+     */
     private void subscribeLater() {
-        double most = Math.min(known.settings.rules().askEvery(), 2e6 * Math.min(++known.failedCalls, 3)) / 2;
-        double wait = most * (1 - known.random.nextDouble() / (known.failedCalls > 2 ? 2 : 1));
-        known.actions.timer(1 + (long) wait, TIMER_SUBSCRIBE, 0);
+        double max =
+                Math.min(state.settings.rules().listRefreshInterval(), 2e6 * Math.min(++state.failedListCalls, 3)) / 2;
+        double delay = max * (1 - state.random.nextDouble() / (state.failedListCalls > 2 ? 2 : 1));
+        state.actions.startTimer(1 + (long) delay, TIMER_SUBSCRIBE, 0);
     }
 
-    private void entry(Backend b) {
-        Server s = known.servers.get(b.id());
-        if (b.state() == BackendState.GONE && s != null) {
-            s.listed = false;
+    private void update(Backend entry) {
+        TrackedBackend backend = state.backends.get(entry.id());
+        if (entry.state() == BackendState.GONE && backend != null) {
+            backend.listed = false;
         }
-        if (b.state() == BackendState.GONE) {
+        if (entry.state() == BackendState.GONE) {
             return;
         }
-        if (s == null) {
-            known.servers.put(b.id(), s = new Server(b.id()));
+        if (backend == null) {
+            state.backends.put(entry.id(), backend = new TrackedBackend(entry.id()));
         }
-        // A random allowance spreads the first calls of many instances over time.
-        boolean fresh = s.entry == null || s.entry.startedAt() != b.startedAt();
-        if (fresh) {
-            s.started(known.now, known.typical, known.random.nextDouble());
+        // A random initial allowance spreads the first calls of many instances over time.
+        boolean restarted = backend.entry == null || backend.entry.startedAt() != entry.startedAt();
+        if (restarted) {
+            backend.restarted(state.now, state.typicalSpeed, state.random.nextDouble());
         }
-        s.entry = b;
-        s.listed = true;
+        backend.entry = entry;
+        backend.listed = true;
     }
 
+    /** Number of backends in the subset while none of them is slow. */
     int size() {
-        return (int) Math.max(LEAST, Math.ceil(CALLERS * known.ranked.length / known.settings.balancers()));
+        return (int) Math.max(
+                MIN_SUBSET_SIZE, Math.ceil(CALLERS_PER_BACKEND * state.ring.length / state.settings.balancers()));
     }
 
-    /** Lets idle connections go, and takes more backends in where some are sick. */
-    void review(int sick) {
-        for (Server s : known.use) {
-            // DANGER: connections left idle by one caller fill a small table and shut the others out.
-            if (s.peak > s.out + 1 && known.now < known.unconnectedAt + Estimates.FORGET) {
-                known.actions.closeIdle(s.id);
-                s.peak = s.out;
+    /** Closes idle connections, and enlarges the subset by the number of slow backends in it. */
+    void review(int slow) {
+        for (TrackedBackend backend : state.subset) {
+            // Idle connections of one caller fill a backend's small connection table and lock the other callers out.
+            if (backend.maxPending > backend.pending + 1
+                    && state.now < state.connectFailedAt + Estimates.FORGET_MICROS) {
+                state.actions.closeIdleConnections(backend.id);
+                backend.maxPending = backend.pending;
             }
         }
-        int want = size() + sick, used = known.use.length;
-        if (want > used && used < known.ranked.length || want < used * 2 / 3) {
-            choose(want);
+        int wanted = size() + slow;
+        int used = state.subset.length;
+        if (wanted > used && used < state.ring.length || wanted < used * 2 / 3) {
+            choose(wanted);
         }
     }
 
-    /** DANGER: of one that the fleet holds for sick one instance at a time finds out how it is. */
-    void advised(Balancer.Advised e) {
-        known.told(e);
-        var duties = Arrays.stream(known.ranked).filter(known::duty).toList();
-        duties.forEach(s -> s.polled = false);
-        var all = Stream.concat(Arrays.stream(known.use), duties.stream());
-        known.use = all.distinct().toArray(Server[]::new);
+    /** Takes the fleet's estimates. One instance at a time tries each backend that the fleet holds for slow. */
+    void fleetEstimates(Balancer.FleetEstimates event) {
+        state.setFleetEstimates(event);
+        var toTry = Arrays.stream(state.ring).filter(state::mayTry).toList();
+        toTry.forEach(backend -> backend.called = false);
+        var all = Stream.concat(Arrays.stream(state.subset), toTry.stream());
+        state.subset = all.distinct().toArray(TrackedBackend[]::new);
     }
 
     void choose(int size) {
-        // Where crossing is priced, abroad is for when home fails; of a slice over all zones few are home.
-        boolean priced = known.settings.goal().crossZonePrice() > 0;
-        Predicate<Server> home = s -> priced && s.entry.zone().equals(known.settings.zone());
-        Set<Server> in = new LinkedHashSet<>();
-        take(in, home, (int) Math.round(size * AT_HOME));
-        take(in, home.negate(), size);
-        take(in, home, size);
-        for (Server s : known.use) {
-            if (s.listed && !in.contains(s)) {
-                known.actions.closeIdle(s.id);
+        // Where crossing zones has a price, other zones are used when the own zone fails. A slice of a ring over all
+        // zones would hold few backends of the own zone, so that these are taken from a ring of their own.
+        boolean priced = state.settings.goal().crossZonePrice() > 0;
+        Predicate<TrackedBackend> ownZone =
+                backend -> priced && backend.entry.zone().equals(state.settings.zone());
+        Set<TrackedBackend> chosen = new LinkedHashSet<>();
+        take(chosen, ownZone, (int) Math.round(size * OWN_ZONE_SHARE));
+        take(chosen, ownZone.negate(), size);
+        take(chosen, ownZone, size);
+        for (TrackedBackend backend : state.subset) {
+            if (backend.listed && !chosen.contains(backend)) {
+                state.actions.closeIdleConnections(backend.id);
             }
         }
-        known.use = in.toArray(Known.NONE);
-        known.shared(Known.sizes(known.ranked, Legality::notDraining));
-        known.armed.clear();
-        for (int arm : Set.copyOf(known.arms.values())) {
-            Set<Server> of = new LinkedHashSet<>();
-            take(of, s -> known.arms.getOrDefault(s.id, 0) == arm, LEAST);
-            known.armed.put(arm, of.toArray(Known.NONE));
+        state.subset = chosen.toArray(BalancerState.NO_BACKENDS);
+        state.updateCallers(BalancerState.sizes(state.ring, Constraints::ready));
+        state.armSubsets.clear();
+        for (int arm : Set.copyOf(state.armById.values())) {
+            Set<TrackedBackend> ofArm = new LinkedHashSet<>();
+            take(ofArm, backend -> state.armById.getOrDefault(backend.id, 0) == arm, MIN_SUBSET_SIZE);
+            state.armSubsets.put(arm, ofArm.toArray(BalancerState.NO_BACKENDS));
         }
     }
 
-    /** This instance's part of a ring: by the golden ratio those of any row of instances lie evenly. */
-    private void take(Set<Server> in, Predicate<Server> wanted, int most) {
-        var all = Arrays.stream(known.ranked).filter(Legality::notDraining);
-        Server[] ring = all.filter(wanted).toArray(Server[]::new);
-        double start = known.settings.me() * GOLDEN % 1 * ring.length;
-        for (int i = 0; i < ring.length && in.size() < most; i++) {
-            in.add(ring[(int) (start + i) % ring.length]);
+    /**
+     * Adds backends from this instance's start in the ring until there are {@code max}. Multiples of the golden ratio
+     * space the starts of consecutive instances evenly.
+     */
+    private void take(Set<TrackedBackend> chosen, Predicate<TrackedBackend> filter, int max) {
+        var ready = Arrays.stream(state.ring).filter(Constraints::ready);
+        TrackedBackend[] ring = ready.filter(filter).toArray(TrackedBackend[]::new);
+        double start = state.settings.instance() * GOLDEN_RATIO % 1 * ring.length;
+        for (int i = 0; i < ring.length && chosen.size() < max; i++) {
+            chosen.add(ring[(int) (start + i) % ring.length]);
         }
     }
 }
--- a/decision/src/test/java/calicochute/decision/ColdFleetTable.java
+++ b/decision/src/test/java/calicochute/decision/ColdFleetTable.java
@@ -1,52 +1,53 @@
 package calicochute.decision;
 
-import calicochute.decision.ColdFleet.Day;
-import calicochute.decision.ColdFleet.Result;
-import calicochute.decision.ColdFleet.Setup;
+import calicochute.decision.ColdStartSimulation.Result;
+import calicochute.decision.ColdStartSimulation.Scenario;
+import calicochute.decision.ColdStartSimulation.Setup;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 
-/** Prints the table of docs/measurements/cold.md. */
+/** Prints a table of what cold servers get, by scenario, load and fleet. */
 final class ColdFleetTable {
+    /** Balancers, and requests a second of each. */
     private static final double[][] FLEETS = {{12, 20}, {100, 10}, {100, 2}, {300, 3}, {300, 0.7}};
 
     private ColdFleetTable() {}
 
-    /** Days by loads by fleets: the worst of so many seeds, the mean of use and denials. */
+    /** Prints the worst of several seeds and the means of use and denials; the argument is the number of seeds. */
     public static void main(String[] args) {
         int seeds = args.length > 0 ? Integer.parseInt(args[0]) : 2;
         System.out.println(
                 "| day | balancers | sessions a second each | load | worst window, of the budget | only those told "
                         + "| servers over | falls by the rule | use while denied | longest idle, s | denied |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (Day day : Day.values()) {
+        for (Scenario scenario : Scenario.values()) {
             for (double load : new double[] {0.6, 1.2}) {
-                for (double[] f : FLEETS) {
-                    row(day, (int) f[0], f[1], load, seeds);
+                for (double[] fleet : FLEETS) {
+                    row(scenario, (int) fleet[0], fleet[1], load, seeds);
                 }
             }
         }
     }
 
-    private static void row(Day day, int balancers, double rate, double load, int seeds) {
-        List<Result> r = new ArrayList<>();
+    private static void row(Scenario scenario, int balancers, double rate, double load, int seeds) {
+        List<Result> results = new ArrayList<>();
         for (int seed = 1; seed <= seeds; seed++) {
-            r.add(new ColdFleet(new Setup(day, balancers, rate, load, seed)).run());
+            results.add(new ColdStartSimulation(new Setup(scenario, balancers, rate, load, seed)).run());
         }
         System.out.printf(
                 Locale.ROOT,
                 "| %s | %d | %s | %s | %.2f | %.2f | %d | %d | %.2f | %.1f | %.3f |%n",
-                day.toString().toLowerCase(Locale.ROOT),
+                scenario.toString().toLowerCase(Locale.ROOT),
                 balancers,
                 rate,
                 load,
-                r.stream().mapToDouble(Result::worst).max().orElse(0),
-                r.stream().mapToDouble(Result::worstTold).max().orElse(0),
-                r.stream().mapToInt(Result::over).sum(),
-                r.stream().mapToInt(Result::broken).sum(),
-                r.stream().mapToDouble(Result::use).average().orElse(0),
-                r.stream().mapToDouble(Result::idle).max().orElse(0),
-                r.stream().mapToDouble(Result::denied).average().orElse(0));
+                results.stream().mapToDouble(Result::worst).max().orElse(0),
+                results.stream().mapToDouble(Result::worstInformed).max().orElse(0),
+                results.stream().mapToInt(Result::overBudget).sum(),
+                results.stream().mapToInt(Result::broken).sum(),
+                results.stream().mapToDouble(Result::use).average().orElse(0),
+                results.stream().mapToDouble(Result::idle).max().orElse(0),
+                results.stream().mapToDouble(Result::denied).average().orElse(0));
     }
 }
--- a/decision/src/test/java/calicochute/decision/EvenSubsetTest.java
+++ b/decision/src/test/java/calicochute/decision/EvenSubsetTest.java
@@ -19,36 +19,41 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Which servers the instances of a fleet use: of each about as many instances, most at home, without talk. */
+/**
+ * Guards against uneven subsets: without communication, about equally many instances use each backend, and most of an
+ * instance's backends are in its own zone.
+ */
 class EvenSubsetTest {
     private static final String[] ZONES = {"a", "b", "c"};
-    private static final int SERVERS = 60;
+    private static final int BACKENDS = 60;
 
-    private static List<Backend> servers() {
-        return IntStream.range(0, SERVERS)
+    private static List<Backend> backends() {
+        return IntStream.range(0, BACKENDS)
                 .mapToObj(i -> Fixture.backend("s-" + i, ZONES[i % 3], i))
                 .toList();
     }
 
-    /** Of each server, its part of the load where each instance spreads its own evenly over what it uses at home. */
-    private static double[] homeLoad(int balancers, IntUnaryOperator zoneOf) {
-        double[] load = new double[SERVERS];
-        for (int me = 0; me < balancers; me++) {
-            String zone = ZONES[zoneOf.applyAsInt(me)];
-            List<Server> home = Arrays.stream(
-                            using(me, balancers, zone, servers()).choice.known().use)
+    /** The load of each backend if each instance spreads its load evenly over the own-zone part of its subset. */
+    private static double[] ownZoneLoad(int balancers, IntUnaryOperator zoneOf) {
+        double[] load = new double[BACKENDS];
+        for (int instance = 0; instance < balancers; instance++) {
+            String zone = ZONES[zoneOf.applyAsInt(instance)];
+            List<TrackedBackend> ownZone = Arrays.stream(fixture(instance, balancers, zone, backends())
+                            .balancer
+                            .state()
+                            .subset)
                     .filter(s -> s.entry.zone().equals(zone))
                     .toList();
-            home.forEach(s -> load[s.entry.cell()] += 1.0 / home.size());
+            ownZone.forEach(s -> load[s.entry.cell()] += 1.0 / ownZone.size());
         }
         return load;
     }
 
-    private static Fixture using(int me, int balancers, String zone, List<Backend> servers) {
-        var s = Fixture.settings(List.of(Fixture.requestClass(Effect.REPEATABLE, KeyScope.ALL)), Fixture.LIMITS);
-        Fixture f = new Fixture(new Settings(
-                me,
-                me,
+    private static Fixture fixture(int instance, int balancers, String zone, List<Backend> backends) {
+        var base = Fixture.settings(List.of(Fixture.requestClass(Effect.REPEATABLE, KeyScope.ALL)), Fixture.LIMITS);
+        Fixture fixture = new Fixture(new Settings(
+                instance,
+                instance,
                 balancers,
                 1,
                 false,
@@ -58,24 +63,25 @@
                 5000,
                 0.1,
                 List.of(),
-                s.classes(),
+                base.classes(),
                 List.of(),
-                s.limits(),
-                s.rules(),
+                base.limits(),
+                base.rules(),
                 new Goal(1, 0, 0, 0, 0.09, 0.2, 0)));
-        f.on(new BackendList(ListKind.FULL, servers));
-        return f;
+        fixture.on(new BackendList(ListKind.FULL, backends));
+        return fixture;
     }
 
     /**
-     * Before, a slice over all zones held one to seven servers of the instance's own, and the most used one got 2.2
-     * times the mean.
+     * A slice of a ring over all zones holds between one and seven backends of the own zone, and the most used backend
+     * then gets 2.2 times the mean load.
      */
     @Test
-    void eachServerIsUsedByAboutAsManyInstancesOfItsZone() {
+    void backendsAreUsedByAboutEquallyManyInstancesOfTheirZone() {
         for (int balancers : new int[] {63, 100, 300}) {
-            for (IntUnaryOperator zoneOf : new IntUnaryOperator[] {me -> me % 3, me -> me * 3 / balancers}) {
-                double[] load = homeLoad(balancers, zoneOf);
+            for (IntUnaryOperator zoneOf :
+                    new IntUnaryOperator[] {instance -> instance % 3, instance -> instance * 3 / balancers}) {
+                double[] load = ownZoneLoad(balancers, zoneOf);
                 double mean = Arrays.stream(load).average().orElseThrow();
                 assertTrue(
                         Arrays.stream(load).max().orElseThrow() / mean < 1.25,
@@ -88,40 +94,42 @@
     }
 
     @Test
-    void someOfTheSubsetAreAbroadForWhenHomeFails() {
-        Server[] use = using(7, 100, "b", servers()).choice.known().use;
-        assertEquals(12, use.length);
+    void subsetHoldsBackendsOfOtherZonesForFailover() {
+        TrackedBackend[] subset = fixture(7, 100, "b", backends()).balancer.state().subset;
+        assertEquals(12, subset.length);
         assertEquals(
-                8, Arrays.stream(use).filter(s -> s.entry.zone().equals("b")).count());
+                8, Arrays.stream(subset).filter(s -> s.entry.zone().equals("b")).count());
     }
 
     @Test
-    void whereHomeIsSmallAbroadFillsTheSubset() {
-        List<Backend> few = servers().stream()
+    void otherZonesFillTheSubsetOfASmallZone() {
+        List<Backend> few = backends().stream()
                 .filter(b -> !b.zone().equals("b") || b.cell() < 5)
                 .toList();
-        Server[] use = using(7, 100, "b", few).choice.known().use;
-        assertEquals(12, use.length);
+        TrackedBackend[] subset = fixture(7, 100, "b", few).balancer.state().subset;
+        assertEquals(12, subset.length);
         assertEquals(
-                2, Arrays.stream(use).filter(s -> s.entry.zone().equals("b")).count());
+                2, Arrays.stream(subset).filter(s -> s.entry.zone().equals("b")).count());
     }
 
-    /** One server less moves at most one place of an instance's slices: connections to the others stay. */
+    /** A backend that drains changes few other places of a subset, so that connections to the others stay. */
     @Test
-    void aDrainLeavesTheSubsetAtOnceAndMovesLittle() {
-        List<Backend> before = servers();
-        for (int me = 0; me < 100; me += 9) {
-            Fixture f = using(me, 100, "a", before);
-            List<String> used =
-                    Arrays.stream(f.choice.known().use).map(s -> s.id).toList();
+    void drainingBackendLeavesTheSubsetAndChangesLittleElse() {
+        List<Backend> before = backends();
+        for (int instance = 0; instance < 100; instance += 9) {
+            Fixture fixture = fixture(instance, 100, "a", before);
+            List<String> used = Arrays.stream(fixture.balancer.state().subset)
+                    .map(s -> s.id)
+                    .toList();
             Backend gone = before.stream()
                     .filter(b -> used.contains(b.id()))
                     .findFirst()
                     .orElseThrow();
-            f.now += SECOND;
-            f.on(new BackendList(ListKind.CHANGES, List.of(Fixture.with(gone, BackendState.DRAINING, 0))));
-            List<String> after =
-                    Arrays.stream(f.choice.known().use).map(s -> s.id).toList();
+            fixture.now += SECOND;
+            fixture.on(new BackendList(ListKind.CHANGES, List.of(Fixture.with(gone, BackendState.DRAINING, 0))));
+            List<String> after = Arrays.stream(fixture.balancer.state().subset)
+                    .map(s -> s.id)
+                    .toList();
             assertTrue(!after.contains(gone.id()), "still used");
             List<String> kept = new ArrayList<>(used);
             kept.retainAll(after);
--- a/decision/src/test/java/calicochute/decision/Fixture.java
+++ b/decision/src/test/java/calicochute/decision/Fixture.java
@@ -22,8 +22,9 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 
-/** One instance under test with a host that only writes down what it is asked to do. */
+/** One instance under test, with a host that only records the actions. */
 final class Fixture implements Actions {
     static final long SECOND = 1_000_000;
     static final Limits LIMITS = new Limits(true, true, false, false, false, 4, 1000, 1, 200_000, SECOND);
@@ -31,19 +32,21 @@
 
     record Sent(long request, String backend, long timeout) {}
 
-    record Set(long at, Timer timer) {}
+    record PendingTimer(long at, Timer timer) {}
 
     final List<Sent> sent = new ArrayList<>();
-    final List<Set> timers = new ArrayList<>();
-    final List<String> said = new ArrayList<>();
+    final List<PendingTimer> timers = new ArrayList<>();
+    final List<String> actions = new ArrayList<>();
     private final Map<Long, Long> sentAt = new HashMap<>();
-    private final java.util.Set<Long> open = new HashSet<>();
-    private int answered;
-    final Choice choice;
+    private final Set<Long> open = new HashSet<>();
+    /** Index in {@link #sent} from which {@link #answerOldest} looks for an open request. */
+    private int nextToAnswer;
+
+    final DefaultBalancer balancer;
     long now = 1000 * SECOND;
 
     Fixture(Settings settings) {
-        choice = Choice.of(settings);
+        balancer = DefaultBalancer.of(settings);
     }
 
     static RequestClass requestClass(Effect effect, KeyScope scope) {
@@ -54,15 +57,16 @@
         return settings(classes, limits, false, 0, 1);
     }
 
-    static Settings settings(List<RequestClass> classes, Limits limits, boolean subscribes, int me, int balancers) {
-        return settings(42, classes, limits, subscribes, me, balancers);
+    static Settings settings(
+            List<RequestClass> classes, Limits limits, boolean subscribes, int instance, int balancers) {
+        return settings(42, classes, limits, subscribes, instance, balancers);
     }
 
     static Settings settings(
-            long seed, List<RequestClass> classes, Limits limits, boolean subscribes, int me, int balancers) {
+            long seed, List<RequestClass> classes, Limits limits, boolean subscribes, int instance, int balancers) {
         return new Settings(
                 seed,
-                me,
+                instance,
                 balancers,
                 0,
                 true,
@@ -87,11 +91,12 @@
         return new Backend(id, zone, cell, 1, BackendState.READY, 0, "k");
     }
 
-    static Backend with(Backend b, BackendState state, long startedAt) {
-        return new Backend(b.id(), b.zone(), b.cell(), b.weight(), state, startedAt, b.kind());
+    static Backend with(Backend backend, BackendState state, long startedAt) {
+        return new Backend(
+                backend.id(), backend.zone(), backend.cell(), backend.weight(), state, startedAt, backend.kind());
     }
 
-    /** So many alike, started long ago, each in a cell of its own. */
+    /** Equal backends that started long ago, each in a cell of its own. */
     static Backend[] fleet(int size) {
         Backend[] fleet = new Backend[size];
         for (int i = 0; i < size; i++) {
@@ -110,15 +115,15 @@
     }
 
     void on(Event event) {
-        choice.on(now, event, this);
+        balancer.on(now, event, this);
     }
 
-    void arrive(long request, long left) {
-        arrive(request, 0, left);
+    void arrive(long request, long timeLeft) {
+        arrive(request, 0, timeLeft);
     }
 
-    void arrive(long request, int cls, long left) {
-        on(new Arrival(request, cls, -1, null, left, false));
+    void arrive(long request, int classIndex, long timeLeft) {
+        on(new Arrival(request, classIndex, -1, null, timeLeft, false));
     }
 
     /** Ends the newest attempt sent, which is attempt {@code number} of its request. */
@@ -127,7 +132,7 @@
         on(new AttemptEnded(last.request, number, last.backend, outcome == Outcome.OK, outcome, elapsed, null));
     }
 
-    /** Sends one request and ends it as told; the backend that got it. */
+    /** Sends one request and ends its attempt with this outcome; returns the backend that got it. */
     String one(long request, Outcome outcome, long elapsed) {
         arrive(request, 4 * SECOND);
         now += elapsed;
@@ -136,34 +141,35 @@
         return backend;
     }
 
-    /** Answers the request that has waited longest. */
+    /** Answers the request that has been open for the longest time. */
     void answerOldest() {
-        while (answered < sent.size() && !open.remove(sent.get(answered).request)) {
-            answered++;
+        while (nextToAnswer < sent.size() && !open.remove(sent.get(nextToAnswer).request)) {
+            nextToAnswer++;
         }
-        if (answered < sent.size()) {
-            Sent s = sent.get(answered++);
-            on(new AttemptEnded(s.request, 0, s.backend, true, Outcome.OK, now - sentAt.get(s.request), null));
+        if (nextToAnswer < sent.size()) {
+            Sent oldest = sent.get(nextToAnswer++);
+            on(new AttemptEnded(
+                    oldest.request, 0, oldest.backend, true, Outcome.OK, now - sentAt.get(oldest.request), null));
         }
     }
 
-    /** Ends all that have been out for so long without an answer. */
+    /** Times out the attempts of all requests that have been open for at least {@code age}. */
     void timeOutOldest(long age) {
-        for (Sent s : List.copyOf(sent)) {
-            if (sentAt.get(s.request) <= now - age && open.remove(s.request)) {
+        for (Sent old : List.copyOf(sent)) {
+            if (sentAt.get(old.request) <= now - age && open.remove(old.request)) {
                 on(new AttemptEnded(
-                        s.request, 0, s.backend, false, Outcome.TIMED_OUT, now - sentAt.get(s.request), null));
+                        old.request, 0, old.backend, false, Outcome.TIMED_OUT, now - sentAt.get(old.request), null));
             }
         }
     }
 
-    /** Lets time pass to the timers due until {@code until}. */
+    /** Advances the time to {@code until} and fires the timers that are due by then. */
     void pass(long until) {
         while (true) {
-            Set due = null;
-            for (Set t : timers) {
-                if (t.at <= until && (due == null || t.at < due.at)) {
-                    due = t;
+            PendingTimer due = null;
+            for (PendingTimer timer : timers) {
+                if (timer.at <= until && (due == null || timer.at < due.at)) {
+                    due = timer;
                 }
             }
             if (due == null) {
@@ -180,8 +186,8 @@
         return sent.get(sent.size() - 1).backend;
     }
 
-    String lastSaid() {
-        return said.isEmpty() ? "" : said.get(said.size() - 1);
+    String lastAction() {
+        return actions.isEmpty() ? "" : actions.get(actions.size() - 1);
     }
 
     @Override
@@ -189,56 +195,56 @@
         sent.add(new Sent(request, backend, timeout));
         sentAt.put(request, now);
         open.add(request);
-        said.add("send " + request + " " + backend);
+        actions.add("send " + request + " " + backend);
     }
 
     @Override
     public void refuse(long request, long retryAfter) {
-        said.add("refuse " + request);
+        actions.add("refuse " + request);
     }
 
     @Override
     public void fail(long request) {
-        said.add("fail " + request);
+        actions.add("fail " + request);
     }
 
     @Override
     public void cancel(long request, int attempt) {
-        said.add("cancel " + request + " " + attempt);
+        actions.add("cancel " + request + " " + attempt);
     }
 
     @Override
-    public void timer(long delay, int purpose, long subject) {
-        timers.add(new Set(now + delay, new Timer(purpose, subject)));
+    public void startTimer(long delay, int purpose, long subject) {
+        timers.add(new PendingTimer(now + delay, new Timer(purpose, subject)));
     }
 
     @Override
     public void subscribe(boolean on) {
-        said.add("subscribe " + on);
+        actions.add("subscribe " + on);
     }
 
     @Override
     public void fetchList() {
-        said.add("fetch");
+        actions.add("fetch");
     }
 
     @Override
     public void probe(String backend) {
-        said.add("probe " + backend);
+        actions.add("probe " + backend);
     }
 
     @Override
-    public void closeIdle(String backend) {
-        said.add("close " + backend);
+    public void closeIdleConnections(String backend) {
+        actions.add("close " + backend);
     }
 
     @Override
-    public void tell(int peer, byte[] bytes) {
-        said.add("tell " + peer);
+    public void sendToPeer(int peer, byte[] bytes) {
+        actions.add("tell " + peer);
     }
 
     @Override
     public void log(String text) {
-        said.add("log " + text);
+        actions.add("log " + text);
     }
 }
--- a/decision/src/test/java/calicochute/decision/ListChangeTest.java
+++ b/decision/src/test/java/calicochute/decision/ListChangeTest.java
@@ -18,65 +18,63 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/**
- * All short rows of list changes, ends of attempts, arrivals and moments that pass: no send or answer breaks a rule.
- */
+/** Runs all short sequences of list changes, ends of attempts, arrivals and pauses: no send or answer breaks a rule. */
 class ListChangeTest {
-    private static final long WINDOW = 2 * Fixture.SECOND;
+    private static final long KEY_WINDOW_MICROS = 2 * Fixture.SECOND;
+    /** Steps in a sequence. */
     private static final int LENGTH = 4;
 
-    /**
-     * What befalls server a, which holds two requests at first (none where time is short), or the oldest attempt out.
-     */
+    /** What happens to backend a, which has two requests at first (none if time is short), or to the oldest attempt. */
     private enum Step {
         DRAINS,
-        GOES,
-        STARTS_ANEW,
+        IS_GONE,
+        RESTARTS,
         MOVES,
-        IS_BACK,
+        RETURNS,
         NOT_LISTED,
         ALL_LISTED,
         NOT_RUN,
         MAY_HAVE_RUN,
         ARRIVAL,
-        MOMENT
+        PAUSE
     }
 
-    /** Whom an attempt went to, as listed then, and when; what may have become of it. */
-    private static final class Try {
+    /** One attempt: the backend's list entry at that time, when it was sent, and whether it may have run. */
+    private static final class SentAttempt {
         final Backend to;
         final long at;
-        boolean out = true;
+        boolean pending = true;
         boolean mayHaveRun = true;
 
-        Try(Backend to, long at) {
+        SentAttempt(Backend to, long at) {
             this.to = to;
             this.at = at;
         }
     }
 
-    /** One row, and what the rules say of it, told apart from the module's own state. */
-    private final class Play {
+    /** Runs one sequence and checks the rules on records of its own, apart from the module's state. */
+    private final class Run {
         private final Effect effect;
         private final KeyScope scope;
-        private final boolean hurried;
-        private final Fixture f;
+        private final boolean shortTime;
+        private final Fixture fixture;
         private final Map<String, Backend> listed = new HashMap<>();
-        private final Map<Long, List<Try>> tries = new HashMap<>();
+        private final Map<Long, List<SentAttempt>> attempts = new HashMap<>();
         private final Map<Long, Integer> answers = new HashMap<>();
-        private Backend a = Fixture.backend("a", "z", 0);
+        private Backend backendA = Fixture.backend("a", "z", 0);
         private long requests;
-        private long startHeardAt = -1;
-        private int read;
+        private long restartListedAt = -1;
+        /** Actions checked so far. */
+        private int checked;
 
-        Play(Effect effect, KeyScope scope, boolean hurried) {
+        Run(Effect effect, KeyScope scope, boolean shortTime) {
             this.effect = effect;
             this.scope = scope;
-            this.hurried = hurried;
-            f = Fixture.of(effect, scope);
-            list(ListKind.FULL, a);
-            if (hurried) {
-                walk();
+            this.shortTime = shortTime;
+            fixture = Fixture.of(effect, scope);
+            list(ListKind.FULL, backendA);
+            if (shortTime) {
+                prepareWalk();
             } else {
                 step(Step.ARRIVAL);
             }
@@ -84,37 +82,38 @@
             step(Step.ALL_LISTED);
         }
 
-        /** Little time, so that the walk decides, which has its order from before the change: b first, then a. */
-        private void walk() {
+        /** Prepares the ordered walk, which little time left selects: its order is b, then a. */
+        private void prepareWalk() {
             step(Step.ALL_LISTED);
-            Known known = f.choice.known();
-            known.seen[0].answers = 10;
-            known.seen[0].latency = Fixture.SECOND;
-            known.servers.values().forEach(s -> {
-                s.polled = true;
-                s.speed = s.id.equals("b") ? 1.1 : s.id.equals("a") ? 1.05 : 1;
-                s.sampledAt = f.now;
+            BalancerState state = fixture.balancer.state();
+            state.classStats[0].answers = 10;
+            state.classStats[0].latency = Fixture.SECOND;
+            state.backends.values().forEach(backend -> {
+                backend.called = true;
+                backend.speed = backend.id.equals("b") ? 1.1 : backend.id.equals("a") ? 1.05 : 1;
+                backend.sampledAt = fixture.now;
             });
         }
 
         void step(Step step) {
             switch (step) {
-                case DRAINS -> list(ListKind.CHANGES, Fixture.with(a, BackendState.DRAINING, a.startedAt()));
-                case GOES -> list(ListKind.CHANGES, Fixture.with(a, BackendState.GONE, a.startedAt()));
-                case STARTS_ANEW -> startAnew(a.cell(), a.zone());
-                case MOVES -> startAnew(a.cell() + 1, a.zone().equals("z") ? "y" : "z");
-                case IS_BACK -> list(ListKind.CHANGES, a);
+                case DRAINS ->
+                    list(ListKind.CHANGES, Fixture.with(backendA, BackendState.DRAINING, backendA.startedAt()));
+                case IS_GONE -> list(ListKind.CHANGES, Fixture.with(backendA, BackendState.GONE, backendA.startedAt()));
+                case RESTARTS -> restart(backendA.cell(), backendA.zone());
+                case MOVES -> restart(backendA.cell() + 1, backendA.zone().equals("z") ? "y" : "z");
+                case RETURNS -> list(ListKind.CHANGES, backendA);
                 case NOT_LISTED -> list(ListKind.FULL, others());
-                case ALL_LISTED -> list(ListKind.FULL, a, others()[0], others()[1], others()[2]);
+                case ALL_LISTED -> list(ListKind.FULL, backendA, others()[0], others()[1], others()[2]);
                 case NOT_RUN -> end(Outcome.CONNECT_FAILED);
                 case MAY_HAVE_RUN -> end(Outcome.RESET);
                 case ARRIVAL -> {
-                    tries.put(++requests, new ArrayList<>());
-                    f.arrive(requests, hurried ? 1_300_000 : 4 * Fixture.SECOND);
+                    attempts.put(++requests, new ArrayList<>());
+                    fixture.arrive(requests, shortTime ? 1_300_000 : 4 * Fixture.SECOND);
                 }
-                case MOMENT -> f.pass(f.now + 50_000);
+                case PAUSE -> fixture.pass(fixture.now + 50_000);
             }
-            readOn();
+            checkActions();
         }
 
         private Backend[] others() {
@@ -123,85 +122,96 @@
             };
         }
 
-        private void startAnew(int cell, String zone) {
-            startHeardAt = f.now;
-            a = new Backend("a", zone, cell, 1, BackendState.READY, Math.max(f.now, a.startedAt() + 1), "k");
-            list(ListKind.CHANGES, a);
+        private void restart(int cell, String zone) {
+            restartListedAt = fixture.now;
+            backendA = new Backend(
+                    "a", zone, cell, 1, BackendState.READY, Math.max(fixture.now, backendA.startedAt() + 1), "k");
+            list(ListKind.CHANGES, backendA);
         }
 
         private void list(ListKind kind, Backend... entries) {
             if (kind == ListKind.FULL) {
                 listed.clear();
             }
-            for (Backend b : entries) {
-                listed.put(b.id(), b);
+            for (Backend entry : entries) {
+                listed.put(entry.id(), entry);
             }
-            f.list(kind, entries);
+            fixture.list(kind, entries);
         }
 
-        private void end(Outcome how) {
-            for (long r = 1; r <= requests; r++) {
-                List<Try> of = tries.get(r);
-                Try last = of.isEmpty() ? null : of.get(of.size() - 1);
-                if (last != null && last.out) {
-                    last.out = false;
-                    last.mayHaveRun = !how.provesNotRun();
-                    answers.merge(r, how == Outcome.OK ? 1 : 0, Integer::sum);
-                    f.on(new AttemptEnded(
-                            r, of.size() - 1, last.to.id(), how == Outcome.OK, how, f.now - last.at, null));
+        private void end(Outcome outcome) {
+            for (long request = 1; request <= requests; request++) {
+                List<SentAttempt> ofRequest = attempts.get(request);
+                SentAttempt last = ofRequest.isEmpty() ? null : ofRequest.get(ofRequest.size() - 1);
+                if (last != null && last.pending) {
+                    last.pending = false;
+                    last.mayHaveRun = !outcome.provesNotRun();
+                    answers.merge(request, outcome == Outcome.OK ? 1 : 0, Integer::sum);
+                    fixture.on(new AttemptEnded(
+                            request,
+                            ofRequest.size() - 1,
+                            last.to.id(),
+                            outcome == Outcome.OK,
+                            outcome,
+                            fixture.now - last.at,
+                            null));
                     return;
                 }
             }
         }
 
-        /** Holds what the module has asked for since to the rules. */
-        private void readOn() {
-            for (; read < f.said.size(); read++) {
-                String[] said = f.said.get(read).split(" ");
-                if (said[0].equals("close")) {
+        /** Checks the module's actions since the last check against the rules. */
+        private void checkActions() {
+            for (; checked < fixture.actions.size(); checked++) {
+                String[] action = fixture.actions.get(checked).split(" ");
+                if (action[0].equals("close")) {
                     continue;
                 }
-                long request = Long.parseLong(said[1]);
+                long request = Long.parseLong(action[1]);
                 assertEquals(0, answers.getOrDefault(request, 0), "one final answer, and nothing after it");
-                if (said[0].equals("send")) {
-                    sent(tries.get(request), listed.get(said[2]));
+                if (action[0].equals("send")) {
+                    sent(attempts.get(request), listed.get(action[2]));
                 } else {
                     answers.put(request, 1);
                     boolean may = effect == Effect.REPEATABLE || effect == Effect.KEYED && scope == KeyScope.ALL;
                     assertTrue(
-                            may || said[0].equals("fail") || first(tries.get(request)) == null,
-                            "refused, and may have run");
+                            may || action[0].equals("fail") || firstThatMayHaveRun(attempts.get(request)) == null,
+                            "refused, although an attempt may have run");
                 }
             }
         }
 
-        private void sent(List<Try> before, Backend to) {
-            assertTrue(to != null && to.state() == BackendState.READY, "sent to one draining or not listed");
-            assertFalse(to == a && startHeardAt == f.now, "sent in the moment of a start");
-            assertTrue(before.stream().noneMatch(t -> t.out), "two at once");
-            Try first = first(before);
+        private void sent(List<SentAttempt> before, Backend to) {
+            assertTrue(
+                    to != null && to.state() == BackendState.READY, "sent to a backend that drains or is not listed");
+            assertFalse(to == backendA && restartListedAt == fixture.now, "sent at the moment of a restart");
+            assertTrue(before.stream().noneMatch(attempt -> attempt.pending), "two attempts at once");
+            SentAttempt first = firstThatMayHaveRun(before);
             if (first != null && effect != Effect.REPEATABLE) {
-                assertEquals(Effect.KEYED, effect, "sent twice what may run once");
-                assertTrue(f.now - first.at < WINDOW, "after the window");
+                assertEquals(Effect.KEYED, effect, "sent twice, although it may run only once");
+                assertTrue(fixture.now - first.at < KEY_WINDOW_MICROS, "sent after the key window");
                 boolean same = scope == KeyScope.ALL
                         || (scope == KeyScope.ZONE ? first.to.zone().equals(to.zone()) : first.to.cell() == to.cell());
-                assertTrue(same, "to a group that knows nothing of the key");
+                assertTrue(same, "sent outside the key scope");
             }
-            before.add(new Try(to, f.now));
+            before.add(new SentAttempt(to, fixture.now));
         }
 
-        private Try first(List<Try> of) {
-            return of.stream().filter(t -> t.mayHaveRun).findFirst().orElse(null);
+        private SentAttempt firstThatMayHaveRun(List<SentAttempt> sent) {
+            return sent.stream()
+                    .filter(attempt -> attempt.mayHaveRun)
+                    .findFirst()
+                    .orElse(null);
         }
 
-        /** All that is out is answered, what is held has its timers: none is left without an answer. */
+        /** Answers all pending attempts and lets timers expire: each request then has one answer. */
         void finish() {
             for (int i = 0;
                     i < 200 && answers.values().stream().filter(n -> n > 0).count() < requests;
                     i++) {
                 end(Outcome.OK);
-                f.pass(f.now + 50_000);
-                readOn();
+                fixture.pass(fixture.now + 50_000);
+                checkActions();
             }
             assertEquals(requests, answers.values().stream().filter(n -> n == 1).count(), "requests answered once");
         }
@@ -216,20 +226,20 @@
         "KEYED, ZONE, true",
         "KEYED, CELL, false"
     })
-    void noOrderOfListChangesAndRetriesBreaksARule(Effect effect, KeyScope scope, boolean hurried) {
+    void noSequenceOfListChangesAndRetriesBreaksARule(Effect effect, KeyScope scope, boolean shortTime) {
         int steps = Step.values().length;
-        int rows = (int) Math.pow(steps, LENGTH);
-        for (int row = 0; row < rows; row++) {
-            List<Step> of = new ArrayList<>();
-            for (int i = 0, rest = row; i < LENGTH; i++, rest /= steps) {
-                of.add(Step.values()[rest % steps]);
+        int sequences = (int) Math.pow(steps, LENGTH);
+        for (int number = 0; number < sequences; number++) {
+            List<Step> sequence = new ArrayList<>();
+            for (int i = 0, rest = number; i < LENGTH; i++, rest /= steps) {
+                sequence.add(Step.values()[rest % steps]);
             }
             try {
-                Play p = new Play(effect, scope, hurried);
-                of.forEach(p::step);
-                p.finish();
+                Run run = new Run(effect, scope, shortTime);
+                sequence.forEach(run::step);
+                run.finish();
             } catch (AssertionError e) {
-                throw new AssertionError(of + ": " + e.getMessage(), e);
+                throw new AssertionError(sequence + ": " + e.getMessage(), e);
             }
         }
     }
--- a/decision/src/test/java/calicochute/decision/PropertyTest.java
+++ b/decision/src/test/java/calicochute/decision/PropertyTest.java
@@ -27,50 +27,59 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Thousands of legal event orders, each action checked against the rules as stated here and nowhere else. */
+/** Runs thousands of legal event orders and checks each action against an independent statement of the rules. */
 class PropertyTest {
     private static final long SECOND = 1_000_000;
-    private static final long GRACE = SECOND;
+    private static final long DRAIN_GRACE_MICROS = SECOND;
     private static final int STEPS = 6000;
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
     void rulesHoldInEveryOrder(long seed) {
-        new World(seed).run();
+        new Host(seed).run();
     }
 
-    /** A request as the world knows it. */
-    private static final class Known {
-        final RequestClass cls;
+    /** The host's record of a request. */
+    private static final class HostRequest {
+        final RequestClass requestClass;
         final long deadline;
-        final List<Try> tries = new ArrayList<>();
+        final List<HostAttempt> attempts = new ArrayList<>();
         boolean answered;
         boolean gone;
 
-        Known(RequestClass cls, long deadline) {
-            this.cls = cls;
+        HostRequest(RequestClass requestClass, long deadline) {
+            this.requestClass = requestClass;
             this.deadline = deadline;
         }
     }
 
-    private record Try(
-            long request, int number, Backend to, long sentAt, long expires, boolean[] out, boolean[] neverRan) {}
+    /** One attempt; the arrays of one element can be changed. */
+    private record HostAttempt(
+            long request,
+            int number,
+            Backend to,
+            long sentAt,
+            long expires,
+            boolean[] pending,
+            boolean[] provenNotRun) {}
 
-    private static final class World implements Actions {
+    private static final class Host implements Actions {
         final Random random;
         final Limits limits;
         final List<RequestClass> classes = new ArrayList<>();
         final Map<String, Backend> backends = new HashMap<>();
-        final Map<String, Long> unfitSince = new HashMap<>();
-        final Map<Long, Known> known = new HashMap<>();
-        final List<Try> out = new ArrayList<>();
-        final List<Fixture.Set> timers = new ArrayList<>();
-        final Choice choice;
+        /** Since when a backend has been draining or gone. */
+        final Map<String, Long> notReadySince = new HashMap<>();
+
+        final Map<Long, HostRequest> requests = new HashMap<>();
+        final List<HostAttempt> pending = new ArrayList<>();
+        final List<Fixture.PendingTimer> timers = new ArrayList<>();
+        final DefaultBalancer balancer;
         long now = 77 * SECOND;
         long nextRequest = 1;
         int sends;
 
-        World(long seed) {
+        Host(long seed) {
             random = new Random(seed);
             limits = new Limits(true, seed % 2 == 0, false, false, false, 2 + (int) (seed % 4), 1000, 1, 0, 0);
             for (Effect effect : Effect.values()) {
@@ -87,35 +96,36 @@
                             true));
                 }
             }
-            choice = Choice.of(Fixture.settings(classes, limits));
+            balancer = DefaultBalancer.of(Fixture.settings(classes, limits));
         }
 
         void run() {
-            relist(ListKind.FULL);
+            changeList(ListKind.FULL);
             for (int i = 0; i < STEPS; i++) {
                 step();
             }
             assertTrue(sends > STEPS / 10);
-            while (!out.isEmpty() || known.values().stream().anyMatch(k -> !k.answered && !k.gone)) {
+            while (!pending.isEmpty()
+                    || requests.values().stream().anyMatch(request -> !request.answered && !request.gone)) {
                 pass(now + SECOND / 10);
             }
         }
 
         private void step() {
-            int dice = random.nextInt(100);
-            if (dice < 40) {
+            int draw = random.nextInt(100);
+            if (draw < 40) {
                 arrive();
-            } else if (dice < 70 && !out.isEmpty()) {
-                end(out.get(random.nextInt(out.size())), anyOutcome());
-            } else if (dice < 73) {
-                relist(random.nextBoolean() ? ListKind.FULL : ListKind.CHANGES);
-            } else if (dice < 75 && !out.isEmpty()) {
-                stream(out.get(random.nextInt(out.size())));
-            } else if (dice < 78 && !known.isEmpty()) {
+            } else if (draw < 70 && !pending.isEmpty()) {
+                end(pending.get(random.nextInt(pending.size())), anyOutcome());
+            } else if (draw < 73) {
+                changeList(random.nextBoolean() ? ListKind.FULL : ListKind.CHANGES);
+            } else if (draw < 75 && !pending.isEmpty()) {
+                stream(pending.get(random.nextInt(pending.size())));
+            } else if (draw < 78 && !requests.isEmpty()) {
                 long id = 1 + (long) (random.nextDouble() * (nextRequest - 1));
-                Known k = known.get(id);
-                k.gone |= !k.answered;
-                tell(new ClientGone(id));
+                HostRequest request = requests.get(id);
+                request.gone |= !request.answered;
+                deliver(new ClientGone(id));
             } else {
                 pass(now + random.nextInt(60_000));
             }
@@ -127,78 +137,79 @@
         }
 
         private void arrive() {
-            int cls = random.nextInt(classes.size());
-            long left = 1 + random.nextInt(3_000_000);
-            known.put(nextRequest, new Known(classes.get(cls), now + left));
-            tell(new Arrival(nextRequest++, cls, -1, null, left, false));
+            int classIndex = random.nextInt(classes.size());
+            long timeLeft = 1 + random.nextInt(3_000_000);
+            requests.put(nextRequest, new HostRequest(classes.get(classIndex), now + timeLeft));
+            deliver(new Arrival(nextRequest++, classIndex, -1, null, timeLeft, false));
         }
 
-        private void end(Try t, Outcome outcome) {
-            Known k = known.get(t.request);
-            out.remove(t);
-            t.out[0] = false;
-            t.neverRan[0] = outcome.provesNotRun();
-            boolean finished = k.answered || k.gone || outcome == Outcome.OK;
-            k.answered |= outcome == Outcome.OK && !k.gone;
-            tell(new AttemptEnded(t.request, t.number, t.to.id(), finished, outcome, now - t.sentAt, null));
+        private void end(HostAttempt attempt, Outcome outcome) {
+            HostRequest request = requests.get(attempt.request);
+            pending.remove(attempt);
+            attempt.pending[0] = false;
+            attempt.provenNotRun[0] = outcome.provesNotRun();
+            boolean finished = request.answered || request.gone || outcome == Outcome.OK;
+            request.answered |= outcome == Outcome.OK && !request.gone;
+            deliver(new AttemptEnded(
+                    attempt.request, attempt.number, attempt.to.id(), finished, outcome, now - attempt.sentAt, null));
         }
 
-        private void stream(Try t) {
-            Known k = known.get(t.request);
-            if (!k.answered && !k.gone) {
-                k.answered = true;
-                tell(new StreamStarted(t.request, t.number, t.to.id(), now - t.sentAt));
+        private void stream(HostAttempt attempt) {
+            HostRequest request = requests.get(attempt.request);
+            if (!request.answered && !request.gone) {
+                request.answered = true;
+                deliver(new StreamStarted(attempt.request, attempt.number, attempt.to.id(), now - attempt.sentAt));
             }
         }
 
-        private void relist(ListKind kind) {
+        private void changeList(ListKind kind) {
             List<Backend> entries = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
                 String id = "b" + i;
-                int dice = random.nextInt(10);
-                if (kind == ListKind.CHANGES && dice < 7) {
+                int draw = random.nextInt(10);
+                if (kind == ListKind.CHANGES && draw < 7) {
                     continue;
                 }
                 BackendState state =
-                        dice == 9 ? BackendState.GONE : dice == 8 ? BackendState.DRAINING : BackendState.READY;
-                Backend b = new Backend(id, "z" + i / 6, i / 3, 1, state, 0, "k");
+                        draw == 9 ? BackendState.GONE : draw == 8 ? BackendState.DRAINING : BackendState.READY;
+                Backend entry = new Backend(id, "z" + i / 6, i / 3, 1, state, 0, "k");
                 if (kind == ListKind.FULL && state == BackendState.GONE) {
-                    unfitSince.putIfAbsent(id, now);
+                    notReadySince.putIfAbsent(id, now);
                 } else {
-                    entries.add(b);
-                    backends.put(id, b);
+                    entries.add(entry);
+                    backends.put(id, entry);
                     if (state == BackendState.READY) {
-                        unfitSince.remove(id);
+                        notReadySince.remove(id);
                     } else {
-                        unfitSince.putIfAbsent(id, now);
+                        notReadySince.putIfAbsent(id, now);
                     }
                 }
             }
-            tell(new BackendList(kind, entries));
+            deliver(new BackendList(kind, entries));
         }
 
-        /** Lets time pass: time-outs and timers come due in their order. */
+        /** Advances the time and delivers time-outs and timers in the order in which they are due. */
         private void pass(long until) {
             while (true) {
                 long at = until;
-                Try late = null;
-                Fixture.Set due = null;
-                for (Try t : out) {
-                    if (t.expires < at) {
-                        at = t.expires;
-                        late = t;
+                HostAttempt late = null;
+                Fixture.PendingTimer due = null;
+                for (HostAttempt attempt : pending) {
+                    if (attempt.expires < at) {
+                        at = attempt.expires;
+                        late = attempt;
                     }
                 }
-                for (Fixture.Set t : timers) {
-                    if (t.at() < at) {
-                        at = t.at();
-                        due = t;
+                for (Fixture.PendingTimer timer : timers) {
+                    if (timer.at() < at) {
+                        at = timer.at();
+                        due = timer;
                     }
                 }
                 now = Math.max(now, at);
                 if (due != null) {
                     timers.remove(due);
-                    tell(due.timer());
+                    deliver(due.timer());
                 } else if (late != null) {
                     end(late, Outcome.TIMED_OUT);
                 } else {
@@ -207,57 +218,62 @@
             }
         }
 
-        private void tell(Balancer.Event event) {
-            choice.on(now, event, this);
-            known.forEach((id, k) -> assertTrue(
-                    k.answered || k.gone || now <= k.deadline + Fixture.RULES.answerSlack(),
+        private void deliver(Balancer.Event event) {
+            balancer.on(now, event, this);
+            requests.forEach((id, request) -> assertTrue(
+                    request.answered || request.gone || now <= request.deadline + Fixture.RULES.answerSlack(),
                     () -> "request " + id + " is overdue"));
         }
 
         @Override
         public void send(long request, String backend, long timeout) {
-            Known k = known.get(request);
+            HostRequest hostRequest = requests.get(request);
             sends++;
-            assertFalse(k.answered || k.gone, "sent after its end");
-            assertTrue(k.tries.size() < limits.maxAttempts(), "over the cap");
-            Long unfit = unfitSince.get(backend);
-            assertTrue(unfit == null || now <= unfit + GRACE, "sent to a draining or gone backend");
+            assertFalse(hostRequest.answered || hostRequest.gone, "sent after the request had ended");
+            assertTrue(hostRequest.attempts.size() < limits.maxAttempts(), "more attempts than allowed");
+            Long since = notReadySince.get(backend);
+            assertTrue(since == null || now <= since + DRAIN_GRACE_MICROS, "sent to a draining or gone backend");
             Backend to = backends.get(backend);
-            boolean another = k.tries.stream().anyMatch(t -> t.out[0]);
+            boolean another = hostRequest.attempts.stream().anyMatch(sent -> sent.pending[0]);
             assertTrue(limits.secondCopies() || !another, "two copies");
-            k.tries.stream().filter(t -> !t.neverRan[0]).findFirst().ifPresent(first -> mayRepeat(k, first, to));
-            long expires = Math.min(k.deadline, timeout <= 0 ? Long.MAX_VALUE : now + timeout);
-            Try t = new Try(request, k.tries.size(), to, now, expires, new boolean[] {true}, new boolean[1]);
-            k.tries.add(t);
-            out.add(t);
+            hostRequest.attempts.stream()
+                    .filter(sent -> !sent.provenNotRun[0])
+                    .findFirst()
+                    .ifPresent(first -> checkRepeat(hostRequest, first, to));
+            long expires = Math.min(hostRequest.deadline, timeout <= 0 ? Long.MAX_VALUE : now + timeout);
+            HostAttempt attempt = new HostAttempt(
+                    request, hostRequest.attempts.size(), to, now, expires, new boolean[] {true}, new boolean[1]);
+            hostRequest.attempts.add(attempt);
+            pending.add(attempt);
         }
 
-        private void mayRepeat(Known k, Try first, Backend to) {
-            switch (k.cls.effect()) {
+        private void checkRepeat(HostRequest request, HostAttempt first, Backend to) {
+            switch (request.requestClass.effect()) {
                 case REPEATABLE -> {}
-                case ONCE -> throw new AssertionError("once sent twice");
+                case ONCE -> throw new AssertionError("sent twice, although it may run only once");
                 case KEYED -> {
-                    assertTrue(now - first.sentAt < k.cls.window(), "after the window");
+                    assertTrue(now - first.sentAt < request.requestClass.window(), "sent after the key window");
                     assertTrue(
-                            switch (k.cls.scope()) {
+                            switch (request.requestClass.scope()) {
                                 case ALL -> true;
                                 case ZONE -> first.to.zone().equals(to.zone());
                                 case CELL -> first.to.cell() == to.cell();
                             },
-                            "outside the group");
+                            "sent outside the key scope");
                 }
             }
         }
 
         @Override
         public void refuse(long request, long retryAfter) {
-            Known k = answer(request);
-            boolean mayHaveRun = k.tries.stream().anyMatch(t -> !t.neverRan[0]);
+            HostRequest hostRequest = answer(request);
+            boolean mayHaveRun = hostRequest.attempts.stream().anyMatch(attempt -> !attempt.provenNotRun[0]);
             assertTrue(
                     !mayHaveRun
-                            || k.cls.effect() == Effect.REPEATABLE
-                            || k.cls.effect() == Effect.KEYED && k.cls.scope() == KeyScope.ALL,
-                    "harmful refusal");
+                            || hostRequest.requestClass.effect() == Effect.REPEATABLE
+                            || hostRequest.requestClass.effect() == Effect.KEYED
+                                    && hostRequest.requestClass.scope() == KeyScope.ALL,
+                    "refused, although an attempt may have run");
         }
 
         @Override
@@ -265,22 +281,22 @@
             answer(request);
         }
 
-        private Known answer(long request) {
-            Known k = known.get(request);
-            assertFalse(k.answered || k.gone, "two answers");
-            k.answered = true;
-            return k;
+        private HostRequest answer(long request) {
+            HostRequest hostRequest = requests.get(request);
+            assertFalse(hostRequest.answered || hostRequest.gone, "two answers");
+            hostRequest.answered = true;
+            return hostRequest;
         }
 
         @Override
         public void cancel(long request, int attempt) {
-            assertTrue(attempt < known.get(request).tries.size(), "cancelled an attempt never made");
+            assertTrue(attempt < requests.get(request).attempts.size(), "cancelled an attempt that was never sent");
         }
 
         @Override
-        public void timer(long delay, int purpose, long subject) {
+        public void startTimer(long delay, int purpose, long subject) {
             assertTrue(delay > 0);
-            timers.add(new Fixture.Set(now + delay, new Timer(purpose, subject)));
+            timers.add(new Fixture.PendingTimer(now + delay, new Timer(purpose, subject)));
         }
 
         @Override
@@ -299,12 +315,12 @@
         }
 
         @Override
-        public void closeIdle(String backend) {
+        public void closeIdleConnections(String backend) {
             assertTrue(backends.containsKey(backend));
         }
 
         @Override
-        public void tell(int peer, byte[] bytes) {
+        public void sendToPeer(int peer, byte[] bytes) {
             throw new AssertionError("messages are not allowed here");
         }
 
--- a/decision/src/test/java/calicochute/decision/RulesTest.java
+++ b/decision/src/test/java/calicochute/decision/RulesTest.java
@@ -25,14 +25,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The four rules, each as a table. */
+/** The rules on repeats, final answers, list changes and cold starts. */
 class RulesTest {
     private static final Backend A = backend("a", "z1", 1);
     private static final Backend SAME_CELL = backend("b", "z1", 1);
     private static final Backend SAME_ZONE = backend("c", "z1", 2);
-    private static final Backend ELSEWHERE = backend("d", "z2", 3);
+    private static final Backend OTHER_ZONE = backend("d", "z2", 3);
 
-    /** What follows when the only attempt, on A, ends: a send to the other backend, a refusal or a failure. */
+    /** What follows when the only attempt, on A, has ended: a send to the other backend, a refusal or a failure. */
     @ParameterizedTest
     @CsvSource({
         "REPEATABLE, ALL,  ERROR,          d, 0,       send",
@@ -57,99 +57,100 @@
         "KEYED,      CELL, RESET,          b, 2000000, fail",
         "KEYED,      CELL, MOOT,           c, 2000000, send",
     })
-    void effectIsNeverDoubled(Effect effect, KeyScope scope, Outcome outcome, String other, long later, String then) {
-        Fixture f = Fixture.of(effect, scope).list(A);
-        f.arrive(1, 4 * SECOND);
-        Backend second = List.of(SAME_CELL, SAME_ZONE, ELSEWHERE).stream()
-                .filter(b -> b.id().equals(other))
+    void requestNeverTakesEffectTwice(
+            Effect effect, KeyScope scope, Outcome outcome, String other, long delay, String action) {
+        Fixture fixture = Fixture.of(effect, scope).list(A);
+        fixture.arrive(1, 4 * SECOND);
+        Backend second = List.of(SAME_CELL, SAME_ZONE, OTHER_ZONE).stream()
+                .filter(backend -> backend.id().equals(other))
                 .findFirst()
                 .orElseThrow();
-        f.list(ListKind.CHANGES, second, with(A, BackendState.DRAINING, 0));
-        f.now += later;
-        f.outcome(0, outcome, later);
-        String expected = then + " 1" + (then.equals("send") ? " " + other : "");
-        assertEquals(expected, f.lastSaid());
+        fixture.list(ListKind.CHANGES, second, with(A, BackendState.DRAINING, 0));
+        fixture.now += delay;
+        fixture.outcome(0, outcome, delay);
+        String expected = action + " 1" + (action.equals("send") ? " " + other : "");
+        assertEquals(expected, fixture.lastAction());
     }
 
     @Test
-    void oneCopyAtATime() {
+    void onlyOneAttemptIsPendingAtATime() {
         for (boolean allowed : new boolean[] {true, false}) {
             Limits limits = new Limits(false, allowed, false, false, false, 4, 1000, 1, 0, 0);
-            Fixture f = new Fixture(settings(List.of(requestClass(Effect.REPEATABLE, KeyScope.ALL)), limits));
-            f.list(A, SAME_CELL);
-            f.arrive(1, 4 * SECOND);
-            f.now += 100_000;
-            f.outcome(0, Outcome.OK, 100_000);
-            f.arrive(2, 4 * SECOND);
-            f.pass(f.now + 3 * SECOND);
-            assertEquals(2, f.sent.size());
+            Fixture fixture = new Fixture(settings(List.of(requestClass(Effect.REPEATABLE, KeyScope.ALL)), limits));
+            fixture.list(A, SAME_CELL);
+            fixture.arrive(1, 4 * SECOND);
+            fixture.now += 100_000;
+            fixture.outcome(0, Outcome.OK, 100_000);
+            fixture.arrive(2, 4 * SECOND);
+            fixture.pass(fixture.now + 3 * SECOND);
+            assertEquals(2, fixture.sent.size());
         }
     }
 
     @Test
-    void attemptsStayUnderTheCap() {
-        Fixture f = Fixture.of(Effect.REPEATABLE, KeyScope.ALL).list(A, SAME_CELL, SAME_ZONE, ELSEWHERE);
-        f.arrive(1, 4 * SECOND);
+    void attemptsStayWithinTheLimit() {
+        Fixture fixture = Fixture.of(Effect.REPEATABLE, KeyScope.ALL).list(A, SAME_CELL, SAME_ZONE, OTHER_ZONE);
+        fixture.arrive(1, 4 * SECOND);
         for (int i = 0; i < 4; i++) {
-            f.now += 1000;
-            f.outcome(i, Outcome.FULL, 1000);
+            fixture.now += 1000;
+            fixture.outcome(i, Outcome.FULL, 1000);
         }
-        assertEquals(4, f.sent.size());
-        assertEquals("refuse 1", f.lastSaid());
+        assertEquals(4, fixture.sent.size());
+        assertEquals("refuse 1", fixture.lastAction());
     }
 
     @Test
-    void timeOutAtTheDeadlineIsAnsweredInTheSameBatch() {
-        Fixture f = Fixture.of(Effect.ONCE, KeyScope.ALL).list(A);
-        f.arrive(1, 2 * SECOND);
-        f.now += 2 * SECOND;
-        f.outcome(0, Outcome.TIMED_OUT, 2 * SECOND);
-        assertEquals("fail 1", f.lastSaid());
+    void timeOutAtTheDeadlineIsAnsweredAtOnce() {
+        Fixture fixture = Fixture.of(Effect.ONCE, KeyScope.ALL).list(A);
+        fixture.arrive(1, 2 * SECOND);
+        fixture.now += 2 * SECOND;
+        fixture.outcome(0, Outcome.TIMED_OUT, 2 * SECOND);
+        assertEquals("fail 1", fixture.lastAction());
     }
 
     @Test
-    void heldRequestIsSentWhenABackendComesAndAnsweredWhenNoneDoes() {
-        Fixture f = Fixture.of(Effect.ONCE, KeyScope.ALL).list();
-        f.arrive(1, 2 * SECOND);
-        f.arrive(2, SECOND / 10);
-        assertTrue(f.sent.isEmpty());
-        f.pass(f.now + SECOND / 10);
-        assertEquals("refuse 2", f.lastSaid());
-        f.list(A);
-        f.pass(f.now + SECOND);
-        assertEquals("send 1 a", f.lastSaid());
+    void heldRequestIsSentToANewBackendOrAnsweredAtItsDeadline() {
+        Fixture fixture = Fixture.of(Effect.ONCE, KeyScope.ALL).list();
+        fixture.arrive(1, 2 * SECOND);
+        fixture.arrive(2, SECOND / 10);
+        assertTrue(fixture.sent.isEmpty());
+        fixture.pass(fixture.now + SECOND / 10);
+        assertEquals("refuse 2", fixture.lastAction());
+        fixture.list(A);
+        fixture.pass(fixture.now + SECOND);
+        assertEquals("send 1 a", fixture.lastAction());
     }
 
     @Test
-    void nothingGoesOutAfterTheClientLeft() {
-        Fixture f = Fixture.of(Effect.REPEATABLE, KeyScope.ALL).list(A, ELSEWHERE);
-        f.arrive(1, 2 * SECOND);
-        f.on(new ClientGone(1));
-        f.outcome(0, Outcome.CANCELLED, 1000);
-        f.pass(f.now + 3 * SECOND);
-        assertEquals(1, f.sent.size());
-        f.on(new ClientGone(1));
-        assertEquals("cancel 1 0", f.lastSaid());
+    void nothingIsSentAfterTheClientIsGone() {
+        Fixture fixture = Fixture.of(Effect.REPEATABLE, KeyScope.ALL).list(A, OTHER_ZONE);
+        fixture.arrive(1, 2 * SECOND);
+        fixture.on(new ClientGone(1));
+        fixture.outcome(0, Outcome.CANCELLED, 1000);
+        fixture.pass(fixture.now + 3 * SECOND);
+        assertEquals(1, fixture.sent.size());
+        fixture.on(new ClientGone(1));
+        assertEquals("cancel 1 0", fixture.lastAction());
     }
 
     @Test
-    void drainingAndGoneBackendsGetNothing() {
-        Fixture f = Fixture.of(Effect.REPEATABLE, KeyScope.ALL).list(A, SAME_CELL, SAME_ZONE);
-        f.list(ListKind.CHANGES, with(A, BackendState.DRAINING, 0), with(SAME_CELL, BackendState.GONE, 0));
+    void drainingAndGoneBackendsGetNoRequests() {
+        Fixture fixture = Fixture.of(Effect.REPEATABLE, KeyScope.ALL).list(A, SAME_CELL, SAME_ZONE);
+        fixture.list(ListKind.CHANGES, with(A, BackendState.DRAINING, 0), with(SAME_CELL, BackendState.GONE, 0));
         for (int i = 0; i < 50; i++) {
-            f.arrive(i, SECOND);
-            assertEquals("c", f.lastBackend());
+            fixture.arrive(i, SECOND);
+            assertEquals("c", fixture.lastBackend());
         }
-        f.list(ListKind.FULL, ELSEWHERE);
-        f.arrive(99, SECOND);
-        assertEquals("d", f.lastBackend());
+        fixture.list(ListKind.FULL, OTHER_ZONE);
+        fixture.arrive(99, SECOND);
+        assertEquals("d", fixture.lastBackend());
     }
 
-    /** DANGER: a crowd of instances hears of one cold backend at the same moment. */
+    /** Many instances hear of a cold backend at the same moment: together they stay within its budget. */
     @Test
-    void crowdTogetherStaysUnderWhatAColdBackendTakes() {
-        List<Long> sends = crowdsSends(1);
-        double warmPerSecond = (CROWD * 240 - sends.size()) / 12.0 / 3;
+    void allInstancesTogetherStayWithinTheColdStartBudget() {
+        List<Long> sends = sendsToColdBackend(1);
+        double warmPerSecond = (INSTANCES * 240 - sends.size()) / 12.0 / 3;
         double share = 0.2 + 0.8 * 6 / 20;
         assertFalse(sends.isEmpty());
         for (long from : sends) {
@@ -161,31 +162,32 @@
     }
 
     /**
-     * DANGER: what warm ones take fells one a quarter as large. A larger one is held to the mean, lest lists that lower
-     * sizes by load show all idle ones large; a size that makes no sense is none.
+     * The load of a warm backend would crash one of a quarter of its size. A larger backend gets the budget of the mean
+     * size, because lists that lower sizes by load show all idle backends as large. An invalid size counts as 1.
      */
     @ParameterizedTest
     @CsvSource({"0.25, 0.25", "0.5, 0.5", "8, 1", "0, 1", "-3, 1", "NaN, 1"})
-    void aSmallColdBackendGetsAsMuchLess(double weight, double share) {
-        double all = crowdsSends(1).size(), got = crowdsSends(weight).size();
-        assertEquals(share, got / all, 0.08, () -> got + " sends, " + all + " to one as large as the others");
+    void smallColdBackendGetsAProportionalShare(double weight, double share) {
+        double all = sendsToColdBackend(1).size();
+        double sends = sendsToColdBackend(weight).size();
+        assertEquals(share, sends / all, 0.08, () -> sends + " sends, " + all + " to one of the size of the others");
     }
 
-    private static final int CROWD = 40;
+    private static final int INSTANCES = 40;
 
     /**
-     * Sends of a crowd to one of this size that starts at the sixth of twelve seconds, beside three warm ones of size
-     * 1.
+     * Times of all instances' sends to a backend of this size that starts at the sixth of twelve seconds, beside three
+     * warm ones of size 1.
      */
-    private static List<Long> crowdsSends(double weight) {
-        int crowd = CROWD;
+    private static List<Long> sendsToColdBackend(double weight) {
+        int instances = INSTANCES;
         long started = 1000 * SECOND + 6 * SECOND;
         List<Long> sends = new ArrayList<>();
-        for (int me = 0; me < crowd; me++) {
-            Fixture f = new Fixture(new Balancer.Settings(
-                    me,
-                    me,
-                    crowd,
+        for (int instance = 0; instance < instances; instance++) {
+            Fixture fixture = new Fixture(new Balancer.Settings(
+                    instance,
+                    instance,
+                    instances,
                     0,
                     true,
                     false,
@@ -199,56 +201,60 @@
                     Fixture.LIMITS,
                     Fixture.RULES,
                     new Balancer.Goal(1, 0, 0, 0, 0, 0, 0)));
-            f.list(backend("w1", "z", 0), backend("w2", "z", 0), backend("w3", "z", 0));
+            fixture.list(backend("w1", "z", 0), backend("w2", "z", 0), backend("w3", "z", 0));
             for (int i = 0; i < 240; i++) {
                 if (i == 120) {
-                    f.list(
+                    fixture.list(
                             ListKind.CHANGES,
                             new Balancer.Backend("cold", "z", 0, weight, BackendState.READY, started, "k"));
                 }
-                f.arrive(i, SECOND);
-                if (f.lastBackend().equals("cold")) {
-                    sends.add(f.now);
+                fixture.arrive(i, SECOND);
+                if (fixture.lastBackend().equals("cold")) {
+                    sends.add(fixture.now);
                 }
-                f.now += 20_000;
-                f.outcome(0, Outcome.OK, 20_000);
-                f.now += 30_000;
+                fixture.now += 20_000;
+                fixture.outcome(0, Outcome.OK, 20_000);
+                fixture.now += 30_000;
             }
         }
         return sends;
     }
 
     @Test
-    void asksForTheListAtBirthAndAgainAfterFailuresWithMorePatience() {
-        Fixture f = new Fixture(settings(List.of(requestClass(Effect.ONCE, KeyScope.ALL)), Fixture.LIMITS, true, 0, 4));
-        f.list(ListKind.RESTORED, A);
+    void subscribesAtTheStartAndAgainAfterFailures() {
+        Fixture fixture =
+                new Fixture(settings(List.of(requestClass(Effect.ONCE, KeyScope.ALL)), Fixture.LIMITS, true, 0, 4));
+        fixture.list(ListKind.RESTORED, A);
         for (int i = 0; i < 3; i++) {
-            f.pass(f.now + 6 * SECOND);
-            assertEquals(i + 1, f.said.stream().filter("subscribe true"::equals).count());
-            f.list(ListKind.UNAVAILABLE);
+            fixture.pass(fixture.now + 6 * SECOND);
+            assertEquals(
+                    i + 1,
+                    fixture.actions.stream().filter("subscribe true"::equals).count());
+            fixture.list(ListKind.UNAVAILABLE);
         }
-        f.list(ListKind.CHANGES, ELSEWHERE);
-        f.pass(f.now + 20 * SECOND);
-        assertEquals(3, f.said.stream().filter("subscribe true"::equals).count());
+        fixture.list(ListKind.CHANGES, OTHER_ZONE);
+        fixture.pass(fixture.now + 20 * SECOND);
+        assertEquals(
+                3, fixture.actions.stream().filter("subscribe true"::equals).count());
     }
 
     /**
-     * What the list service has to tell counts as told 6 s after it can be reached: no pause takes more than half of
+     * An instance must have the list 6 s after the list service can be reached again: no delay takes more than half of
      * that.
      */
     @Test
-    void pausesAreSpreadAndShortHoweverOftenTheListServiceFailed() {
-        Set<Long> pauses = new HashSet<>();
+    void delaysAreSpreadAndShortHoweverOftenTheListServiceFailed() {
+        Set<Long> delays = new HashSet<>();
         for (int seed = 0; seed < 20; seed++) {
-            Fixture f = new Fixture(
+            Fixture fixture = new Fixture(
                     settings(seed, List.of(requestClass(Effect.ONCE, KeyScope.ALL)), Fixture.LIMITS, true, 0, 4));
             for (int i = 0; i < 20; i++) {
-                f.list(ListKind.UNAVAILABLE);
-                long pause = f.timers.get(f.timers.size() - 1).at() - f.now;
-                assertTrue(pause <= 3 * SECOND + 1 && (i < 3 || pause >= SECOND), "pause " + i + ": " + pause);
-                pauses.add(pause);
+                fixture.list(ListKind.UNAVAILABLE);
+                long delay = fixture.timers.get(fixture.timers.size() - 1).at() - fixture.now;
+                assertTrue(delay <= 3 * SECOND + 1 && (i < 3 || delay >= SECOND), "delay " + i + ": " + delay);
+                delays.add(delay);
             }
         }
-        assertTrue(pauses.size() > 390, pauses.size() + " of 400");
+        assertTrue(delays.size() > 390, delays.size() + " of 400");
     }
 }
--- a/decision/src/test/java/calicochute/decision/ShapeTest.java
+++ b/decision/src/test/java/calicochute/decision/ShapeTest.java
@@ -15,53 +15,54 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What decides stays small enough to be ported by hand, and nothing decides outside the files that are counted. */
+/** The policy files stay small enough to be ported by hand, and no other file of the package makes decisions. */
 class ShapeTest {
     private static final Path ROOT = Path.of("..");
     private static final Path FOLDER = Path.of("src/main/java/calicochute/decision");
-    /** The contract with the hosts, and plain data. */
-    private static final Set<String> DECIDING_NOTHING = Set.of(
+    /** Files that make no decisions: the interface to the hosts, and data. */
+    private static final Set<String> NO_DECISIONS = Set.of(
             "Balancer.java",
             "Handover.java",
-            "Learnt.java",
-            "Known.java",
-            "Server.java",
-            "Seen.java",
+            "LearntState.java",
+            "BalancerState.java",
+            "TrackedBackend.java",
+            "ClassStats.java",
             "Attempt.java",
-            "Request.java");
+            "Request.java",
+            "package-info.java");
 
     /** The files that deploy/balancer.toml names as the policy. */
     private static List<Path> policy() throws IOException {
         String line = Files.readAllLines(ROOT.resolve("deploy/balancer.toml")).stream()
-                .filter(l -> l.startsWith("policy"))
+                .filter(text -> text.startsWith("policy"))
                 .findFirst()
                 .orElseThrow();
         return Pattern.compile("\"([^\"]+)\"")
                 .matcher(line)
                 .results()
-                .map(m -> ROOT.resolve(m.group(1)))
+                .map(match -> ROOT.resolve(match.group(1)))
                 .toList();
     }
 
     @Test
-    void moduleStaysWithinItsLines() throws IOException {
+    void policyStaysWithinItsLineLimits() throws IOException {
         List<String> lines = new ArrayList<>();
         for (Path file : policy()) {
             lines.addAll(Files.readAllLines(file));
         }
-        long filled = lines.stream().filter(line -> !line.isBlank()).count();
-        assertTrue(filled <= 1200, () -> "the module has " + filled + " lines that are not blank");
+        long count = lines.stream().filter(line -> !line.isBlank()).count();
+        assertTrue(count <= 1200, () -> "the policy has " + count + " non-blank lines");
         lines.forEach(line -> assertTrue(line.length() <= 120, () -> "over 120 characters: " + line));
     }
 
     @Test
-    void allThatDecidesIsCounted() throws IOException {
-        Set<String> files = new TreeSet<>(DECIDING_NOTHING);
+    void allFilesWithDecisionsAreCounted() throws IOException {
+        Set<String> files = new TreeSet<>(NO_DECISIONS);
         policy().forEach(file -> files.add(file.getFileName().toString()));
-        try (Stream<Path> there = Files.list(FOLDER)) {
+        try (Stream<Path> present = Files.list(FOLDER)) {
             assertEquals(
                     files,
-                    there.map(file -> file.getFileName().toString()).collect(Collectors.toCollection(TreeSet::new)));
+                    present.map(file -> file.getFileName().toString()).collect(Collectors.toCollection(TreeSet::new)));
         }
     }
 }
