--- a/decision/src/main/java/calicochute/decision/Admission.java
+++ b/decision/src/main/java/calicochute/decision/Admission.java
@@ -13,13 +13,13 @@
     private static final double MAX_QUEUEING_SHARE = 0.3;
     /** The requests of least worth are refused from this share of the limit below the limit. */
     private static final double WORTH_SPREAD = 0.3;
-    /** Requests. */
+    /** Lowest value of the limit, in requests. */
     private static final int MIN_OPEN_LIMIT = 8;
 
     private static final long MIN_CUT_INTERVAL_MICROS = 250_000;
     /** Arrivals by which the usual time left must lead before another time left counts as a later try. */
     private static final int MIN_VOTES = 8;
-    /** Arrivals. */
+    /** Upper bound of the votes for the usual time left, in arrivals. */
     private static final int MAX_VOTES = 1000;
 
     /**
--- a/decision/src/main/java/calicochute/decision/BalancerState.java
+++ b/decision/src/main/java/calicochute/decision/BalancerState.java
@@ -108,14 +108,14 @@
     }
 
     /** Replaces the settings. Statistics are kept by class name; an index never comes to mean another class. */
-    void changeSettings(Settings to) {
-        settings = to;
-        classes = to.classes().toArray(new RequestClass[0]);
+    void changeSettings(Settings newSettings) {
+        settings = newSettings;
+        classes = newSettings.classes().toArray(new RequestClass[0]);
         classStats = new ClassStats[classes.length];
         Arrays.setAll(classStats, i -> statsByName.computeIfAbsent(classes[i].name(), name -> new ClassStats()));
-        anyRepeatable = to.classes().stream().anyMatch(c -> c.effect() == Effect.REPEATABLE);
+        anyRepeatable = newSettings.classes().stream().anyMatch(c -> c.effect() == Effect.REPEATABLE);
         arrivalsByBin = Arrays.copyOf(arrivalsByBin, classes.length * 3);
-        tenantTokens = Arrays.copyOf(tenantTokens, to.tenants().size());
+        tenantTokens = Arrays.copyOf(tenantTokens, newSettings.tenants().size());
     }
 
     /** Updates the share of time-outs. Other outcomes than answers and time-outs say nothing about it. */
--- a/decision/src/main/java/calicochute/decision/DefaultBalancer.java
+++ b/decision/src/main/java/calicochute/decision/DefaultBalancer.java
@@ -69,7 +69,7 @@
             subset.choose(subset.size());
         }
         if (event instanceof FleetEstimates fleetEstimates) {
-            subset.fleetEstimates(fleetEstimates);
+            subset.applyFleetEstimates(fleetEstimates);
         }
         if (event instanceof SettingsChanged changed) {
             state.changeSettings(changed.settings());
--- a/decision/src/main/java/calicochute/decision/Handover.java
+++ b/decision/src/main/java/calicochute/decision/Handover.java
@@ -9,9 +9,9 @@
     /** Exports the learnt state at this moment: speeds are aged and bounded by the age of pending attempts. */
     public static LearntState export(Balancer balancer) {
         Estimates estimates = ((DefaultBalancer) balancer).estimates();
-        BalancerState from = estimates.state();
+        BalancerState source = estimates.state();
         var servers = new TreeMap<String, LearntState.ServerEstimate>();
-        for (TrackedBackend backend : from.backends.values()) {
+        for (TrackedBackend backend : source.backends.values()) {
             // Without the discount for pending attempts, which the other module does not have.
             servers.put(
                     backend.id,
@@ -21,7 +21,7 @@
                             backend.entry.startedAt()));
         }
         var classes = new TreeMap<String, LearntState.ClassEstimate>();
-        from.statsByName.forEach((name, stats) -> classes.put(
+        source.statsByName.forEach((name, stats) -> classes.put(
                 name,
                 new LearntState.ClassEstimate(
                         stats.latency,
@@ -32,12 +32,12 @@
         return new LearntState(
                 servers,
                 classes,
-                from.typicalSpeed,
-                from.openLimit,
-                from.queueingShare,
-                from.warmAnswerRate * from.meanWarmSize,
-                from.answerRate,
-                from.retryTokens);
+                source.typicalSpeed,
+                source.openLimit,
+                source.queueingShare,
+                source.warmAnswerRate * source.meanWarmSize,
+                source.answerRate,
+                source.retryTokens);
     }
 
     /**
@@ -45,9 +45,9 @@
      * sampled itself. To be called after its first backend list.
      */
     public static void restore(Balancer balancer, LearntState learnt, long nowMicros, long ageMicros) {
-        BalancerState to = ((DefaultBalancer) balancer).state();
+        BalancerState target = ((DefaultBalancer) balancer).state();
         learnt.servers().forEach((id, estimate) -> {
-            TrackedBackend backend = to.backends.get(id);
+            TrackedBackend backend = target.backends.get(id);
             if (backend != null
                     && !backend.called
                     && estimate.polled()
@@ -58,7 +58,7 @@
             }
         });
         learnt.classes().forEach((name, estimate) -> {
-            ClassStats stats = to.statsByName.get(name);
+            ClassStats stats = target.statsByName.get(name);
             if (stats != null && stats.answers == 0) {
                 stats.latency = estimate.latency();
                 stats.baseLatency = estimate.base();
@@ -67,15 +67,15 @@
                 stats.usualTimeLeftVotes = estimate.votes();
             }
         });
-        to.typicalSpeed = learnt.typical();
-        to.openLimit = learnt.limit();
-        to.queueingShare = learnt.aimRatio();
+        target.typicalSpeed = learnt.typical();
+        target.openLimit = learnt.limit();
+        target.queueingShare = learnt.aimRatio();
         // The rate was exported for a backend of mean size, because the list may give sizes on another scale since.
-        to.meanWarmSize = to.subset.length > 0
-                ? BalancerState.sizes(to.subset, backend -> true).getAverage()
+        target.meanWarmSize = target.subset.length > 0
+                ? BalancerState.sizes(target.subset, backend -> true).getAverage()
                 : 1;
-        to.warmAnswerRate = learnt.warmRate() / to.meanWarmSize;
-        to.answerRate = learnt.answerRate();
-        to.retryTokens = learnt.retryTokens();
+        target.warmAnswerRate = learnt.warmRate() / target.meanWarmSize;
+        target.answerRate = learnt.answerRate();
+        target.retryTokens = learnt.retryTokens();
     }
 }
--- a/decision/src/main/java/calicochute/decision/Subset.java
+++ b/decision/src/main/java/calicochute/decision/Subset.java
@@ -18,7 +18,7 @@
 record Subset(BalancerState state) {
     /** Instances for each backend, since backends hold few connections. */
     private static final double CALLERS_PER_BACKEND = 8;
-    /** Backends. */
+    /** Least number of backends in a subset, as far as the list has so many. */
     private static final int MIN_SUBSET_SIZE = 12;
 
     private static final double GOLDEN_RATIO = 0.6180339887498949;
@@ -108,7 +108,7 @@
     }
 
     /** Takes the fleet's estimates. One instance at a time tries each backend that the fleet holds for slow. */
-    void fleetEstimates(Balancer.FleetEstimates event) {
+    void applyFleetEstimates(Balancer.FleetEstimates event) {
         state.setFleetEstimates(event);
         var toTry = Arrays.stream(state.ring).filter(state::mayTry).toList();
         toTry.forEach(backend -> backend.called = false);
--- a/decision/src/test/java/calicochute/decision/AdmissionTest.java
+++ b/decision/src/test/java/calicochute/decision/AdmissionTest.java
@@ -21,8 +21,8 @@
 class AdmissionTest {
     private long nextRequest = 1000;
 
-    private String one(Fixture fixture, Outcome outcome, long elapsed) {
-        return fixture.one(nextRequest++, outcome, elapsed);
+    private String sendAndEnd(Fixture fixture, Outcome outcome, long elapsed) {
+        return fixture.sendAndEnd(nextRequest++, outcome, elapsed);
     }
 
     @Test
@@ -72,7 +72,7 @@
     void brokenConnectionsAreNotLoad() {
         Fixture fixture = new MechanismTest().steady(Effect.ONCE);
         for (int i = 0; i < 200; i++) {
-            one(
+            sendAndEnd(
                     fixture,
                     i % 4 == 0 ? Outcome.CONNECT_FAILED : i % 4 == 2 ? Outcome.TIMED_OUT : Outcome.OK,
                     i % 4 == 0 ? 1_000 : i % 4 == 2 ? SECOND : 100_000);
@@ -256,7 +256,7 @@
                 true,
                 false,
                 true,
-                "home",
+                "own",
                 base.tick(),
                 1,
                 List.of(),
@@ -267,8 +267,8 @@
                 new Balancer.Goal(1, 0, 0, 0, 0.01, 0, 0));
         Fixture fixture = new Fixture(priced)
                 .list(
-                        backend("h1", "home", 0),
-                        backend("h2", "home", 0),
+                        backend("h1", "own", 0),
+                        backend("h2", "own", 0),
                         backend("a1", "other", 0),
                         backend("a2", "other", 0));
         assertTrue(otherZoneShare(fixture, 2, 100_000) < 0.05);
--- a/decision/src/test/java/calicochute/decision/ColdStartSimulation.java
+++ b/decision/src/test/java/calicochute/decision/ColdStartSimulation.java
@@ -23,7 +23,9 @@
 
 /** Simulates a fleet of instances in virtual time and measures what their sends add up to at cold servers. */
 final class ColdStartSimulation {
+    /** One second in microseconds. */
     static final long SECOND = 1_000_000;
+
     static final Rules RULES = new Rules(20_000, 10 * SECOND, 0.32, 8_900_000, 3 * SECOND, 3, 3 * SECOND);
     private static final int SERVERS = 60;
     /** When the scenario's starts or losses begin. */
--- a/decision/src/test/java/calicochute/decision/EdgeCaseTest.java
+++ b/decision/src/test/java/calicochute/decision/EdgeCaseTest.java
@@ -46,14 +46,14 @@
                 .toArray(Backend[]::new);
     }
 
-    private String one(Fixture fixture, Outcome outcome, long elapsed) {
-        return fixture.one(nextRequest++, outcome, elapsed);
+    private String sendAndEnd(Fixture fixture, Outcome outcome, long elapsed) {
+        return fixture.sendAndEnd(nextRequest++, outcome, elapsed);
     }
 
     private Fixture steady(int backends) {
         Fixture fixture = Fixture.of(Effect.REPEATABLE, KeyScope.ALL).list(fleet(backends));
         for (int i = 0; i < 40 * backends; i++) {
-            one(fixture, Outcome.OK, 100_000);
+            sendAndEnd(fixture, Outcome.OK, 100_000);
         }
         return fixture;
     }
@@ -92,9 +92,9 @@
     void objectiveOfZeroKeepsAdmissionWorking() {
         RequestClass none = new RequestClass("c", Effect.REPEATABLE, KeyScope.ALL, 0, 0, 4 * SECOND, 1, 0.5, false);
         Fixture fixture = new Fixture(settings(List.of(none), Fixture.LIMITS)).list(fleet(3));
-        one(fixture, Outcome.OK, 0);
+        sendAndEnd(fixture, Outcome.OK, 0);
         for (int i = 0; i < 80; i++) {
-            one(fixture, Outcome.OK, 3 * SECOND);
+            sendAndEnd(fixture, Outcome.OK, 3 * SECOND);
         }
         assertTrue(
                 fixture.balancer.state().openLimit < 100,
@@ -152,8 +152,8 @@
         for (int count : new int[] {Integer.MAX_VALUE, -1, Integer.MIN_VALUE}) {
             stats.answers = Math.max(stats.answers, count);
             stats.usualTimeLeftVotes = Math.max(stats.usualTimeLeftVotes, count);
-            one(fixture, Outcome.OK, 100_000);
-            one(fixture, Outcome.OK, 100_000);
+            sendAndEnd(fixture, Outcome.OK, 100_000);
+            sendAndEnd(fixture, Outcome.OK, 100_000);
             mustBeFinite(fixture.balancer);
             assertEquals(100_000, stats.latency, 1);
         }
@@ -176,7 +176,7 @@
         for (int i = 0; i < 400; i++) {
             int before = fixture.sent.size();
             fixture.arrive(nextRequest++, SECOND / 10);
-            fixture.pass(fixture.now + 20_000);
+            fixture.advanceTo(fixture.now + 20_000);
             if (fixture.sent.size() > before) {
                 sent.merge(fixture.lastBackend(), 1, Integer::sum);
                 fixture.outcome(0, Outcome.OK, 20_000);
@@ -199,7 +199,7 @@
                 backend.speed = backend.id.equals("b0") ? 1.6 : backend.id.equals("b1") ? 1.5 : 0.3;
                 backend.sampledAt = fixture.now + 100_000;
             });
-            sends.merge(one(fixture, Outcome.OK, 100_000), 1, Integer::sum);
+            sends.merge(sendAndEnd(fixture, Outcome.OK, 100_000), 1, Integer::sum);
         }
         double expected = Math.exp((1.5 / 1.6 - 1) / 0.07);
         assertEquals(expected, sends.get("b1") / (double) sends.get("b0"), 0.04);
@@ -243,20 +243,20 @@
         fixture.arrive(1, SECOND);
         assertTrue(fixture.sent.isEmpty());
         fixture.list(fleet(1));
-        fixture.pass(fixture.now + 100_000);
+        fixture.advanceTo(fixture.now + 100_000);
         assertEquals(1, fixture.sent.size());
         fixture.outcome(0, Outcome.OK, 100_000);
         fixture.list();
         fixture.list(fleet(5));
         nextRequest = 2;
         for (int i = 0; i < 400; i++) {
-            one(fixture, Outcome.ERROR, 10_000);
+            sendAndEnd(fixture, Outcome.ERROR, 10_000);
         }
         mustBeFinite(fixture.balancer);
         Set<String> called = new HashSet<>();
         for (int i = 0; i < 60; i++) {
             fixture.now += SECOND;
-            called.add(one(fixture, Outcome.OK, 100_000));
+            called.add(sendAndEnd(fixture, Outcome.OK, 100_000));
         }
         assertEquals(5, called.size(), "each backend is used again");
     }
@@ -288,7 +288,7 @@
                 case 1 -> random.nextInt(100) * 1000 * SECOND;
                 default -> random.nextInt(200_000);
             };
-            fixture.pass(fixture.now);
+            fixture.advanceTo(fixture.now);
             switch (random.nextInt(10)) {
                 case 0 ->
                     fixture.list(
@@ -311,7 +311,7 @@
             }
             mustBeFinite(fixture.balancer);
         }
-        fixture.pass(fixture.now + 7200 * SECOND);
+        fixture.advanceTo(fixture.now + 7200 * SECOND);
         for (String said : fixture.actions) {
             if (said.startsWith("refuse") || said.startsWith("fail")) {
                 ends.merge(Long.parseLong(said.split(" ")[1]), 1, Integer::sum);
@@ -347,7 +347,7 @@
     void failingBackendGetsNothingWhenTheOthersAreCrowded() {
         Fixture fixture = Fixture.of(Effect.ONCE, KeyScope.ALL).list(fleet(4));
         for (int i = 0; i < 40; i++) {
-            fixture.one(i + 1, Outcome.OK, 100_000);
+            fixture.sendAndEnd(i + 1, Outcome.OK, 100_000);
         }
         fixture.balancer
                 .state()
@@ -368,7 +368,7 @@
     void limitFallsBeforeQueueingTakesAThirdOfTheSlack() {
         Fixture fixture = Fixture.of(Effect.REPEATABLE, KeyScope.ALL).list(fleet(4));
         for (int i = 0; i < 100; i++) {
-            fixture.one(i + 1, Outcome.OK, i < 40 ? 100_000 : 410_000);
+            fixture.sendAndEnd(i + 1, Outcome.OK, i < 40 ? 100_000 : 410_000);
         }
         assertTrue(fixture.balancer.state().openLimit < 1000, "limit " + fixture.balancer.state().openLimit);
     }
--- a/decision/src/test/java/calicochute/decision/Fixture.java
+++ b/decision/src/test/java/calicochute/decision/Fixture.java
@@ -26,7 +26,9 @@
 
 /** One instance under test, with a host that only records the actions. */
 final class Fixture implements Actions {
+    /** One second in microseconds. */
     static final long SECOND = 1_000_000;
+
     static final Limits LIMITS = new Limits(true, true, false, false, false, 4, 1000, 1, 200_000, SECOND);
     static final Rules RULES = new Rules(20_000, 10 * SECOND, 0.2, 20 * SECOND, SECOND, 3, 2 * SECOND);
 
@@ -133,7 +135,7 @@
     }
 
     /** Sends one request and ends its attempt with this outcome; returns the backend that got it. */
-    String one(long request, Outcome outcome, long elapsed) {
+    String sendAndEnd(long request, Outcome outcome, long elapsed) {
         arrive(request, 4 * SECOND);
         now += elapsed;
         String backend = lastBackend();
@@ -164,7 +166,7 @@
     }
 
     /** Advances the time to {@code until} and fires the timers that are due by then. */
-    void pass(long until) {
+    void advanceTo(long until) {
         while (true) {
             PendingTimer due = null;
             for (PendingTimer timer : timers) {
--- a/decision/src/test/java/calicochute/decision/FleetEstimatesTest.java
+++ b/decision/src/test/java/calicochute/decision/FleetEstimatesTest.java
@@ -44,7 +44,7 @@
     }
 
     /** Advances the time with an event that changes nothing. */
-    private void pass(long micros) {
+    private void advanceBy(long micros) {
         fixture.now += micros;
         fixture.on(new Balancer.Timer(99, -1));
     }
@@ -76,7 +76,7 @@
         sendViews(40);
         TrackedBackend bad = fixture.balancer.state().backends.get("bad");
         bad.speed = 0;
-        pass(15 * SECOND);
+        advanceBy(15 * SECOND);
         double repeatable = fixture.balancer.estimates().effective(bad, false);
         assertTrue(
                 fixture.balancer.estimates().effective(bad, true) < repeatable / 2,
@@ -136,7 +136,7 @@
         for (int i = 0; i < 20; i++) {
             assertEquals("a", sendOne(VIEWS, 0, Outcome.OK));
         }
-        pass(4 * SECOND);
+        advanceBy(4 * SECOND);
         assertTrue(
                 fixture.balancer.estimates().uncontended(backend, false) > 0.7 * own, "only own samples count again");
     }
--- a/decision/src/test/java/calicochute/decision/HerdingTest.java
+++ b/decision/src/test/java/calicochute/decision/HerdingTest.java
@@ -38,7 +38,7 @@
                             BALANCERS))
                     .list(fleet(BACKENDS));
             for (int i = 0; i < 40 * BACKENDS; i++) {
-                fixture.one(nextRequest++, Outcome.OK, 100_000);
+                fixture.sendAndEnd(nextRequest++, Outcome.OK, 100_000);
             }
             fixtures.add(fixture);
         }
--- a/decision/src/test/java/calicochute/decision/ListChangeTest.java
+++ b/decision/src/test/java/calicochute/decision/ListChangeTest.java
@@ -111,7 +111,7 @@
                     attempts.put(++requests, new ArrayList<>());
                     fixture.arrive(requests, shortTime ? 1_300_000 : 4 * Fixture.SECOND);
                 }
-                case PAUSE -> fixture.pass(fixture.now + 50_000);
+                case PAUSE -> fixture.advanceTo(fixture.now + 50_000);
             }
             checkActions();
         }
@@ -210,7 +210,7 @@
                     i < 200 && answers.values().stream().filter(n -> n > 0).count() < requests;
                     i++) {
                 end(Outcome.OK);
-                fixture.pass(fixture.now + 50_000);
+                fixture.advanceTo(fixture.now + 50_000);
                 checkActions();
             }
             assertEquals(requests, answers.values().stream().filter(n -> n == 1).count(), "requests answered once");
--- a/decision/src/test/java/calicochute/decision/MechanismTest.java
+++ b/decision/src/test/java/calicochute/decision/MechanismTest.java
@@ -28,8 +28,8 @@
     private static final RequestClass REPEATABLE = requestClass(Effect.REPEATABLE, KeyScope.ALL);
     private long nextRequest = 1;
 
-    private String one(Fixture fixture, Outcome outcome, long elapsed) {
-        return fixture.one(nextRequest++, outcome, elapsed);
+    private String sendAndEnd(Fixture fixture, Outcome outcome, long elapsed) {
+        return fixture.sendAndEnd(nextRequest++, outcome, elapsed);
     }
 
     private static double speed(Fixture fixture, String backend) {
@@ -41,7 +41,7 @@
         Fixture fixture = steady(Effect.REPEATABLE);
         double before = speed(fixture, "b0");
         fixture.now += 200_000;
-        one(fixture, Outcome.OK, 50_000);
+        sendAndEnd(fixture, Outcome.OK, 50_000);
         // The typical latency moves a 32nd of the way from 100 to 50 ms, to 98.4375: this sample's speed is 1.96875.
         double alpha = 1 - Math.exp(-0.25 / 3);
         assertEquals(before + alpha * (1.96875 - before), speed(fixture, "b0"), 1e-6);
@@ -51,7 +51,7 @@
     Fixture steady(Effect effect) {
         Fixture fixture = Fixture.of(effect, KeyScope.ALL).list(fleet(1));
         for (int i = 0; i < 40; i++) {
-            one(fixture, Outcome.OK, 100_000);
+            sendAndEnd(fixture, Outcome.OK, 100_000);
         }
         return fixture;
     }
@@ -72,10 +72,10 @@
     void fewSamplesAgeSlowly() {
         Fixture fixture = Fixture.of(Effect.REPEATABLE, KeyScope.ALL).list(fleet(4));
         for (int i = 0; i < 60; i++) {
-            one(fixture, Outcome.OK, 100_000);
+            sendAndEnd(fixture, Outcome.OK, 100_000);
             fixture.now += 1_900_000;
         }
-        String backend = one(fixture, Outcome.OK, 10_000);
+        String backend = sendAndEnd(fixture, Outcome.OK, 10_000);
         // The sample's speed is bounded at 3. Its gap is some seconds; at the paper's rate it would weigh over 0.9.
         double moved = (speed(fixture, backend) - 1) / 2;
         assertTrue(moved > 0.05 && moved < 0.2, "moved by " + moved + " of the way");
@@ -85,9 +85,9 @@
     void failuresCountAsZeroAndCancelledOrMootAttemptsNotAtAll() {
         for (Outcome outcome : Outcome.values()) {
             Fixture fixture = Fixture.of(Effect.ONCE, KeyScope.ALL).list(fleet(1));
-            one(fixture, Outcome.OK, 100_000);
+            sendAndEnd(fixture, Outcome.OK, 100_000);
             double before = speed(fixture, "b0");
-            one(fixture, outcome, 100_000);
+            sendAndEnd(fixture, outcome, 100_000);
             switch (outcome) {
                 case OK, CANCELLED, MOOT -> assertEquals(before, speed(fixture, "b0"), 1e-9, outcome::name);
                 default -> assertTrue(speed(fixture, "b0") <= before * 0.75 + 1e-9, outcome::name);
@@ -100,7 +100,7 @@
         Fixture fixture = Fixture.of(Effect.REPEATABLE, KeyScope.ALL).list(fleet(6));
         Set<String> called = new HashSet<>();
         for (int i = 0; i < 12; i++) {
-            called.add(one(fixture, Outcome.OK, 100_000));
+            called.add(sendAndEnd(fixture, Outcome.OK, 100_000));
         }
         assertEquals(6, called.size());
     }
@@ -200,7 +200,7 @@
         Fixture fixture = new Fixture(settings(List.of(requestClass(Effect.ONCE, KeyScope.ALL)), Fixture.LIMITS));
         fixture.list(fleet(3));
         for (int i = 0; i < 30; i++) {
-            one(fixture, Outcome.OK, 100_000);
+            sendAndEnd(fixture, Outcome.OK, 100_000);
         }
         fixture.arrive(nextRequest++, 4 * SECOND);
         String hung = fixture.lastBackend();
@@ -219,7 +219,7 @@
     void pendingAttemptsSpreadABurst() {
         Fixture fixture = Fixture.of(Effect.ONCE, KeyScope.ALL).list(fleet(6));
         for (int i = 0; i < 60; i++) {
-            one(fixture, Outcome.OK, 100_000);
+            sendAndEnd(fixture, Outcome.OK, 100_000);
         }
         Map<String, Integer> burst = new HashMap<>();
         for (int i = 0; i < 30; i++) {
@@ -234,11 +234,11 @@
     void lateAttemptGetsNoSecondCopy() {
         Fixture fixture = Fixture.of(Effect.REPEATABLE, KeyScope.ALL).list(fleet(3));
         for (int i = 0; i < 30; i++) {
-            one(fixture, Outcome.OK, 100_000);
+            sendAndEnd(fixture, Outcome.OK, 100_000);
         }
         fixture.arrive(nextRequest++, 4 * SECOND);
         int actions = fixture.actions.size();
-        fixture.pass(fixture.now + 3 * SECOND);
+        fixture.advanceTo(fixture.now + 3 * SECOND);
         assertEquals(actions, fixture.actions.size());
     }
 
@@ -255,7 +255,7 @@
             for (long request = first; request < nextRequest; request++) {
                 fixture.on(new Balancer.AttemptEnded(request, 0, "b0", true, Outcome.OK, 100_000, null));
             }
-            one(fixture, failed ? Outcome.CONNECT_FAILED : Outcome.OK, 100_000);
+            sendAndEnd(fixture, failed ? Outcome.CONNECT_FAILED : Outcome.OK, 100_000);
             fixture.now += SECOND;
             fixture.arrive(nextRequest++, 4 * SECOND);
             assertEquals(failed, fixture.actions.contains("close b0"));
@@ -285,7 +285,7 @@
         Fixture fixture = new Fixture(settings).list(fleet);
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 100; i++) {
-            used.add(one(fixture, Outcome.OK, 100_000));
+            used.add(sendAndEnd(fixture, Outcome.OK, 100_000));
         }
         return used;
     }
@@ -296,9 +296,9 @@
         Fixture second = Fixture.of(Effect.REPEATABLE, KeyScope.ALL).list(fleet(9));
         for (int i = 0; i < 200; i++) {
             nextRequest = i + 1;
-            String backend = one(first, Outcome.values()[i % 8], 50_000 + i);
+            String backend = sendAndEnd(first, Outcome.values()[i % 8], 50_000 + i);
             nextRequest = i + 1;
-            assertEquals(backend, one(second, Outcome.values()[i % 8], 50_000 + i));
+            assertEquals(backend, sendAndEnd(second, Outcome.values()[i % 8], 50_000 + i));
         }
         assertEquals(first.actions, second.actions);
     }
@@ -309,7 +309,7 @@
         Fixture fixture = new Fixture(settings(List.of(REPEATABLE), Fixture.LIMITS));
         fixture.list(fleet(4));
         for (int i = 0; i < 30; i++) {
-            one(fixture, Outcome.OK, 100_000);
+            sendAndEnd(fixture, Outcome.OK, 100_000);
         }
         double before = speed(fixture, "b0");
         fixture.arrive(nextRequest, 4 * SECOND);
@@ -339,7 +339,7 @@
         Fixture fixture = new Fixture(settings(List.of(REPEATABLE), Fixture.LIMITS));
         fixture.list(fleet(4));
         for (int i = 0; i < 30; i++) {
-            one(fixture, Outcome.OK, 100_000);
+            sendAndEnd(fixture, Outcome.OK, 100_000);
         }
         fixture.arrive(nextRequest, 4 * SECOND);
         fixture.now += 10 * SECOND;
--- a/decision/src/test/java/calicochute/decision/PropertyTest.java
+++ b/decision/src/test/java/calicochute/decision/PropertyTest.java
@@ -29,7 +29,9 @@
 
 /** Runs thousands of legal event orders and checks each action against an independent statement of the rules. */
 class PropertyTest {
+    /** One second in microseconds. */
     private static final long SECOND = 1_000_000;
+
     private static final long DRAIN_GRACE_MICROS = SECOND;
     private static final int STEPS = 6000;
 
@@ -107,7 +109,7 @@
             assertTrue(sends > STEPS / 10);
             while (!pending.isEmpty()
                     || requests.values().stream().anyMatch(request -> !request.answered && !request.gone)) {
-                pass(now + SECOND / 10);
+                advanceTo(now + SECOND / 10);
             }
         }
 
@@ -127,7 +129,7 @@
                 request.gone |= !request.answered;
                 deliver(new ClientGone(id));
             } else {
-                pass(now + random.nextInt(60_000));
+                advanceTo(now + random.nextInt(60_000));
             }
         }
 
@@ -189,7 +191,7 @@
         }
 
         /** Advances the time and delivers time-outs and timers in the order in which they are due. */
-        private void pass(long until) {
+        private void advanceTo(long until) {
             while (true) {
                 long at = until;
                 HostAttempt late = null;
--- a/decision/src/test/java/calicochute/decision/RulesTest.java
+++ b/decision/src/test/java/calicochute/decision/RulesTest.java
@@ -82,7 +82,7 @@
             fixture.now += 100_000;
             fixture.outcome(0, Outcome.OK, 100_000);
             fixture.arrive(2, 4 * SECOND);
-            fixture.pass(fixture.now + 3 * SECOND);
+            fixture.advanceTo(fixture.now + 3 * SECOND);
             assertEquals(2, fixture.sent.size());
         }
     }
@@ -114,10 +114,10 @@
         fixture.arrive(1, 2 * SECOND);
         fixture.arrive(2, SECOND / 10);
         assertTrue(fixture.sent.isEmpty());
-        fixture.pass(fixture.now + SECOND / 10);
+        fixture.advanceTo(fixture.now + SECOND / 10);
         assertEquals("refuse 2", fixture.lastAction());
         fixture.list(A);
-        fixture.pass(fixture.now + SECOND);
+        fixture.advanceTo(fixture.now + SECOND);
         assertEquals("send 1 a", fixture.lastAction());
     }
 
@@ -127,7 +127,7 @@
         fixture.arrive(1, 2 * SECOND);
         fixture.on(new ClientGone(1));
         fixture.outcome(0, Outcome.CANCELLED, 1000);
-        fixture.pass(fixture.now + 3 * SECOND);
+        fixture.advanceTo(fixture.now + 3 * SECOND);
         assertEquals(1, fixture.sent.size());
         fixture.on(new ClientGone(1));
         assertEquals("cancel 1 0", fixture.lastAction());
@@ -226,14 +226,14 @@
                 new Fixture(settings(List.of(requestClass(Effect.ONCE, KeyScope.ALL)), Fixture.LIMITS, true, 0, 4));
         fixture.list(ListKind.RESTORED, A);
         for (int i = 0; i < 3; i++) {
-            fixture.pass(fixture.now + 6 * SECOND);
+            fixture.advanceTo(fixture.now + 6 * SECOND);
             assertEquals(
                     i + 1,
                     fixture.actions.stream().filter("subscribe true"::equals).count());
             fixture.list(ListKind.UNAVAILABLE);
         }
         fixture.list(ListKind.CHANGES, OTHER_ZONE);
-        fixture.pass(fixture.now + 20 * SECOND);
+        fixture.advanceTo(fixture.now + 20 * SECOND);
         assertEquals(
                 3, fixture.actions.stream().filter("subscribe true"::equals).count());
     }
--- a/decision/src/test/java/calicochute/decision/SimulatedServer.java
+++ b/decision/src/test/java/calicochute/decision/SimulatedServer.java
@@ -13,9 +13,10 @@
  */
 final class SimulatedServer {
     static final int SLOTS = 4;
-    /** Requests. */
+    /** Requests that can wait for a slot. */
     private static final int QUEUE_CAPACITY = 40;
 
+    /** One second in microseconds. */
     private static final long SECOND = 1_000_000;
 
     /** {@code work} is in requests of mean work; {@code senderKnew}: its sender knew of this start. */
