--- a/balancer/src/main/java/calicochute/fleet/Channels.java
+++ b/balancer/src/main/java/calicochute/fleet/Channels.java
@@ -1,8 +1,8 @@
 package calicochute.fleet;
 
 import calicochute.exchange.DecisionQueue;
+import calicochute.gossip.ClusterConfig;
 import calicochute.gossip.Gossip;
-import calicochute.gossip.Group;
 import calicochute.gossip.Limits;
 import calicochute.gossip.Member;
 import calicochute.metrics.Log;
@@ -50,8 +50,8 @@
         List<Member> members = file.peers().stream()
                 .map(p -> new Member(p.id(), p.address().toString()))
                 .toList();
-        gossip =
-                new Gossip(new Group(file.cluster(), me, members), start, Limits.usual(), seed, this::send, new Ears());
+        gossip = new Gossip(
+                new ClusterConfig(file.cluster(), me, members), start, Limits.defaults(), seed, this::send, new Ears());
         sharing = file.share() ? new Sharing(new Origin(me, start), Windows.USUAL, new Rows()) : null;
         datagrams = new Datagrams(file.listen(), this::came);
     }
@@ -60,7 +60,7 @@
         queue.post(() -> {
             datagrams.taken();
             if (!closed) {
-                gossip.received(queue.now(), datagram);
+                gossip.receive(queue.now(), datagram);
             }
         });
     }
@@ -91,17 +91,17 @@
     /** Lines for staff. */
     String text() {
         return "overflowed " + datagrams.overflowed() + "\nunsent " + datagrams.unsent() + "\n"
-                + gossip.counts().text();
+                + gossip.metrics().text();
     }
 
     /** An experiment's counts of a window, to one who may seal it. */
     void counts(String name, String peer, byte[] counts) {
-        gossip.direct(queue.now(), peer, COUNTS, marked(name, counts));
+        gossip.sendDirect(queue.now(), peer, COUNTS, marked(name, counts));
     }
 
     /** A message between those who seal an experiment's windows. */
     void seal(String name, String peer, byte[] message) {
-        gossip.direct(queue.now(), peer, SEAL, marked(name, message));
+        gossip.sendDirect(queue.now(), peer, SEAL, marked(name, message));
     }
 
     private static byte[] marked(String name, byte[] body) {
@@ -111,9 +111,9 @@
                 .array();
     }
 
-    private final class Ears implements Gossip.Hearer {
+    private final class Ears implements Gossip.Listener {
         @Override
-        public void direct(long now, String from, long fromStart, int channel, byte[] body) {
+        public void onDirectMessage(long now, String from, long fromStart, int channel, byte[] body) {
             if (channel == OUTCOMES && sharing != null) {
                 sharing.heardDirect(now, from, fromStart, body);
             } else if (body.length > MARK && (channel == COUNTS || channel == SEAL)) {
@@ -130,19 +130,19 @@
         }
 
         @Override
-        public void spread(long now, String from, long fromStart, int channel, String key, long version, byte[] body) {
+        public void onEntry(long now, String from, long fromStart, int channel, String key, long version, byte[] body) {
             if (channel == OUTCOMES && sharing != null) {
                 sharing.heardSpread(now, from, fromStart, key, version, body);
             }
         }
 
         @Override
-        public void twins(long now, String id, long one, long other) {
+        public void onDuplicateId(long now, String id, long one, long other) {
             Log.warn("fleet-twins", "id=" + id + " starts=" + one + "," + other + ": two processes say they are it");
         }
 
         @Override
-        public void members(long now, Set<String> live) {
+        public void onLiveMembersChanged(long now, Set<String> live) {
             Log.info("fleet-members", "live=" + live.size() + " of=" + addresses.size());
         }
     }
@@ -150,12 +150,12 @@
     private final class Rows implements Carrier {
         @Override
         public void direct(String peer, byte[] body) {
-            gossip.direct(queue.now(), peer, OUTCOMES, body);
+            gossip.sendDirect(queue.now(), peer, OUTCOMES, body);
         }
 
         @Override
         public void spread(String key, long version, byte[] body) {
-            gossip.spread(
+            gossip.publish(
                     queue.now(),
                     OUTCOMES,
                     me + "/" + key,
--- a/gossip/src/main/java/calicochute/gossip/Gossip.java
+++ b/gossip/src/main/java/calicochute/gossip/Gossip.java
@@ -1,6 +1,6 @@
 package calicochute.gossip;
 
-import calicochute.gossip.Counts.What;
+import calicochute.gossip.GossipMetrics.Metric;
 import calicochute.gossip.Membership.Peer;
 import java.nio.charset.StandardCharsets;
 import java.util.Collection;
@@ -9,315 +9,362 @@
 import java.util.Set;
 
 /**
- * One balancer's part in the fleet: who is there, messages to one, entries to all. No I/O: datagrams go out by
- * `sender`, come in by `received`; `now` is the wall clock in microseconds. Used on one thread. Peers are trusted to be
- * who they say (a private network); what they send is not trusted to be well formed.
+ * One balancer's gossip with its cluster: membership, direct messages to one balancer, and entries replicated to all.
+ * Does no I/O: the caller transmits what {@link Sender} gets, and passes in what arrives by {@link #receive}. Times
+ * named `nowMicros` are wall clock microseconds. Not thread-safe. Senders are trusted to be the members that they claim
+ * to be, as the network is private; their datagrams are not trusted to be well formed.
  */
 public final class Gossip {
-    /** At most 1,200 bytes a datagram; may be lost. */
+    /** Transmits a datagram of at most {@link Limits#MAX_DATAGRAM_BYTES} bytes; it may be lost. */
     public interface Sender {
         void send(String peer, byte[] datagram);
     }
 
-    /** Called from within `received` and `tick`; may call `direct` and `spread`. */
-    public interface Hearer {
-        void direct(long now, String from, long fromStart, int channel, byte[] body);
+    /**
+     * Receives events. Called from {@link #receive} and {@link #tick}; may call {@link #sendDirect} and
+     * {@link #publish}.
+     */
+    public interface Listener {
+        void onDirectMessage(long nowMicros, String from, long fromStart, int channel, byte[] body);
 
-        /** An entry newer than what was known; `from` is its author, whoever passed it on. */
-        void spread(long now, String from, long fromStart, int channel, String key, long version, byte[] body);
+        /** An entry newer than the one held arrived; `author` published it, whichever balancer passed it on. */
+        void onEntry(
+                long nowMicros, String author, long authorStart, int channel, String key, long version, byte[] body);
 
-        /** Those there have changed; told with a tick. */
-        void members(long now, Set<String> live);
+        /** The set of live members has changed. */
+        void onLiveMembersChanged(long nowMicros, Set<String> live);
 
-        /** Two processes use one name: these starts come in turn. */
-        default void twins(long now, String id, long oneStart, long otherStart) {}
+        /** Datagrams of two processes with the same id keep arriving in alternation. */
+        default void onDuplicateId(long nowMicros, String id, long oneStart, long otherStart) {}
     }
 
-    private static final long LONGEST_STEP = 200_000; // a pause of this process is not held against the others
-    private static final int FAN_OUT = 3;
-    private static final long EXPIRE_EVERY = 500_000;
-    private static final long TOLD_EVERY = 200_000;
-    private static final int MOST_CHANNELS = 256;
+    /** Longer pauses of this process do not count towards the timeouts of others. */
+    private static final long MAX_STEP_MICROS = 200_000;
 
-    private final String me;
-    private final long start;
+    private static final int UPDATE_FAN_OUT = 3;
+    private static final long EXPIRY_INTERVAL_MICROS = 500_000;
+    private static final long NOTIFY_INTERVAL_MICROS = 200_000;
+    private static final int CHANNEL_COUNT = 256;
+
+    private final String localId;
+    private final long localStart;
     private final Limits limits;
-    private final Hearer hearer;
-    private final Counts counts = new Counts();
+    private final Listener listener;
+    private final GossipMetrics metrics = new GossipMetrics();
     private final Membership membership;
-    private final Reader reader;
-    private final Codec codec;
+    private final DatagramDecoder decoder;
+    private final DatagramEncoder encoder;
     private final Outbox outbox;
-    private final Probes probes;
-    private final SpreadStore store;
-    private final Views views;
-    private final Repair repair;
-    private final Twins twins = new Twins();
-    private Set<String> told = Set.of();
-    private long last;
-    private long steady; // microseconds, without the wall clock's steps and this process's pauses
-    private long nextExpire;
-    private boolean greeted;
+    private final FailureDetector failureDetector;
+    private final EntryStore store;
+    private final MembershipSync membershipSync;
+    private final AntiEntropy antiEntropy;
+    private final DuplicateIdDetector duplicateIds = new DuplicateIdDetector();
+    private Set<String> reportedLive = Set.of();
+    private long lastNowMicros;
+    /** Running time of this process, without steps of the wall clock and pauses of the process. */
+    private long elapsedMicros;
+
+    private long nextExpiryMicros;
+    private boolean newPeersPinged;
 
-    public Gossip(Group group, long start, Limits limits, long seed, Sender sender, Hearer hearer) {
+    /**
+     * @param start wall clock microseconds at which this process began
+     * @param seed seeds the random choice of peers
+     */
+    public Gossip(ClusterConfig config, long start, Limits limits, long seed, Sender sender, Listener listener) {
         if (start <= 0) {
-            throw new IllegalArgumentException("start has to be the time at which the process began: " + start);
+            throw new IllegalArgumentException("process start time must be positive: " + start);
         }
-        me = group.me();
-        this.start = start;
+        localId = config.localId();
+        this.localStart = start;
         this.limits = limits;
-        this.hearer = hearer;
+        this.listener = listener;
         Random random = new Random(seed);
-        membership = new Membership(group, start, counts);
-        reader = new Reader(group.cluster());
-        codec = new Codec(group.cluster(), me, start);
-        outbox = new Outbox(membership, codec, sender, counts);
-        probes = new Probes(membership, outbox, limits, counts, random);
-        store = new SpreadStore(limits, counts, group.members().size());
-        views = new Views(membership, outbox, codec, random);
-        repair = new Repair(membership, store, outbox, codec, probes, views, limits, counts, random);
+        membership = new Membership(config, start, metrics);
+        decoder = new DatagramDecoder(config.cluster());
+        encoder = new DatagramEncoder(config.cluster(), localId, start);
+        outbox = new Outbox(membership, encoder, sender, metrics);
+        failureDetector = new FailureDetector(membership, outbox, limits, metrics, random);
+        store = new EntryStore(limits, metrics, config.members().size());
+        membershipSync = new MembershipSync(membership, outbox, encoder, random);
+        antiEntropy = new AntiEntropy(
+                membership, store, outbox, encoder, failureDetector, membershipSync, limits, metrics, random);
     }
 
-    /** The operator's list has changed: members not in it are forgotten. This process has to be in it. */
-    public void members(long now, Collection<Member> members) {
-        Group checked = new Group("", me, List.copyOf(members));
+    /**
+     * Replaces the list of members, which has to contain this balancer; what is known about removed members is
+     * discarded.
+     */
+    public void setMembers(long nowMicros, Collection<Member> members) {
+        ClusterConfig checked = new ClusterConfig("", localId, List.copyOf(members));
         for (Peer peer : List.copyOf(membership.peers())) {
-            twins.forget(peer.id);
+            duplicateIds.forget(peer.id);
         }
-        membership.list(checked.members());
-        store.members(checked.members().size());
-        greeted = false;
-        tellMembers(now);
+        membership.setMembers(checked.members());
+        store.setMemberCount(checked.members().size());
+        newPeersPinged = false;
+        reportLiveMembers(nowMicros);
     }
 
-    /** Every 50 to 100 ms. */
-    public void tick(long now) {
-        step(now);
-        if (!greeted) {
-            greeted = true;
-            byte[] ping = codec.part(new Part.Ping(0));
+    /** Does the periodic work; has to be called every 50 to 100 ms. */
+    public void tick(long nowMicros) {
+        advanceClock(nowMicros);
+        if (!newPeersPinged) {
+            newPeersPinged = true;
+            byte[] ping = encoder.encode(new Message.Ping(0));
             for (Peer peer : membership.peers()) {
                 if (peer.start == 0) {
-                    outbox.put(peer.id, ping);
+                    outbox.enqueue(peer.id, ping);
                 }
             }
         }
-        probes.tick(steady);
-        repair.tick(steady);
-        if (steady >= nextExpire) {
-            nextExpire = steady + EXPIRE_EVERY;
-            store.expire(now);
+        failureDetector.tick(elapsedMicros);
+        antiEntropy.tick(elapsedMicros);
+        if (elapsedMicros >= nextExpiryMicros) {
+            nextExpiryMicros = elapsedMicros + EXPIRY_INTERVAL_MICROS;
+            store.removeExpired(nowMicros);
         }
-        if (membership.hasRumours()) {
-            for (String peer : probes.some(FAN_OUT, "")) {
-                outbox.rumours(peer, false);
+        if (membership.hasPendingUpdates()) {
+            for (String peer : failureDetector.randomAlivePeers(UPDATE_FAN_OUT, "")) {
+                outbox.sendUpdates(peer, false);
             }
         }
-        outbox.tick(limits.peersATick());
-        tellMembers(now);
+        outbox.tick(limits.peersPerTick());
+        reportLiveMembers(nowMicros);
     }
 
-    private void step(long now) {
-        steady += last == 0 ? 0 : Math.max(0, Math.min(now - last, LONGEST_STEP));
-        last = now;
+    private void advanceClock(long nowMicros) {
+        elapsedMicros += lastNowMicros == 0 ? 0 : Math.max(0, Math.min(nowMicros - lastNowMicros, MAX_STEP_MICROS));
+        lastNowMicros = nowMicros;
     }
 
-    private void tellMembers(long now) {
+    private void reportLiveMembers(long nowMicros) {
         Set<String> live = membership.live();
-        if (live != told && !live.equals(told)) {
-            told = live;
-            hearer.members(now, live);
+        if (live != reportedLive && !live.equals(reportedLive)) {
+            reportedLive = live;
+            listener.onLiveMembersChanged(nowMicros, live);
         }
     }
 
-    public void received(long now, byte[] datagram) {
-        step(now);
-        counts.add(What.DATAGRAMS_IN);
-        counts.add(What.BYTES_IN, datagram.length);
-        Envelope envelope;
+    /** Handles a datagram from the network; one that is not acceptable is dropped and counted. */
+    public void receive(long nowMicros, byte[] datagram) {
+        advanceClock(nowMicros);
+        metrics.increment(Metric.DATAGRAMS_IN);
+        metrics.add(Metric.BYTES_IN, datagram.length);
+        DecodedDatagram decoded;
         try {
-            envelope = reader.read(datagram);
-        } catch (Reader.Unread e) {
-            counts.drop(e.cause);
+            decoded = decoder.decode(datagram);
+        } catch (DatagramDecoder.DecodeException e) {
+            metrics.countDrop(e.cause);
             return;
         }
-        Peer peer = accepted(now, envelope);
+        Peer peer = acceptedSender(nowMicros, decoded);
         if (peer == null) {
             return;
         }
-        membership.claim(steady, peer, envelope.start(), envelope.incarnation(), State.ALIVE);
-        for (int i = 0; i < envelope.unknownParts(); i++) {
-            counts.drop(Cause.UNKNOWN_PART);
+        membership.applyClaim(elapsedMicros, peer, decoded.senderStart(), decoded.incarnation(), MemberState.ALIVE);
+        for (int i = 0; i < decoded.unknownMessages(); i++) {
+            metrics.countDrop(DropCause.UNKNOWN_PART);
         }
-        for (Part part : envelope.parts()) {
-            handle(now, envelope, part);
+        for (Message message : decoded.messages()) {
+            handle(nowMicros, decoded, message);
         }
-        if (peer.state == State.GONE) {
-            tellItself(peer); // it has to object before it is taken back
+        if (peer.state == MemberState.DEAD) {
+            notifyOfOwnState(peer); // it has to refute this before it counts as alive
         }
     }
 
-    private Peer accepted(long now, Envelope envelope) {
-        String id = envelope.sender();
-        if (id.equals(me)) {
-            counts.drop(Cause.OWN_NAME);
-            if (envelope.start() != start) {
-                twins.later(me); // this one is here, no need to hear it
-                heardEarlier(now, me, Math.min(envelope.start(), start), Math.max(envelope.start(), start));
+    /** The sender as a peer, or null if its datagram has to be dropped. */
+    private Peer acceptedSender(long nowMicros, DecodedDatagram datagram) {
+        String id = datagram.sender();
+        if (id.equals(localId)) {
+            metrics.countDrop(DropCause.OWN_NAME);
+            if (datagram.senderStart() != localStart) {
+                duplicateIds.laterStartHeard(localId); // the local process is known to be running
+                onEarlierStart(
+                        nowMicros,
+                        localId,
+                        Math.min(datagram.senderStart(), localStart),
+                        Math.max(datagram.senderStart(), localStart));
             }
             return null;
         }
         Peer peer = membership.peer(id);
         if (peer == null) {
-            counts.drop(Cause.UNKNOWN_SENDER);
+            metrics.countDrop(DropCause.UNKNOWN_SENDER);
             return null;
         }
-        if (envelope.start() - limits.clockAhead() > now) {
-            counts.drop(Cause.CLOCK_OFF);
+        if (datagram.senderStart() - limits.maxClockAheadMicros() > nowMicros) {
+            metrics.countDrop(DropCause.CLOCK_OFF);
             return null;
         }
-        if (envelope.start() < peer.start) {
-            counts.drop(Cause.START_WENT_BACK);
-            heardEarlier(now, id, envelope.start(), peer.start);
-            tellItself(peer);
+        if (datagram.senderStart() < peer.start) {
+            metrics.countDrop(DropCause.START_WENT_BACK);
+            onEarlierStart(nowMicros, id, datagram.senderStart(), peer.start);
+            notifyOfOwnState(peer);
             return null;
         }
-        twins.later(id);
+        duplicateIds.laterStartHeard(id);
         return peer;
     }
 
-    private void heardEarlier(long now, String id, long earlier, long later) {
-        if (twins.earlier(steady, id, earlier, later)) {
-            counts.add(What.TWINS);
-            hearer.twins(now, id, earlier, later);
+    private void onEarlierStart(long nowMicros, String id, long earlierStart, long laterStart) {
+        if (duplicateIds.earlierStartHeard(elapsedMicros, id, earlierStart, laterStart)) {
+            metrics.increment(Metric.TWINS);
+            listener.onDuplicateId(nowMicros, id, earlierStart, laterStart);
         }
     }
 
-    private void tellItself(Peer peer) {
-        if (steady - peer.toldAt >= TOLD_EVERY) {
-            peer.toldAt = steady;
-            outbox.now(peer.id, peer.rumour(codec));
+    /** Sends a peer the claim held about itself. */
+    private void notifyOfOwnState(Peer peer) {
+        if (elapsedMicros - peer.notifiedAtMicros >= NOTIFY_INTERVAL_MICROS) {
+            peer.notifiedAtMicros = elapsedMicros;
+            outbox.sendNow(peer.id, peer.encodedUpdate(encoder));
         }
     }
 
-    private void handle(long now, Envelope envelope, Part part) {
-        String from = envelope.sender();
-        if (part instanceof Part.Ping ping) {
-            probes.pinged(from, ping);
-        } else if (part instanceof Part.Ack ack) {
-            probes.answered(from, ack);
-        } else if (part instanceof Part.AskPing ask) {
-            probes.asked(steady, from, ask);
-        } else if (part instanceof Part.AckFor ack) {
-            probes.answeredFor(ack);
-        } else if (part instanceof Part.Rumour rumour) {
-            rumour(now, rumour);
-        } else if (part instanceof Part.Direct direct) {
-            hearer.direct(now, from, envelope.start(), direct.channel(), direct.body());
-        } else if (part instanceof Part.Digest digest) {
-            if (!repair.heard(steady, from, digest)) {
-                counts.drop(Cause.MALFORMED);
+    private void handle(long nowMicros, DecodedDatagram datagram, Message message) {
+        String from = datagram.sender();
+        if (message instanceof Message.Ping ping) {
+            failureDetector.onPing(from, ping);
+        } else if (message instanceof Message.Ack ack) {
+            failureDetector.onAck(from, ack);
+        } else if (message instanceof Message.PingRequest request) {
+            failureDetector.onPingRequest(elapsedMicros, from, request);
+        } else if (message instanceof Message.IndirectAck ack) {
+            failureDetector.onIndirectAck(ack);
+        } else if (message instanceof Message.MembershipUpdate update) {
+            onMembershipUpdate(nowMicros, update);
+        } else if (message instanceof Message.DirectMessage direct) {
+            listener.onDirectMessage(nowMicros, from, datagram.senderStart(), direct.channel(), direct.body());
+        } else if (message instanceof Message.Digest digest) {
+            if (!antiEntropy.onDigest(elapsedMicros, from, digest)) {
+                metrics.countDrop(DropCause.MALFORMED);
             }
-        } else if (part instanceof Part.View view) {
-            views.heard(from, view);
-        } else if (part instanceof Part.Pull pull) {
-            repair.pulled(steady, from, pull);
-        } else if (part instanceof Part.Spread spread) {
-            entry(now, envelope, spread);
+        } else if (message instanceof Message.MembershipDigest digest) {
+            membershipSync.onMembershipDigest(from, digest);
+        } else if (message instanceof Message.Pull pull) {
+            antiEntropy.onPull(elapsedMicros, from, pull);
+        } else if (message instanceof Message.EntryMessage entry) {
+            onEntryMessage(nowMicros, datagram, entry);
         }
     }
 
-    private void rumour(long now, Part.Rumour rumour) {
-        Peer peer = membership.peer(rumour.id());
-        if (rumour.start() - limits.clockAhead() > now) {
-            counts.drop(Cause.CLOCK_OFF);
-        } else if (rumour.id().equals(me)) {
-            membership.aboutMe(rumour.start(), rumour.incarnation(), rumour.state());
-            if (rumour.start() > start) {
-                twins.later(me);
-                heardEarlier(now, me, start, rumour.start());
+    private void onMembershipUpdate(long nowMicros, Message.MembershipUpdate update) {
+        Peer peer = membership.peer(update.id());
+        if (update.start() - limits.maxClockAheadMicros() > nowMicros) {
+            metrics.countDrop(DropCause.CLOCK_OFF);
+        } else if (update.id().equals(localId)) {
+            membership.refuteClaim(update.start(), update.incarnation(), update.state());
+            if (update.start() > localStart) {
+                duplicateIds.laterStartHeard(localId);
+                onEarlierStart(nowMicros, localId, localStart, update.start());
             }
         } else if (peer == null) {
-            counts.drop(Cause.UNKNOWN_MEMBER);
+            metrics.countDrop(DropCause.UNKNOWN_MEMBER);
         } else {
-            membership.claim(steady, peer, rumour.start(), rumour.incarnation(), rumour.state());
+            membership.applyClaim(elapsedMicros, peer, update.start(), update.incarnation(), update.state());
         }
     }
 
-    private void entry(long now, Envelope envelope, Part.Spread part) {
-        boolean repaired = part.author() != null;
-        String author = repaired ? part.author() : envelope.sender();
-        if (!membership.listed(author)) {
-            counts.drop(Cause.UNKNOWN_MEMBER);
+    private void onEntryMessage(long nowMicros, DecodedDatagram datagram, Message.EntryMessage message) {
+        boolean isRepair = message.author() != null;
+        String author = isRepair ? message.author() : datagram.sender();
+        if (!membership.isListed(author)) {
+            metrics.countDrop(DropCause.UNKNOWN_MEMBER);
             return;
         }
-        long authorStart = repaired ? part.authorStart() : envelope.start();
-        SpreadStore.Entry taken = store.take(
-                now,
-                steady,
+        long authorStart = isRepair ? message.authorStart() : datagram.senderStart();
+        EntryStore.Entry stored = store.storeIfNewer(
+                nowMicros,
+                elapsedMicros,
                 author,
-                new Part.Spread(
-                        author, authorStart, part.channel(), part.key(), part.version(), part.until(), part.body()));
-        if (taken != null) {
-            counts.add(What.TAKEN);
-            if (repaired) {
-                counts.add(What.TAKEN_BY_REPAIR);
-                repair.repaired();
+                new Message.EntryMessage(
+                        author,
+                        authorStart,
+                        message.channel(),
+                        message.key(),
+                        message.version(),
+                        message.expiresAt(),
+                        message.body()));
+        if (stored != null) {
+            metrics.increment(Metric.TAKEN);
+            if (isRepair) {
+                metrics.increment(Metric.TAKEN_BY_REPAIR);
+                antiEntropy.entryRepaired();
             }
-            hearer.spread(now, author, authorStart, part.channel(), part.key(), part.version(), part.body());
+            listener.onEntry(
+                    nowMicros,
+                    author,
+                    authorStart,
+                    message.channel(),
+                    message.key(),
+                    message.version(),
+                    message.body());
         }
     }
 
     /**
-     * To one peer, once, with the next tick; may be lost. False: not a member there, too long, or too much waits for
-     * it.
+     * Sends a message to one balancer with the next tick, once; it may be lost. Returns false if the receiver is not a
+     * member or is dead, if the body is too long, or if too many messages are queued for it.
      */
-    public boolean direct(long now, String to, int channel, byte[] body) {
-        Peer peer = membership.peer(to);
-        if (peer == null || peer.state == State.GONE) {
-            counts.drop(Cause.UNKNOWN_MEMBER);
+    public boolean sendDirect(long nowMicros, String receiver, int channel, byte[] body) {
+        Peer peer = membership.peer(receiver);
+        if (peer == null || peer.state == MemberState.DEAD) {
+            metrics.countDrop(DropCause.UNKNOWN_MEMBER);
             return false;
         }
-        if (body.length > limits.entryBytes() || channel < 0 || channel >= MOST_CHANNELS) {
-            counts.drop(Cause.ENTRY_TOO_LONG);
+        if (body.length > limits.maxEntryBytes() || channel < 0 || channel >= CHANNEL_COUNT) {
+            metrics.countDrop(DropCause.ENTRY_TOO_LONG);
             return false;
         }
-        return outbox.put(to, codec.part(new Part.Direct(channel, body.clone())));
+        return outbox.enqueue(receiver, encoder.encode(new Message.DirectMessage(channel, body.clone())));
     }
 
     /**
-     * To all that are there now or come until `until`: the newest version of (channel, key). Versions have to grow over
-     * restarts too (use the time). False: not taken, as too old, too long or over this balancer's share of the store.
+     * Replicates an entry to all members that are live before it expires; the newest version of each (channel, key) is
+     * kept. Versions have to grow across restarts too, for instance by using the time. Returns false if the entry is
+     * rejected as outdated, too long or over this balancer's share of the store.
      */
-    public boolean spread(long now, int channel, String key, long version, byte[] body, long until) {
-        if (channel < 0 || channel >= MOST_CHANNELS || key.getBytes(StandardCharsets.UTF_8).length > Limits.KEY) {
-            counts.drop(Cause.ENTRY_TOO_LONG);
+    public boolean publish(long nowMicros, int channel, String key, long version, byte[] body, long expiresAtMicros) {
+        if (channel < 0
+                || channel >= CHANNEL_COUNT
+                || key.getBytes(StandardCharsets.UTF_8).length > Limits.MAX_KEY_BYTES) {
+            metrics.countDrop(DropCause.ENTRY_TOO_LONG);
             return false;
         }
-        byte[] own = body.clone();
-        if (store.take(now, steady, me, new Part.Spread(me, start, channel, key, version, until, own)) == null) {
+        byte[] copy = body.clone();
+        if (store.storeIfNewer(
+                        nowMicros,
+                        elapsedMicros,
+                        localId,
+                        new Message.EntryMessage(localId, localStart, channel, key, version, expiresAtMicros, copy))
+                == null) {
             return false;
         }
-        counts.add(What.SPREAD);
-        byte[] part = codec.part(new Part.Spread(null, 0, channel, key, version, until, own));
+        metrics.increment(Metric.SPREAD);
+        byte[] message =
+                encoder.encode(new Message.EntryMessage(null, 0, channel, key, version, expiresAtMicros, copy));
         for (Peer peer : membership.peers()) {
-            if (peer.state != State.GONE) {
-                outbox.put(peer.id, part);
+            if (peer.state != MemberState.DEAD) {
+                outbox.enqueue(peer.id, message);
             }
         }
         return true;
     }
 
-    /** This balancer and those taken to be there (suspects too, until they are gone). */
+    /** Ids of the members that are not dead: this balancer, and peers that are alive or suspect. */
     public Set<String> live() {
         return membership.live();
     }
 
-    public List<Presence> presences() {
-        return membership.presences();
+    /** All members, starting with this balancer. */
+    public List<MemberStatus> statuses() {
+        return membership.statuses();
     }
 
-    public Counts counts() {
-        return counts;
+    public GossipMetrics metrics() {
+        return metrics;
     }
 }
--- a/gossip/src/main/java/calicochute/gossip/Limits.java
+++ b/gossip/src/main/java/calicochute/gossip/Limits.java
@@ -1,61 +1,65 @@
 package calicochute.gossip;
 
 /**
- * Bounds of time (microseconds) and size (bytes).
+ * Intervals, timeouts and size limits of the gossip protocol.
  *
- * @param probeEvery one member is probed in this time; each is asked by someone as often on average
- * @param again time to the second direct probe; the third goes with the indirect ones at twice this
- * @param unanswered a probe without an answer makes a suspect after this
- * @param suspected a suspect that does not object is gone after this
- * @param digestEvery a digest to a random peer; five times as often while much is missing
- * @param ripe an entry known for less is still on its direct way and not sent as a repair
- * @param entryBytes key and body of one entry, and the body of a direct message
- * @param storeBytes all entries, each with 200 bytes for what is kept beside it
- * @param keys entries at once
- * @param longestKept `until` may lie this far ahead; as long the version of an expired key is remembered
- * @param clockAhead a clock further ahead is not heard
- * @param repairRate repairs sent, a second
- * @param peersATick how many peers one tick sends bundles to
+ * @param probeIntervalMicros time between two probes by one balancer; on average each member is probed as often
+ * @param probeRetryMicros time from the first to the second direct ping of a probe; the third direct ping and the
+ *     indirect pings follow after twice this time
+ * @param probeTimeoutMicros a member that has not answered a probe in this time becomes suspect
+ * @param suspicionTimeoutMicros a suspect that has not refuted the suspicion in this time is dead
+ * @param digestIntervalMicros time between two digests, each to a random peer; a fifth of it while many entries are
+ *     missing
+ * @param minRepairAgeMicros an entry held for a shorter time is not sent as a repair, as its author's datagrams may
+ *     still be under way
+ * @param maxEntryBytes key and body of an entry, or the body of a direct message
+ * @param maxStoreBytes all entries, with an overhead of 200 bytes for each
+ * @param maxEntries entries held at a time
+ * @param maxLifetimeMicros how far in the future an entry may expire; tombstones are kept for the same time
+ * @param maxClockAheadMicros datagrams and entries with times further ahead of the local clock are dropped
+ * @param repairBytesPerSecond rate limit of the entries sent as repairs
+ * @param peersPerTick number of peers to which queued messages are sent in one tick
  */
 public record Limits(
-        long probeEvery,
-        long again,
-        long unanswered,
-        long suspected,
-        long digestEvery,
-        long ripe,
-        int entryBytes,
-        long storeBytes,
-        int keys,
-        long longestKept,
-        long clockAhead,
-        int repairRate,
-        int peersATick) {
-    public static final int DATAGRAM = 1_200;
-    public static final int KEY = 200;
+        long probeIntervalMicros,
+        long probeRetryMicros,
+        long probeTimeoutMicros,
+        long suspicionTimeoutMicros,
+        long digestIntervalMicros,
+        long minRepairAgeMicros,
+        int maxEntryBytes,
+        long maxStoreBytes,
+        int maxEntries,
+        long maxLifetimeMicros,
+        long maxClockAheadMicros,
+        int repairBytesPerSecond,
+        int peersPerTick) {
+    public static final int MAX_DATAGRAM_BYTES = 1_200;
+    /** In UTF-8. */
+    public static final int MAX_KEY_BYTES = 200;
 
     public Limits {
-        if (entryBytes < 1 || entryBytes > 1_000) {
-            throw new IllegalArgumentException("an entry has to be of 1 to 1,000 bytes: " + entryBytes);
+        if (maxEntryBytes < 1 || maxEntryBytes > 1_000) {
+            throw new IllegalArgumentException("maxEntryBytes must be 1 to 1,000: " + maxEntryBytes);
         }
-        if (probeEvery <= 0
-                || again <= 0
-                || unanswered <= 2 * again
-                || suspected <= 0
-                || digestEvery <= 0
-                || ripe < 0
-                || storeBytes <= 0
-                || keys <= 0
-                || longestKept <= 0
-                || clockAhead < 0
-                || repairRate <= 0
-                || peersATick <= 0) {
-            throw new IllegalArgumentException("limits out of range");
+        if (probeIntervalMicros <= 0
+                || probeRetryMicros <= 0
+                || probeTimeoutMicros <= 2 * probeRetryMicros
+                || suspicionTimeoutMicros <= 0
+                || digestIntervalMicros <= 0
+                || minRepairAgeMicros < 0
+                || maxStoreBytes <= 0
+                || maxEntries <= 0
+                || maxLifetimeMicros <= 0
+                || maxClockAheadMicros < 0
+                || repairBytesPerSecond <= 0
+                || peersPerTick <= 0) {
+            throw new IllegalArgumentException("gossip limits out of range");
         }
     }
 
-    /** Measured with 300 members and 10% loss: docs/measurements/gossip.md. */
-    public static Limits usual() {
+    /** Default values, suitable for 300 members on a network that loses 10% of the datagrams. */
+    public static Limits defaults() {
         return new Limits(
                 150_000,
                 100_000,
--- a/gossip/src/main/java/calicochute/gossip/Member.java
+++ b/gossip/src/main/java/calicochute/gossip/Member.java
@@ -1,6 +1,9 @@
 package calicochute.gossip;
 
 /**
- * One line of the operator's list of peers: the balancer's name, and where its datagrams go (read by the binder only).
+ * One entry of the operator's list of balancers.
+ *
+ * @param id unique name of the balancer
+ * @param address destination of its datagrams; not used inside this package
  */
 public record Member(String id, String address) {}
--- a/gossip/src/main/java/calicochute/gossip/Membership.java
+++ b/gossip/src/main/java/calicochute/gossip/Membership.java
@@ -1,6 +1,7 @@
 package calicochute.gossip;
 
-import calicochute.gossip.Part.Rumour;
+import calicochute.gossip.GossipMetrics.Metric;
+import calicochute.gossip.Message.MembershipUpdate;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
@@ -12,78 +13,88 @@
 import java.util.TreeSet;
 
 /**
- * Who is there. Claims (start, incarnation, state) of a member are ordered, and the greatest heard is kept: any order,
- * loss and repetition gives the same view, and what was once gone stays so until the member itself claims more. That is
- * kept for as long as the operator's list names the member, so that no late datagram brings a ghost.
+ * This balancer's view of the members. Claims about a member are ordered by start, incarnation and state, and the
+ * greatest one is kept, so that lost, repeated or reordered datagrams lead to the same view. A dead member stays dead
+ * until it sends a greater claim itself. Claims are kept for as long as the operator's list names the member: otherwise
+ * a late datagram could make a dead member appear alive.
  */
 final class Membership {
     static final class Peer {
         final String id;
-        long start; // 0: never heard of
+        /** Start time of its process in wall clock microseconds; 0 if it was never heard of. */
+        long start;
+
         int incarnation;
-        State state = State.GONE;
-        long suspectedAt; // steady microseconds
-        boolean askedAgain;
-        long toldAt = Long.MIN_VALUE / 2;
-        private byte[] written;
+        MemberState state = MemberState.DEAD;
+        /** When the current claim was taken over. */
+        long updatedAtMicros;
+
+        boolean pingedAgain;
+        /** When this balancer's view of the peer was last sent to the peer because the two differed. */
+        long notifiedAtMicros = Long.MIN_VALUE / 2;
+
+        private byte[] encodedUpdate;
 
         Peer(String id) {
             this.id = id;
         }
 
-        /** What is thought of it, as a part for datagrams. */
-        byte[] rumour(Codec codec) {
-            if (written == null) {
-                written = codec.part(new Rumour(id, start, incarnation, state));
+        /** The current claim about this peer as an encoded message. */
+        byte[] encodedUpdate(DatagramEncoder encoder) {
+            if (encodedUpdate == null) {
+                encodedUpdate = encoder.encode(new MembershipUpdate(id, start, incarnation, state));
             }
-            return written;
+            return encodedUpdate;
         }
     }
 
-    private static final int REPEATS = 3; // times log2 of the number of members
-    private final String me;
-    private final long myStart;
-    private final Counts counts;
-    private final TreeMap<String, Peer> peers = new TreeMap<>(); // without me
-    private final Map<String, Integer> rumours =
-            new LinkedHashMap<>(); // member to times sent; the least lately sent first
-    private final Peer self; // as others should see this process
-    private int suspects;
-    private Integer hash;
-    private Set<String> live;
-
-    Membership(Group group, long myStart, Counts counts) {
-        me = group.me();
-        this.myStart = myStart;
-        this.counts = counts;
-        self = new Peer(me);
-        self.start = myStart;
-        self.state = State.ALIVE;
-        list(group.members());
-    }
-
-    /** The operator's list, maybe changed: those not in it are forgotten. */
-    void list(Collection<Member> members) {
+    /** An update is sent this many times the binary logarithm of the number of members. */
+    private static final int TRANSMIT_FACTOR = 3;
+
+    private final String localId;
+    private final long localStart;
+    private final GossipMetrics metrics;
+    private final TreeMap<String, Peer> peers = new TreeMap<>(); // without the local member
+    /** Members whose updates are being sent, with the number of times sent; least recently sent first. */
+    private final Map<String, Integer> pendingUpdates = new LinkedHashMap<>();
+
+    private final Peer self; // the claim that this process makes about itself
+    private int suspectCount;
+    private Integer cachedHash;
+    private Set<String> cachedLive;
+
+    Membership(ClusterConfig config, long localStart, GossipMetrics metrics) {
+        localId = config.localId();
+        this.localStart = localStart;
+        this.metrics = metrics;
+        self = new Peer(localId);
+        self.start = localStart;
+        self.state = MemberState.ALIVE;
+        setMembers(config.members());
+    }
+
+    /** Replaces the list of members; what is known about removed members is discarded. */
+    void setMembers(Collection<Member> members) {
         Set<String> ids = new TreeSet<>();
         for (Member member : members) {
             ids.add(member.id());
         }
-        ids.remove(me);
+        ids.remove(localId);
         peers.keySet().retainAll(ids);
         for (String id : ids) {
             peers.computeIfAbsent(id, Peer::new);
         }
-        ids.add(me);
-        rumours.keySet().retainAll(ids);
-        live = null;
-        hash = null;
-        suspects = (int) peers.values().stream()
-                .filter(peer -> peer.state == State.SUSPECT)
+        ids.add(localId);
+        pendingUpdates.keySet().retainAll(ids);
+        cachedLive = null;
+        cachedHash = null;
+        suspectCount = (int) peers.values().stream()
+                .filter(peer -> peer.state == MemberState.SUSPECT)
                 .count();
     }
 
     boolean hasSuspects() {
-        return suspects > 0;
+        return suspectCount > 0;
     }
 
     int incarnation() {
@@ -98,12 +109,12 @@
         return peers.values();
     }
 
-    boolean listed(String id) {
-        return id.equals(me) || peers.containsKey(id);
+    boolean isListed(String id) {
+        return id.equals(localId) || peers.containsKey(id);
     }
 
-    /** Takes a claim in if it is greater than what is known. */
-    boolean claim(long steady, Peer peer, long start, int incarnation, State state) {
+    /** Takes over a claim about a peer if it is greater than the current one. */
+    boolean applyClaim(long elapsedMicros, Peer peer, long start, int incarnation, MemberState state) {
         int order = Long.compare(start, peer.start);
         order = order != 0 ? order : Integer.compare(incarnation, peer.incarnation);
         order = order != 0 ? order : state.compareTo(peer.state);
@@ -111,116 +122,119 @@
             return false;
         }
         if (peer.state != state) {
-            count(peer, state);
-            suspects += (state == State.SUSPECT ? 1 : 0) - (peer.state == State.SUSPECT ? 1 : 0);
-            if ((peer.state == State.GONE) != (state == State.GONE)) {
-                live = null;
+            countTransition(peer, state);
+            suspectCount += (state == MemberState.SUSPECT ? 1 : 0) - (peer.state == MemberState.SUSPECT ? 1 : 0);
+            if ((peer.state == MemberState.DEAD) != (state == MemberState.DEAD)) {
+                cachedLive = null;
             }
         }
-        boolean greets = start != peer.start
-                && state == State.ALIVE; // a new process greets all itself; views tell who missed it
+        // A new process pings every member itself, and membership digests reach those that its pings did not.
+        boolean announcedByItself = start != peer.start && state == MemberState.ALIVE;
         peer.start = start;
         peer.incarnation = incarnation;
         peer.state = state;
-        peer.suspectedAt = steady;
-        peer.askedAgain = false;
-        peer.written = null;
-        hash = null;
-        if (greets) {
-            rumours.remove(peer.id);
+        peer.updatedAtMicros = elapsedMicros;
+        peer.pingedAgain = false;
+        peer.encodedUpdate = null;
+        cachedHash = null;
+        if (announcedByItself) {
+            pendingUpdates.remove(peer.id);
         } else {
-            tell(peer.id);
+            scheduleUpdate(peer.id);
         }
         return true;
     }
 
-    private void count(Peer peer, State state) {
-        if (state == State.SUSPECT) {
-            counts.add(Counts.What.SUSPICIONS);
-        } else if (state == State.GONE) {
-            counts.add(Counts.What.DROPS);
-        } else if (peer.state == State.GONE && peer.start != 0) {
-            counts.add(Counts.What.RETURNS);
+    private void countTransition(Peer peer, MemberState state) {
+        if (state == MemberState.SUSPECT) {
+            metrics.increment(Metric.SUSPICIONS);
+        } else if (state == MemberState.DEAD) {
+            metrics.increment(Metric.DROPS);
+        } else if (peer.state == MemberState.DEAD && peer.start != 0) {
+            metrics.increment(Metric.RETURNS);
         }
     }
 
     /**
-     * A claim about this process by others: where it says less than alive, it is objected to with a higher incarnation.
+     * Refutes a claim of another member that this process is not alive, by raising the incarnation above the claim's.
      */
-    void aboutMe(long start, int claimed, State state) {
-        if (start == myStart && claimed >= self.incarnation && (state != State.ALIVE || claimed > self.incarnation)) {
-            self.incarnation = Math.min(claimed + 1, Reader.HIGHEST_INCARNATION);
-            self.written = null;
-            hash = null;
-            counts.add(Counts.What.OBJECTIONS);
-            tell(me);
+    void refuteClaim(long start, int claimedIncarnation, MemberState state) {
+        if (start == localStart
+                && claimedIncarnation >= self.incarnation
+                && (state != MemberState.ALIVE || claimedIncarnation > self.incarnation)) {
+            self.incarnation = Math.min(claimedIncarnation + 1, DatagramDecoder.MAX_INCARNATION);
+            self.encodedUpdate = null;
+            cachedHash = null;
+            metrics.increment(Metric.OBJECTIONS);
+            scheduleUpdate(localId);
         }
     }
 
-    private void tell(String id) {
-        rumours.remove(id);
-        rumours.put(id, 0);
+    private void scheduleUpdate(String id) {
+        pendingUpdates.remove(id);
+        pendingUpdates.put(id, 0);
     }
 
-    boolean hasRumours() {
-        return !rumours.isEmpty();
+    boolean hasPendingUpdates() {
+        return !pendingUpdates.isEmpty();
     }
 
     /**
-     * Rumours for a datagram to a peer that has room for so many bytes; what is said of the peer itself first, that it
-     * may object.
+     * Encoded updates for a datagram to a peer, in at most `roomBytes`. The claim about the peer itself comes first, so
+     * that it can refute it.
      */
-    List<byte[]> rumours(Peer to, Codec codec, int room, boolean aboutItself) {
-        List<byte[]> parts = new ArrayList<>();
-        int left = room;
-        if (aboutItself && to.start != 0 && to.state != State.ALIVE) {
-            byte[] part = to.rumour(codec);
-            if (part.length <= left) {
-                left -= part.length;
-                parts.add(part);
+    List<byte[]> nextUpdates(Peer receiver, DatagramEncoder encoder, int roomBytes, boolean includeReceiver) {
+        List<byte[]> updates = new ArrayList<>();
+        int left = roomBytes;
+        if (includeReceiver && receiver.start != 0 && receiver.state != MemberState.ALIVE) {
+            byte[] update = receiver.encodedUpdate(encoder);
+            if (update.length <= left) {
+                left -= update.length;
+                updates.add(update);
             }
         }
-        int most = REPEATS * (32 - Integer.numberOfLeadingZeros(peers.size() + 1));
-        for (int i = rumours.size(); i > 0; i--) {
-            Map.Entry<String, Integer> next = rumours.entrySet().iterator().next();
+        int maxTransmissions = TRANSMIT_FACTOR * (32 - Integer.numberOfLeadingZeros(peers.size() + 1));
+        for (int i = pendingUpdates.size(); i > 0; i--) {
+            Map.Entry<String, Integer> next =
+                    pendingUpdates.entrySet().iterator().next();
             String id = next.getKey();
-            byte[] part = (id.equals(me) ? self : peers.get(id)).rumour(codec);
-            if (part.length > left) {
+            byte[] update = (id.equals(localId) ? self : peers.get(id)).encodedUpdate(encoder);
+            if (update.length > left) {
                 break;
             }
             int sent = next.getValue() + 1;
-            rumours.remove(id);
-            if (sent < most) {
-                rumours.put(id, sent);
+            pendingUpdates.remove(id);
+            if (sent < maxTransmissions) {
+                pendingUpdates.put(id, sent);
             }
-            left -= part.length;
-            parts.add(part);
+            left -= update.length;
+            updates.add(update);
         }
-        return parts;
+        return updates;
     }
 
-    /** All of the list in its order, this process too. */
+    /** All members in the order of their ids, including the local one. */
     List<Peer> all() {
-        List<Peer> all = new ArrayList<>(peers.headMap(me).values());
+        List<Peer> all = new ArrayList<>(peers.headMap(localId).values());
         all.add(self);
-        all.addAll(peers.tailMap(me).values());
+        all.addAll(peers.tailMap(localId).values());
         return all;
     }
 
     int listHash() {
-        return peers.keySet().hashCode() + me.hashCode();
+        return peers.keySet().hashCode() + localId.hashCode();
     }
 
-    /** Equal for equal views, whoever holds them. */
+    /** Hash of the claims about all members; equal on balancers with equal views. */
     int hash() {
-        if (hash == null) {
+        if (cachedHash == null) {
             int sum = 0;
             for (Peer peer : all()) {
                 sum += peer.start == 0 ? 0 : hash(peer);
             }
-            hash = sum;
+            cachedHash = sum;
         }
-        return hash;
+        return cachedHash;
     }
 
     static int hash(Peer peer) {
@@ -229,26 +243,26 @@
         return (int) (mixed * 0x9E3779B97F4A7C15L >>> 32);
     }
 
-    /** Those there, this process among them; suspects too, until they are gone. */
+    /** The members that are not dead: this process, and peers that are alive or suspect. */
     Set<String> live() {
-        if (live == null) {
+        if (cachedLive == null) {
             TreeSet<String> ids = new TreeSet<>();
-            ids.add(me);
+            ids.add(localId);
             for (Peer peer : peers.values()) {
-                if (peer.state != State.GONE) {
+                if (peer.state != MemberState.DEAD) {
                     ids.add(peer.id);
                 }
             }
-            live = Collections.unmodifiableSet(ids);
+            cachedLive = Collections.unmodifiableSet(ids);
         }
-        return live;
+        return cachedLive;
     }
 
-    List<Presence> presences() {
-        List<Presence> all = new ArrayList<>();
-        all.add(new Presence(me, myStart, State.ALIVE));
+    List<MemberStatus> statuses() {
+        List<MemberStatus> all = new ArrayList<>();
+        all.add(new MemberStatus(localId, localStart, MemberState.ALIVE));
         for (Peer peer : peers.values()) {
-            all.add(new Presence(peer.id, peer.start, peer.state));
+            all.add(new MemberStatus(peer.id, peer.start, peer.state));
         }
         return all;
     }
--- a/gossip/src/main/java/calicochute/gossip/Outbox.java
+++ b/gossip/src/main/java/calicochute/gossip/Outbox.java
@@ -1,5 +1,6 @@
 package calicochute.gossip;
 
+import calicochute.gossip.GossipMetrics.Metric;
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,103 +10,109 @@
 import java.util.Map;
 
 /**
- * What waits for each peer, bundled into datagrams. A tick serves so many peers, in turn: a spread to many goes out
- * over a few ticks.
+ * Messages queued for each peer, bundled into datagrams. One tick serves a limited number of peers in turn, so that a
+ * message to many peers goes out over several ticks.
  */
 final class Outbox {
-    private static final int MOST = Limits.DATAGRAM - Codec.CHECKSUM;
-    private static final int MOST_WAITING = 64; // parts for one peer
-    private static final int MOST_BULK = 512; // small parts of an answer count too, but may be more
-    private static final int DATAGRAMS_A_TICK = 4; // to one peer
+    private static final int MAX_CONTENT_BYTES = Limits.MAX_DATAGRAM_BYTES - DatagramEncoder.CHECKSUM_BYTES;
+    /** For one peer, in messages. */
+    private static final int MAX_QUEUED = 64;
+    /** For one peer, in messages of either kind, when a bulk message is added. */
+    private static final int MAX_QUEUED_FOR_BULK = 512;
+    /** To one peer. */
+    private static final int MAX_DATAGRAMS_PER_TICK = 4;
+
     private final Membership membership;
-    private final Codec codec;
+    private final DatagramEncoder encoder;
     private final Gossip.Sender sender;
-    private final Counts counts;
-    private final Map<String, ArrayDeque<byte[]>> waiting = new LinkedHashMap<>();
+    private final GossipMetrics metrics;
+    private final Map<String, ArrayDeque<byte[]>> queues = new LinkedHashMap<>();
 
-    Outbox(Membership membership, Codec codec, Gossip.Sender sender, Counts counts) {
+    Outbox(Membership membership, DatagramEncoder encoder, Gossip.Sender sender, GossipMetrics metrics) {
         this.membership = membership;
-        this.codec = codec;
+        this.encoder = encoder;
         this.sender = sender;
-        this.counts = counts;
+        this.metrics = metrics;
     }
 
-    boolean put(String peer, byte[] part) {
-        ArrayDeque<byte[]> parts = waiting.computeIfAbsent(peer, id -> new ArrayDeque<>());
-        return put(parts, part, MOST_WAITING);
+    /** Queues an encoded message; false if too many messages are queued for the peer. */
+    boolean enqueue(String peer, byte[] message) {
+        ArrayDeque<byte[]> queue = queues.computeIfAbsent(peer, id -> new ArrayDeque<>());
+        return enqueue(queue, message, MAX_QUEUED);
     }
 
-    /** One of many small parts. */
-    boolean bulk(String peer, byte[] part) {
-        return put(waiting.computeIfAbsent(peer, id -> new ArrayDeque<>()), part, MOST_BULK);
+    /** Queues one of many small messages, for which the limit is higher. */
+    boolean enqueueBulk(String peer, byte[] message) {
+        return enqueue(queues.computeIfAbsent(peer, id -> new ArrayDeque<>()), message, MAX_QUEUED_FOR_BULK);
     }
 
-    private boolean put(ArrayDeque<byte[]> parts, byte[] part, int most) {
-        if (parts.size() >= most) {
-            counts.drop(Cause.OUTBOX_FULL);
+    private boolean enqueue(ArrayDeque<byte[]> queue, byte[] message, int maxQueued) {
+        if (queue.size() >= maxQueued) {
+            metrics.countDrop(DropCause.OUTBOX_FULL);
             return false;
         }
-        parts.add(part);
+        queue.add(message);
         return true;
     }
 
-    /** At once, with what waits for the peer as far as there is room. */
-    void now(String peer, Part part) {
-        now(peer, codec.part(part));
+    /** Sends a message at once, together with those queued for the peer that fit into the same datagram. */
+    void sendNow(String peer, Message message) {
+        sendNow(peer, encoder.encode(message));
     }
 
-    void now(String peer, byte[] part) {
-        ArrayDeque<byte[]> parts = waiting.computeIfAbsent(peer, id -> new ArrayDeque<>());
-        parts.addFirst(part);
-        datagram(peer, parts, true);
-        if (parts.isEmpty()) {
-            waiting.remove(peer);
+    void sendNow(String peer, byte[] message) {
+        ArrayDeque<byte[]> queue = queues.computeIfAbsent(peer, id -> new ArrayDeque<>());
+        queue.addFirst(message);
+        sendDatagram(peer, queue, true);
+        if (queue.isEmpty()) {
+            queues.remove(peer);
         }
     }
 
-    /** A datagram with rumours only. */
-    void rumours(String peer, boolean aboutItself) {
-        datagram(peer, new ArrayDeque<>(), aboutItself);
+    /** Sends a datagram with membership updates only. */
+    void sendUpdates(String peer, boolean includeReceiver) {
+        sendDatagram(peer, new ArrayDeque<>(), includeReceiver);
     }
 
-    void tick(int peers) {
+    void tick(int maxPeers) {
         List<String> served = new ArrayList<>();
-        for (Iterator<String> ids = waiting.keySet().iterator(); ids.hasNext() && served.size() < peers; ) {
+        for (Iterator<String> ids = queues.keySet().iterator(); ids.hasNext() && served.size() < maxPeers; ) {
             served.add(ids.next());
         }
         for (String peer : served) {
-            ArrayDeque<byte[]> parts = waiting.remove(peer);
-            for (int i = 0; i < DATAGRAMS_A_TICK && !parts.isEmpty(); i++) {
-                datagram(peer, parts, true);
+            ArrayDeque<byte[]> queue = queues.remove(peer);
+            for (int i = 0; i < MAX_DATAGRAMS_PER_TICK && !queue.isEmpty(); i++) {
+                sendDatagram(peer, queue, true);
             }
-            if (!parts.isEmpty()) {
-                waiting.put(peer, parts);
+            if (!queue.isEmpty()) {
+                queues.put(peer, queue);
             }
         }
     }
 
-    void forget(String peer) {
-        waiting.remove(peer);
+    void clear(String peer) {
+        queues.remove(peer);
     }
 
-    private void datagram(String peer, ArrayDeque<byte[]> parts, boolean aboutItself) {
-        Membership.Peer to = membership.peer(peer);
-        if (to == null) {
-            parts.clear(); // no longer in the list
+    private void sendDatagram(String peer, ArrayDeque<byte[]> queue, boolean includeReceiver) {
+        Membership.Peer receiver = membership.peer(peer);
+        if (receiver == null) {
+            queue.clear(); // removed from the list of members
             return;
         }
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
-        bytes.writeBytes(codec.header(membership.incarnation()));
-        while (!parts.isEmpty() && bytes.size() + parts.peek().length <= MOST) {
-            bytes.writeBytes(parts.poll());
+        bytes.writeBytes(encoder.header(membership.incarnation()));
+        while (!queue.isEmpty() && bytes.size() + queue.peek().length <= MAX_CONTENT_BYTES) {
+            bytes.writeBytes(queue.poll());
         }
-        for (byte[] rumour : membership.rumours(to, codec, MOST - bytes.size(), aboutItself)) {
-            bytes.writeBytes(rumour);
+        for (byte[] update :
+                membership.nextUpdates(receiver, encoder, MAX_CONTENT_BYTES - bytes.size(), includeReceiver)) {
+            bytes.writeBytes(update);
         }
-        byte[] datagram = Codec.sealed(bytes);
-        counts.mustHold(datagram.length <= Limits.DATAGRAM, "datagram within bounds");
-        counts.add(Counts.What.DATAGRAMS_OUT);
-        counts.add(Counts.What.BYTES_OUT, datagram.length);
+        byte[] datagram = DatagramEncoder.withChecksum(bytes);
+        metrics.checkInvariant(datagram.length <= Limits.MAX_DATAGRAM_BYTES, "datagram exceeds its size limit");
+        metrics.increment(Metric.DATAGRAMS_OUT);
+        metrics.add(Metric.BYTES_OUT, datagram.length);
         sender.send(peer, datagram);
     }
 }
--- a/gossip/src/main/java/calicochute/gossip/package-info.java
+++ b/gossip/src/main/java/calicochute/gossip/package-info.java
@@ -1,2 +1,5 @@
-/** Who of the fleet is there, and what travels between balancers: state machines without I/O, used on one thread. */
+/**
+ * Cluster membership by probes and suspicion (SWIM), and replication of small entries between balancers by datagrams
+ * and digests. Nothing here does I/O; all of it runs on one thread.
+ */
 package calicochute.gossip;
