--- a/balancer/src/main/java/calicochute/cli/CommandLine.java
+++ b/balancer/src/main/java/calicochute/cli/CommandLine.java
@@ -1,6 +1,6 @@
 package calicochute.cli;
 
-import calicochute.errors.Fault;
+import calicochute.errors.CodedError;
 import com.beust.jcommander.JCommander;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.ParameterException;
@@ -71,8 +71,8 @@
             System.err.println(program + ": " + e.getMessage());
             return WRONG_USAGE;
         } catch (Exception e) {
-            if (e instanceof Fault fault) {
-                System.err.println(program + ": " + fault.text());
+            if (e instanceof CodedError error) {
+                System.err.println(program + ": " + error.text());
                 return FAILED;
             }
             System.err.println(program + ": " + (e.getMessage() == null ? e : e.getMessage()));
--- a/balancer/src/main/java/calicochute/listening/AddressException.java
+++ b/balancer/src/main/java/calicochute/listening/AddressException.java
@@ -1,12 +1,12 @@
 package calicochute.listening;
 
 import calicochute.errors.Code;
-import calicochute.errors.IoFault;
+import calicochute.errors.CodedIoException;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
 /** An address that can't be listened at. */
-public final class AddressException extends IoFault {
+public final class AddressException extends CodedIoException {
     private static final long serialVersionUID = 1L;
 
     AddressException(InetSocketAddress address, IOException cause) {
--- a/balancer/src/main/java/calicochute/node/FleetStart.java
+++ b/balancer/src/main/java/calicochute/node/FleetStart.java
@@ -1,7 +1,7 @@
 package calicochute.node;
 
 import calicochute.decision.Balancer;
-import calicochute.errors.Fault;
+import calicochute.errors.CodedError;
 import calicochute.exchange.DecisionQueue;
 import calicochute.fleet.Fleet;
 import calicochute.fleet.FleetException;
@@ -60,7 +60,7 @@
                     () -> succession.get().tenants(),
                     module);
         } catch (OperatorFileException | FleetException e) {
-            Log.warn("fleet-off", ((Fault) e).text());
+            Log.warn("fleet-off", ((CodedError) e).text());
             return FleetPart.OFF;
         }
     }
--- a/balancer/src/main/java/calicochute/operator/OperatorFileException.java
+++ b/balancer/src/main/java/calicochute/operator/OperatorFileException.java
@@ -1,10 +1,10 @@
 package calicochute.operator;
 
-import calicochute.errors.CheckedFault;
 import calicochute.errors.Code;
+import calicochute.errors.CodedException;
 
 /** An operator's file that can't be used: what was seen where. */
-public final class OperatorFileException extends CheckedFault {
+public final class OperatorFileException extends CodedException {
     private static final long serialVersionUID = 1L;
     private final String todo;
 
--- a/balancer/src/main/java/calicochute/settings/SettingsException.java
+++ b/balancer/src/main/java/calicochute/settings/SettingsException.java
@@ -1,10 +1,10 @@
 package calicochute.settings;
 
-import calicochute.errors.CheckedFault;
 import calicochute.errors.Code;
+import calicochute.errors.CodedException;
 
 /** Settings, a configuration or a list that can't be used; the message says what is wrong with them. */
-public final class SettingsException extends CheckedFault {
+public final class SettingsException extends CodedException {
     private static final long serialVersionUID = 1L;
 
     public SettingsException(String message) {
@@ -17,6 +17,6 @@
 
     /** The same fault, told with the place where it was met. */
     public SettingsException in(String place) {
-        return new SettingsException(code(), where().isEmpty() ? place : place + ": " + where(), seen());
+        return new SettingsException(code(), location().isEmpty() ? place : place + ": " + location(), problem());
     }
 }
--- a/balancer/src/test/java/calicochute/fleet/DatagramsTest.java
+++ b/balancer/src/test/java/calicochute/fleet/DatagramsTest.java
@@ -84,7 +84,7 @@
     void whatCannotBeSentOrHeardIsSaid() {
         FleetException e = assertThrows(FleetException.class, () -> new Datagrams(here, heard::add));
         assertEquals(Code.FLEET_ADDRESS, e.code());
-        assertEquals(here.toString(), e.where());
+        assertEquals(here.toString(), e.location());
         other.close();
         other.send(here, new byte[1]);
         assertEquals(1, other.unsent());
--- a/balancer/src/test/java/calicochute/operator/OperatorFileReaderTest.java
+++ b/balancer/src/test/java/calicochute/operator/OperatorFileReaderTest.java
@@ -45,8 +45,8 @@
     /** @param where behind the file's name */
     private OperatorFileException complaint(String text, String where, String seen) {
         OperatorFileException e = assertThrows(OperatorFileException.class, () -> read(text));
-        assertEquals(folder.resolve("fleet.yaml") + where, e.where(), e.seen());
-        assertTrue(e.seen().contains(seen), e.seen());
+        assertEquals(folder.resolve("fleet.yaml") + where, e.location(), e.problem());
+        assertTrue(e.problem().contains(seen), e.problem());
         return e;
     }
 
--- a/errors/src/test/java/calicochute/ci/KnownRedTest.java
+++ b/errors/src/test/java/calicochute/ci/KnownRedTest.java
@@ -16,190 +16,191 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What `.ci/run` makes of a build with KNOWN-RED.txt, in a tree of one module; a stand-in says and leaves what Maven
- * does.
+ * `.ci/run` must accept a failing test only if KNOWN-RED.txt lists it, and must fail if a listed test passes, is
+ * skipped or is not run. It runs in a project of one module, with a script in place of Maven that prints Maven's lines
+ * and leaves test reports.
  */
 class KnownRedTest {
-    private static final String LISTED = "ATest#red | the clock is read twice | issue 7\n";
+    private static final String LIST = "ATest#red | the clock is read twice | issue 7\n";
     private static final String FAILED = "FAILURE";
-    private static final String BROKEN = "ERROR";
+    private static final String ERROR = "ERROR";
     private static final String SKIPPED = "SKIPPED";
     private static final String PASSED = "PASSED";
 
     @TempDir
     private Path root;
-    /** Outcomes by class and method. */
-    private final Map<String, Map<String, String>> tests = new TreeMap<>();
+    /** Outcomes by class and method, for the reports and lines of the simulated build. */
+    private final Map<String, Map<String, String>> outcomes = new TreeMap<>();
 
-    private int status;
+    private int exitStatus;
 
     @BeforeEach
-    void layOut() throws IOException {
+    void createProject() throws IOException {
         write(".ci/run", Files.readString(Path.of("../.ci/run")));
         write(
                 "bin/mvn",
-                "#!/bin/sh\necho \"$@\" >arguments\ncp made/*.xml m/target/surefire-reports/\ncat made/said\nexit ${BUILT:-0}\n");
+                "#!/bin/sh\necho \"$@\" >arguments\ncp fixture/*.xml m/target/surefire-reports/\ncat fixture/console\nexit ${BUILT:-0}\n");
         assertTrue(root.resolve("bin/mvn").toFile().setExecutable(true));
-        is("a.ATest", "red", FAILED);
-        is("a.ATest", "green", PASSED);
-        is("b.BTest", "green", PASSED);
+        setOutcome("a.ATest", "red", FAILED);
+        setOutcome("a.ATest", "green", PASSED);
+        setOutcome("b.BTest", "green", PASSED);
     }
 
-    private void is(String type, String method, String outcome) {
-        tests.computeIfAbsent(type, t -> new TreeMap<>()).put(method, outcome);
+    private void setOutcome(String className, String method, String outcome) {
+        outcomes.computeIfAbsent(className, key -> new TreeMap<>()).put(method, outcome);
     }
 
     private Path write(String file, String text) throws IOException {
-        Path at = root.resolve(file);
-        Files.createDirectories(at.getParent());
-        return Files.writeString(at, text);
+        Path path = root.resolve(file);
+        Files.createDirectories(path.getParent());
+        return Files.writeString(path, text);
     }
 
     private long count(String outcome) {
-        return tests.values().stream()
-                .flatMap(t -> t.values().stream())
+        return outcomes.values().stream()
+                .flatMap(methods -> methods.values().stream())
                 .filter(outcome::equals)
                 .count();
     }
 
-    /** What is printed by a run with that list; null for no list. */
+    /** Runs the check with that content of KNOWN-RED.txt, or without the file if null, and returns what it printed. */
     private String run(String list) throws Exception {
         StringBuilder console = new StringBuilder(
                 "[INFO] Tests run: 7, Failures: 7, Errors: 0, Skipped: 0, Time elapsed: 1.5 s -- in a.ATest\n");
-        for (Map.Entry<String, Map<String, String>> of : tests.entrySet()) {
-            write("m/src/test/java/" + of.getKey().replace('.', '/') + ".java", "");
+        for (Map.Entry<String, Map<String, String>> entry : outcomes.entrySet()) {
+            write("m/src/test/java/" + entry.getKey().replace('.', '/') + ".java", "");
             write(
-                    "made/TEST-" + of.getKey() + ".xml",
-                    of.getValue().keySet().stream()
-                            .map(t ->
-                                    "  <testcase name=\"" + t + "\" classname=\"" + of.getKey() + "\" time=\"0.1\">\n")
+                    "fixture/TEST-" + entry.getKey() + ".xml",
+                    entry.getValue().keySet().stream()
+                            .map(method -> "  <testcase name=\"" + method + "\" classname=\"" + entry.getKey()
+                                    + "\" time=\"0.1\">\n")
                             .collect(Collectors.joining()));
-            of.getValue().forEach((test, outcome) -> {
-                if (outcome.equals(FAILED) || outcome.equals(BROKEN)) {
+            entry.getValue().forEach((method, outcome) -> {
+                if (outcome.equals(FAILED) || outcome.equals(ERROR)) {
                     console.append("[ERROR] ")
-                            .append(of.getKey())
-                            .append(test.isEmpty() ? "" : "." + test)
+                            .append(entry.getKey())
+                            .append(method.isEmpty() ? "" : "." + method)
                             .append(" -- Time elapsed: 0.267 s <<< ")
                             .append(outcome)
                             .append("!\n");
                 }
             });
         }
-        // Of two modules, the first without tests that fail.
+        // The totals of two modules; the first has no failing tests.
         write(
-                "made/said",
+                "fixture/console",
                 console + "[WARNING] Tests run: 5, Failures: 0, Errors: 0, Skipped: 1\n[ERROR] Tests run: "
-                        + tests.values().stream().mapToInt(Map::size).sum() + ", Failures: " + count(FAILED)
-                        + ", Errors: " + count(BROKEN) + ", Skipped: " + count(SKIPPED) + "\n");
-        // Of an earlier run: must not count.
+                        + outcomes.values().stream().mapToInt(Map::size).sum() + ", Failures: " + count(FAILED)
+                        + ", Errors: " + count(ERROR) + ", Skipped: " + count(SKIPPED) + "\n");
+        // A report of an earlier run, which must not count.
         write("m/target/surefire-reports/TEST-c.DiedTest.xml", "");
         if (list != null) {
             write("KNOWN-RED.txt", list);
         }
-        File said = root.resolve("said").toFile();
+        File output = root.resolve("check-output").toFile();
         ProcessBuilder check = new ProcessBuilder(
                         "bash", root.resolve(".ci/run").toString())
                 .redirectErrorStream(true)
-                .redirectOutput(said);
+                .redirectOutput(output);
         check.environment().merge("PATH", root.resolve("bin") + ":", (path, bin) -> bin + path);
         Process process = check.start();
         assertTrue(process.waitFor(60, TimeUnit.SECONDS));
-        status = process.exitValue();
-        return Files.readString(said.toPath());
+        exitStatus = process.exitValue();
+        return Files.readString(output.toPath());
     }
 
-    private void passes(String list, String says) throws Exception {
-        String said = run(list);
-        assertEquals(0, status, said);
-        assertTrue(said.contains(says), said);
+    private void assertPasses(String list, String expected) throws Exception {
+        String output = run(list);
+        assertEquals(0, exitStatus, output);
+        assertTrue(output.contains(expected), output);
     }
 
-    private void fails(String list, String says) throws Exception {
-        String said = run(list);
-        assertEquals(1, status, said);
-        assertTrue(said.contains(says), said);
+    private void assertFails(String list, String expected) throws Exception {
+        String output = run(list);
+        assertEquals(1, exitStatus, output);
+        assertTrue(output.contains(expected), output);
     }
 
     @Test
-    void withoutAListItIsThePlainCommand() throws Exception {
-        passes(null, "");
+    void withoutAListTheBuildRunsUnchanged() throws Exception {
+        assertPasses(null, "");
         assertEquals("-B verify\n", Files.readString(root.resolve("arguments")));
     }
 
     @Test
-    void aListedFailureIsPrintedAndPassedOver() throws Exception {
-        is("b.BTest", "later", SKIPPED);
-        is("a.ATest", "red", BROKEN);
-        passes(
-                LISTED,
+    void aListedFailureIsPrintedAndAccepted() throws Exception {
+        setOutcome("b.BTest", "later", SKIPPED);
+        setOutcome("a.ATest", "red", ERROR);
+        assertPasses(
+                LIST,
                 "known-red: ATest#red: failed: the clock is read twice (issue 7)\nknown-red: 6 passed, 1 failed, 2 skipped, of the failed 1 listed; 0 faults");
-        passes("a.ATest#red\tthe clock is read twice\tissue 7", "0 faults");
+        assertPasses("a.ATest#red\tthe clock is read twice\tissue 7", "0 faults");
     }
 
     @Test
-    void anotherFailureFails() throws Exception {
-        is("b.BTest", "green(int)[3]", BROKEN);
-        fails(LISTED, "b.BTest.green failed and is not listed");
-        tests.remove("b.BTest");
-        is("c.CTest", "", FAILED);
-        fails(LISTED, "c.CTest failed and is not listed");
+    void anUnlistedFailureFails() throws Exception {
+        setOutcome("b.BTest", "green(int)[3]", ERROR);
+        assertFails(LIST, "b.BTest.green failed and is not listed");
+        outcomes.remove("b.BTest");
+        setOutcome("c.CTest", "", FAILED);
+        assertFails(LIST, "c.CTest failed and is not listed");
     }
 
-    /** A report that stayed empty hides nothing. */
+    /** An empty report must not hide a failure that the build's output names. */
     @Test
-    void aFailureThatNoReportNamesFails() throws Exception {
-        is("b.BTest", "green", FAILED);
+    void aFailureMissingFromTheReportsFails() throws Exception {
+        setOutcome("b.BTest", "green", FAILED);
         write(
                 "bin/mvn",
                 Files.readString(root.resolve("bin/mvn"))
                         .replace(
                                 "cat",
                                 "rm m/target/surefire-reports/TEST-b.BTest.xml; touch m/target/surefire-reports/TEST-b.BTest.xml; cat"));
-        fails(LISTED, "b.BTest.green failed and is not listed");
+        assertFails(LIST, "b.BTest.green failed and is not listed");
     }
 
-    /** What Maven counts and its lines do not name can't be told from what is listed. */
+    /** A failure that Maven counts but does not name might be an unlisted one. */
     @Test
-    void aFailureThatNoLineNamesFails() throws Exception {
+    void aFailureMissingFromTheOutputFails() throws Exception {
         write(
                 "bin/mvn",
                 Files.readString(root.resolve("bin/mvn"))
-                        .replace("cat made/said", "sed 's/Failures: 1,/Failures: 2,/' made/said"));
-        fails(LISTED, "Maven counts 2 failures");
+                        .replace("cat fixture/console", "sed 's/Failures: 1,/Failures: 2,/' fixture/console"));
+        assertFails(LIST, "Maven counts 2 failures");
     }
 
     @Test
     void aListedTestThatPassesOrIsSkippedOrMissingFails() throws Exception {
-        is("a.ATest", "red", PASSED);
-        fails(LISTED, "ATest#red: passed or skipped");
-        is("a.ATest", "red", SKIPPED);
-        fails(LISTED, "ATest#red is listed and did not fail");
-        tests.get("a.ATest").remove("red");
-        fails(LISTED, "ATest#red: not run");
+        setOutcome("a.ATest", "red", PASSED);
+        assertFails(LIST, "ATest#red: passed or skipped");
+        setOutcome("a.ATest", "red", SKIPPED);
+        assertFails(LIST, "ATest#red is listed and did not fail");
+        outcomes.get("a.ATest").remove("red");
+        assertFails(LIST, "ATest#red: not run");
     }
 
     @Test
-    void aNameOfSeveralClassesFails() throws Exception {
-        is("b.ATest", "red", FAILED);
-        fails(LISTED, "names tests of several classes");
+    void aNameThatMatchesSeveralClassesFails() throws Exception {
+        setOutcome("b.ATest", "red", FAILED);
+        assertFails(LIST, "names tests of several classes");
     }
 
     @Test
     void aClassWithoutAReportFails() throws Exception {
         write("m/src/test/java/c/DiedTest.java", "");
-        fails(LISTED, "c.DiedTest left no report");
+        assertFails(LIST, "c.DiedTest left no report");
     }
 
     @Test
-    void aListThatIsTooLongOrNotOfThreePartsFails() throws Exception {
-        fails(LISTED.repeat(4), "4 lines; three at most");
-        fails("ATest#red | the clock is read twice\n", "no 'Class#method | cause | issue'");
-        fails("ATest | it all | issue 7\n", "no 'Class#method | cause | issue'");
+    void aListWithTooManyLinesOrMissingFieldsFails() throws Exception {
+        assertFails(LIST.repeat(4), "4 lines; three at most");
+        assertFails("ATest#red | the clock is read twice\n", "no 'Class#method | cause | issue'");
+        assertFails("ATest | it all | issue 7\n", "no 'Class#method | cause | issue'");
     }
 
     @Test
-    void aBuildThatFailsByItselfFails() throws Exception {
+    void aBuildThatFailsWithoutFailingTestsFails() throws Exception {
         write("bin/mvn", Files.readString(root.resolve("bin/mvn")).replace("${BUILT:-0}", "3"));
-        fails(LISTED, "the build itself failed, with 3");
+        assertFails(LIST, "the build itself failed, with 3");
     }
 }
--- a/errors/src/test/java/calicochute/errors/PageTest.java
+++ b/errors/src/test/java/calicochute/errors/ErrorPageTest.java
@@ -8,22 +8,22 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** docs/errors.md and the codes say the same. */
-class PageTest {
+/** The operators' page of errors has to list each code with its remedy as the program prints it. */
+class ErrorPageTest {
     @Test
-    void thePageListsEachErrorWithItsRemedy() throws Exception {
+    void thePageListsEachCodeWithItsRemedy() throws Exception {
         List<String> rows = Files.readAllLines(Path.of("../docs/errors.md")).stream()
-                .filter(l -> l.matches("\\| C\\d+ .*"))
-                .map(l -> l.replaceAll("\\|[^|]*\\|$", "|"))
+                .filter(line -> line.matches("\\| C\\d+ .*"))
+                .map(line -> line.replaceAll("\\|[^|]*\\|$", "|"))
                 .toList();
-        List<String> wanted = Arrays.stream(Code.values())
-                .map(c -> "| " + c.id() + " | " + c + " | " + c.remedy() + " |")
+        List<String> expected = Arrays.stream(Code.values())
+                .map(code -> "| " + code.id() + " | " + code + " | " + code.remedy() + " |")
                 .toList();
-        assertEquals(wanted, rows);
+        assertEquals(expected, rows);
     }
 
     @Test
-    void noNumberStandsForTwoErrors() {
+    void numbersAreUnique() {
         assertEquals(
                 Code.values().length,
                 Arrays.stream(Code.values()).map(Code::id).distinct().count());
--- a/lab/src/main/java/calicochute/lab/emulator/StartException.java
+++ b/lab/src/main/java/calicochute/lab/emulator/StartException.java
@@ -1,10 +1,10 @@
 package calicochute.lab.emulator;
 
 import calicochute.errors.Code;
-import calicochute.errors.IoFault;
+import calicochute.errors.CodedIoException;
 
 /** A process of a run that did not start. */
-public final class StartException extends IoFault {
+public final class StartException extends CodedIoException {
     private static final long serialVersionUID = 1L;
 
     public StartException(String where, String seen) {
--- a/lab/src/main/java/calicochute/lab/scenario/ScenarioException.java
+++ b/lab/src/main/java/calicochute/lab/scenario/ScenarioException.java
@@ -1,11 +1,11 @@
 package calicochute.lab.scenario;
 
-import calicochute.errors.CheckedFault;
 import calicochute.errors.Code;
+import calicochute.errors.CodedException;
 import java.util.List;
 
 /** A scenario that can't be used, with every fault found in it. */
-public final class ScenarioException extends CheckedFault {
+public final class ScenarioException extends CodedException {
     private static final long serialVersionUID = 1L;
     private final transient List<Complaint> complaints;
 
