--- a/gossip/src/main/java/calicochute/gossip/AntiEntropy.java
+++ b/gossip/src/main/java/calicochute/gossip/AntiEntropy.java
@@ -42,7 +42,7 @@
     private long nextLowHash;
 
     private long nextDigestMicros;
-    /** Bytes of repairs that the rate limit permits at this time. */
+    /** Bytes of repairs that the rate limit permits at this time; at most those of four seconds. */
     private long budgetBytes;
 
     private long lastTickMicros;
--- a/gossip/src/main/java/calicochute/gossip/DuplicateIdDetector.java
+++ b/gossip/src/main/java/calicochute/gossip/DuplicateIdDetector.java
@@ -8,7 +8,7 @@
  * restart; datagrams of both processes that keep alternating for longer than that mean that both are running.
  */
 final class DuplicateIdDetector {
-    /** Datagrams of a process that has ended do not arrive later than this. */
+    /** An earlier process whose datagrams still arrive after this time has not ended: they are not just late. */
     private static final long MAX_DATAGRAM_DELAY_MICROS = 3_000_000;
 
     private static final int MIN_ALTERNATIONS = 5;
--- a/gossip/src/main/java/calicochute/gossip/EntryStore.java
+++ b/gossip/src/main/java/calicochute/gossip/EntryStore.java
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Version of an expired entry, which prevents that the same or an older version is stored again. */
+    /** Version of an expired entry; prevents this version and older ones from being stored again. */
     private record Tombstone(long version, long expiredAtMicros) {}
 
     private static final Comparator<Entry> ORDER = Comparator.comparingLong(Entry::version)
--- a/gossip/src/main/java/calicochute/gossip/FailureDetector.java
+++ b/gossip/src/main/java/calicochute/gossip/FailureDetector.java
@@ -153,7 +153,7 @@
 
     /**
      * Pings a random dead member now and then: each dead member gets at most about ten pings a second from the whole
-     * cluster, and one balancer sends about one a second at most.
+     * cluster, and one balancer sends at most one a second on average.
      */
     private void pingDeadMember(long elapsedMicros) {
         if (elapsedMicros < nextDeadProbeMicros) {
--- a/gossip/src/main/java/calicochute/gossip/Gossip.java
+++ b/gossip/src/main/java/calicochute/gossip/Gossip.java
@@ -21,8 +21,8 @@
     }
 
     /**
-     * Receives events. Called from {@link #receive} and {@link #tick}; may call {@link #sendDirect} and
-     * {@link #publish}.
+     * Receives events. Called from {@link #receive}, {@link #tick} and {@link #setMembers}; may call
+     * {@link #sendDirect} and {@link #publish}.
      */
     public interface Listener {
         void onDirectMessage(long nowMicros, String from, long fromStart, int channel, byte[] body);
@@ -31,7 +31,7 @@
         void onEntry(
                 long nowMicros, String author, long authorStart, int channel, String key, long version, byte[] body);
 
-        /** The set of live members has changed. */
+        /** The set of live members has changed since the last tick or change of the member list. */
         void onLiveMembersChanged(long nowMicros, Set<String> live);
 
         /** Datagrams of two processes with the same id keep arriving in alternation. */
--- a/gossip/src/main/java/calicochute/gossip/GossipMetrics.java
+++ b/gossip/src/main/java/calicochute/gossip/GossipMetrics.java
@@ -29,9 +29,9 @@
         TWINS,
         /** Versions of entries published by this balancer. */
         SPREAD,
-        /** Versions of entries of other balancers that were stored here. */
+        /** Versions of entries received from other balancers and stored. */
         TAKEN,
-        /** Of these, the versions that came in answer to a digest or a pull. */
+        /** Of those taken, the versions that came in answer to a digest or a pull. */
         TAKEN_BY_REPAIR,
         /** Versions of entries sent in answer to a digest or a pull. */
         REPAIRS_SENT,
