--- a/balancer/src/main/java/calicochute/fleet/Adviser.java
+++ b/balancer/src/main/java/calicochute/fleet/Adviser.java
@@ -1,15 +1,15 @@
 package calicochute.fleet;
 
 import calicochute.bandit.Advice;
-import calicochute.bandit.Advices;
 import calicochute.bandit.Bandit;
-import calicochute.bandit.Listed;
-import calicochute.bandit.Setting;
+import calicochute.bandit.BanditSettings;
+import calicochute.bandit.FleetAdvice;
+import calicochute.bandit.ListedServer;
 import calicochute.decision.Balancer;
 import calicochute.decision.Balancer.Backend;
 import calicochute.decision.Balancer.BackendState;
 import calicochute.decision.Balancer.Event;
-import calicochute.outcomes.Picture;
+import calicochute.outcomes.OutcomeSnapshot;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -31,34 +31,34 @@
     private long sick;
 
     Adviser(String me, long seed, Consumer<Event> module) {
-        bandit = new Bandit(Setting.USUAL, me, seed);
+        bandit = new Bandit(BanditSettings.DEFAULT, me, seed);
         this.module = module;
     }
 
     /** What the fleet knows goes to the module; a turn to try a server is told once, when it comes. */
-    void tick(long now, Supplier<Picture> picture, Set<String> live, Collection<Backend> servers) {
+    void tick(long now, Supplier<OutcomeSnapshot> picture, Set<String> live, Collection<Backend> servers) {
         if (now < advisedAt + ADVISE) {
             return;
         }
         advisedAt = now;
-        List<Listed> listed = servers.stream()
-                .map(b -> new Listed(
+        List<ListedServer> listed = servers.stream()
+                .map(b -> new ListedServer(
                         b.id(), b.startedAt(), b.kind(), b.zone(), b.weight(), b.state() == BackendState.READY))
                 .toList();
-        bandit.heard(now, picture.get(), live, listed);
-        Advices advices = bandit.advise(now);
+        bandit.update(now, picture.get(), live, listed);
+        FleetAdvice advices = bandit.advise(now);
         Set<String> turns = new HashSet<>();
         List<Balancer.OfFleet> told = new ArrayList<>();
-        for (Advice a : advices.of()) {
+        for (Advice a : advices.servers()) {
             boolean turn = a.mayTry() && !trying.contains(a.server());
-            told.add(new Balancer.OfFleet(a.server(), a.startedAt(), a.speed(), a.worth(), turn));
+            told.add(new Balancer.OfFleet(a.server(), a.startedAt(), a.speed(), a.worthSamples(), turn));
             if (a.mayTry()) {
                 turns.add(a.server());
             }
             tries += turn ? 1 : 0;
         }
         trying = turns;
-        sick = advices.of().stream().filter(Advice::sick).count();
+        sick = advices.servers().stream().filter(Advice::unhealthy).count();
         module.accept(new Balancer.Advised(told, advices.until()));
     }
 
--- a/balancer/src/main/java/calicochute/fleet/Channels.java
+++ b/balancer/src/main/java/calicochute/fleet/Channels.java
@@ -7,9 +7,9 @@
 import calicochute.gossip.Member;
 import calicochute.metrics.Log;
 import calicochute.operator.OperatorFile;
-import calicochute.outcomes.Carrier;
 import calicochute.outcomes.Origin;
-import calicochute.outcomes.Sharing;
+import calicochute.outcomes.OutcomeSharing;
+import calicochute.outcomes.Transport;
 import calicochute.outcomes.Windows;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -37,7 +37,7 @@
     private final List<Trial> trials;
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private final Gossip gossip;
-    private final Sharing sharing;
+    private final OutcomeSharing sharing;
     private final Datagrams datagrams;
     private boolean closed;
 
@@ -52,7 +52,7 @@
                 .toList();
         gossip =
                 new Gossip(new Group(file.cluster(), me, members), start, Limits.usual(), seed, this::send, new Ears());
-        sharing = file.share() ? new Sharing(new Origin(me, start), Windows.USUAL, new Rows()) : null;
+        sharing = file.share() ? new OutcomeSharing(new Origin(me, start), Windows.DEFAULT, new Rows()) : null;
         datagrams = new Datagrams(file.listen(), this::came);
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** Null where outcomes are not shared. */
-    Sharing sharing() {
+    OutcomeSharing sharing() {
         return sharing;
     }
 
@@ -115,7 +115,7 @@
         @Override
         public void direct(long now, String from, long fromStart, int channel, byte[] body) {
             if (channel == OUTCOMES && sharing != null) {
-                sharing.heardDirect(now, from, fromStart, body);
+                sharing.onReport(now, from, fromStart, body);
             } else if (body.length > MARK && (channel == COUNTS || channel == SEAL)) {
                 int mark = ByteBuffer.wrap(body).getInt();
                 byte[] rest = Arrays.copyOfRange(body, MARK, body.length);
@@ -132,7 +132,7 @@
         @Override
         public void spread(long now, String from, long fromStart, int channel, String key, long version, byte[] body) {
             if (channel == OUTCOMES && sharing != null) {
-                sharing.heardSpread(now, from, fromStart, key, version, body);
+                sharing.onRows(now, from, fromStart, key, version, body);
             }
         }
 
@@ -147,21 +147,21 @@
         }
     }
 
-    private final class Rows implements Carrier {
+    private final class Rows implements Transport {
         @Override
-        public void direct(String peer, byte[] body) {
+        public void send(String peer, byte[] body) {
             gossip.direct(queue.now(), peer, OUTCOMES, body);
         }
 
         @Override
-        public void spread(String key, long version, byte[] body) {
+        public void broadcast(String key, long version, byte[] body) {
             gossip.spread(
                     queue.now(),
                     OUTCOMES,
                     me + "/" + key,
                     version,
                     body,
-                    queue.now() + ROWS_KEPT * Windows.USUAL.length());
+                    queue.now() + ROWS_KEPT * Windows.DEFAULT.length());
         }
 
         @Override
--- a/balancer/src/main/java/calicochute/fleet/Experiments.java
+++ b/balancer/src/main/java/calicochute/fleet/Experiments.java
@@ -56,7 +56,8 @@
     }
 
     private Trial trial(Experiment experiment, byte[] kept) {
-        return new Trial(experiment, Windows.USUAL, peers, file.me(), start, longest, states != null, kept, new Host());
+        return new Trial(
+                experiment, Windows.DEFAULT, peers, file.me(), start, longest, states != null, kept, new Host());
     }
 
     /** One that is written as before goes on; one that is not begins anew, and one that is gone ends. */
--- a/balancer/src/main/java/calicochute/fleet/Fleet.java
+++ b/balancer/src/main/java/calicochute/fleet/Fleet.java
@@ -11,7 +11,7 @@
 import calicochute.exchange.Exchange;
 import calicochute.metrics.Log;
 import calicochute.operator.OperatorFile;
-import calicochute.outcomes.Sharing;
+import calicochute.outcomes.OutcomeSharing;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -67,8 +67,8 @@
         peers = file.ids();
         channels = new Channels(file, queue, start, seed, trials);
         experiments = new Experiments(file, queue, start, longest, channels, trials);
-        Sharing sharing = channels.sharing();
-        placing = new Placing(trials, classes, sharing == null ? subjects -> {} : sharing::known, module);
+        OutcomeSharing sharing = channels.sharing();
+        placing = new Placing(trials, classes, sharing == null ? subjects -> {} : sharing::setKnownKeys, module);
         sessions = new Sessions(queue, trials, placing, classes, tenants, longest.getAsLong());
         adviser = file.bandit() ? new Adviser(file.me(), seed, module) : null;
     }
@@ -115,15 +115,15 @@
         }
         long now = queue.now();
         channels.tick(now);
-        Sharing sharing = channels.sharing();
+        OutcomeSharing sharing = channels.sharing();
         if (sharing != null) {
-            sessions.close(now).forEach(closed -> sharing.closed(now, closed));
+            sessions.close(now).forEach(closed -> sharing.onWindowClosed(now, closed));
             sharing.tick(now);
         }
         Set<String> live = channels.live();
         trials.forEach(t -> t.tick(now, live));
         if (adviser != null) {
-            adviser.tick(now, sharing::picture, live, placing.servers());
+            adviser.tick(now, sharing::snapshot, live, placing.servers());
         }
         if (now % TEXTS < TICK) {
             experimentsText = experiments.text();
@@ -133,10 +133,10 @@
     }
 
     private String text(Set<String> live) {
-        Sharing sharing = channels.sharing();
+        OutcomeSharing sharing = channels.sharing();
         String shared = sharing == null
                 ? ""
-                : "rows " + sharing.picture().rows(queue.now()).size() + "\nsick "
+                : "rows " + sharing.snapshot().rows(queue.now()).size() + "\nsick "
                         + (adviser == null ? 0 : adviser.sick())
                         + "\ntries " + (adviser == null ? 0 : adviser.tries()) + "\noutcomes_dropped "
                         + sharing.counts().all()
--- a/balancer/src/main/java/calicochute/fleet/Placing.java
+++ b/balancer/src/main/java/calicochute/fleet/Placing.java
@@ -7,7 +7,7 @@
 import calicochute.decision.Balancer.ListKind;
 import calicochute.decision.Balancer.RequestClass;
 import calicochute.experiment.Arm;
-import calicochute.outcomes.Subject;
+import calicochute.outcomes.OutcomeKey;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -23,7 +23,7 @@
 final class Placing {
     private final List<Trial> trials;
     private final Supplier<List<RequestClass>> classes;
-    private final Consumer<List<Subject>> known;
+    private final Consumer<List<OutcomeKey>> known;
     private final Consumer<Event> module;
     private final Map<String, Backend> servers = new HashMap<>();
     private Map<String, Integer> arms = Map.of();
@@ -35,7 +35,7 @@
     Placing(
             List<Trial> trials,
             Supplier<List<RequestClass>> classes,
-            Consumer<List<Subject>> known,
+            Consumer<List<OutcomeKey>> known,
             Consumer<Event> module) {
         this.trials = trials;
         this.classes = classes;
@@ -63,7 +63,7 @@
     /** Which subjects rows may name, and which server is in which arm. */
     void place() {
         Map<String, Integer> placing = new HashMap<>();
-        List<Subject> subjects = new ArrayList<>();
+        List<OutcomeKey> subjects = new ArrayList<>();
         for (Backend b : servers.values()) {
             String arm = "";
             for (int i = 0; i < trials.size() && !placing.containsKey(b.id()); i++) {
@@ -74,9 +74,9 @@
                 }
             }
             for (RequestClass c : classes.get()) {
-                subjects.add(new Subject(b.id(), b.startedAt(), c.name(), ""));
+                subjects.add(new OutcomeKey(b.id(), b.startedAt(), c.name(), ""));
                 if (!arm.isEmpty()) {
-                    subjects.add(new Subject(b.id(), b.startedAt(), c.name(), arm));
+                    subjects.add(new OutcomeKey(b.id(), b.startedAt(), c.name(), arm));
                 }
             }
         }
--- a/balancer/src/main/java/calicochute/fleet/Sessions.java
+++ b/balancer/src/main/java/calicochute/fleet/Sessions.java
@@ -8,10 +8,10 @@
 import calicochute.exchange.Dispatch;
 import calicochute.exchange.Exchange;
 import calicochute.experiment.Teller.Ticket;
-import calicochute.outcomes.Closed;
-import calicochute.outcomes.End;
-import calicochute.outcomes.Ledger;
-import calicochute.outcomes.Subject;
+import calicochute.outcomes.ClosedWindow;
+import calicochute.outcomes.DispatchResult;
+import calicochute.outcomes.OutcomeKey;
+import calicochute.outcomes.WindowCounter;
 import calicochute.outcomes.Windows;
 import java.util.HashMap;
 import java.util.List;
@@ -25,7 +25,7 @@
     private final Placing placing;
     private final Supplier<List<RequestClass>> classes;
     private final Supplier<List<Balancer.Tenant>> tenants;
-    private final Ledger ledger;
+    private final WindowCounter ledger;
     private final Map<Long, Placed> placed = new HashMap<>();
 
     /**
@@ -69,11 +69,11 @@
         this.placing = placing;
         this.classes = classes;
         this.tenants = tenants;
-        ledger = new Ledger(Windows.USUAL, longest);
+        ledger = new WindowCounter(Windows.DEFAULT, longest);
     }
 
     /** The windows that nothing can be added to any more, each once. */
-    List<Closed> close(long now) {
+    List<ClosedWindow> close(long now) {
         return ledger.close(now);
     }
 
@@ -94,7 +94,7 @@
                 arm = Placing.number(i, ticket.arm());
             }
         }
-        placed.put(exchange.id, new Placed(ledger.assign(now), trial, ticket));
+        placed.put(exchange.id, new Placed(ledger.beginSession(now), trial, ticket));
         return arm;
     }
 
@@ -121,23 +121,23 @@
         if (server != null && server.startedAt() <= dispatch.sentAt) {
             RequestClass c = classes.get().get(dispatch.exchange.classIndex);
             double logSpeed = outcome == Outcome.OK ? -Math.log(Math.max(elapsed, 1) / 1e6) : Double.NaN;
-            ledger.count(
+            ledger.record(
                     p.window,
-                    new Subject(server.id(), server.startedAt(), c.name(), p.arm),
+                    new OutcomeKey(server.id(), server.startedAt(), c.name(), p.arm),
                     end(outcome, elapsed, c),
                     logSpeed);
         }
     }
 
-    private static End end(Outcome outcome, long elapsed, RequestClass c) {
+    private static DispatchResult end(Outcome outcome, long elapsed, RequestClass c) {
         return switch (outcome) {
-            case OK -> elapsed <= c.aim() ? End.IN_AIM : End.LATE;
-            case ERROR -> End.ERROR;
-            case FULL -> End.FULL;
-            case CONNECT_FAILED -> End.UNREACHABLE;
-            case RESET -> End.RESET;
-            case TIMED_OUT -> End.TIMED_OUT;
-            default -> End.WITHDRAWN;
+            case OK -> elapsed <= c.aim() ? DispatchResult.WITHIN_OBJECTIVE : DispatchResult.LATE;
+            case ERROR -> DispatchResult.ERROR;
+            case FULL -> DispatchResult.FULL;
+            case CONNECT_FAILED -> DispatchResult.CONNECT_FAILED;
+            case RESET -> DispatchResult.RESET;
+            case TIMED_OUT -> DispatchResult.TIMED_OUT;
+            default -> DispatchResult.CANCELLED;
         };
     }
 
@@ -160,7 +160,7 @@
     void retired(Exchange exchange) {
         Placed p = placed.remove(exchange.id);
         if (p != null) {
-            ledger.over(p.window);
+            ledger.endSession(p.window);
         }
     }
 }
--- a/balancer/src/test/java/calicochute/fleet/TrialTest.java
+++ b/balancer/src/test/java/calicochute/fleet/TrialTest.java
@@ -55,7 +55,7 @@
         long[] longest = {SECOND};
         long now = 1_000_000 * SECOND;
         Trial trial =
-                new Trial(experiment, Windows.USUAL, List.of("me"), "me", now, () -> longest[0], false, null, ALONE);
+                new Trial(experiment, Windows.DEFAULT, List.of("me"), "me", now, () -> longest[0], false, null, ALONE);
         for (int i = 0; i < 600; i++) {
             trial.tick(now += TICK, Set.of("me"));
         }
--- a/bandit/src/main/java/calicochute/bandit/Bandit.java
+++ b/bandit/src/main/java/calicochute/bandit/Bandit.java
@@ -1,7 +1,7 @@
 package calicochute.bandit;
 
-import calicochute.outcomes.Picture;
-import calicochute.outcomes.Row;
+import calicochute.outcomes.AggregateRow;
+import calicochute.outcomes.OutcomeSnapshot;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collection;
@@ -16,193 +16,223 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * One balancer's reading of the fleet's outcomes: see the package. One thread; time is passed in; the same seed and
+ * A multi-armed bandit over the backend servers (Thompson sampling), which turns the fleet's outcomes into advice for
+ * one balancer. The package documentation lists the rules. Used on one thread; time is passed in; the same seed and
  * calls give the same advice.
  */
 public final class Bandit {
-    /** A kind's level is no lower than this, lest one that is slow as a whole pass for a small one. */
-    private static final double KIND_LEAST = -0.6;
+    /** Least level of a kind (log speed), so that a kind that is slow as a whole does not pass for a small one. */
+    private static final double MIN_KIND_LEVEL = -0.6;
 
-    private static final double SICK_SPEED = 0.1;
-    private final Setting setting;
+    /** Speed advised for an unhealthy server, relative to the typical speed. */
+    private static final double UNHEALTHY_SPEED = 0.1;
+
+    private final BanditSettings settings;
     private final long seed;
-    private final Duty duty;
-    private final Map<String, Known> known = new TreeMap<>();
-    private final Map<String, String> kindOf = new HashMap<>();
-    private final Map<String, Double> kinds = new HashMap<>();
+    private final TrialSchedule trials;
+    private final Map<String, ServerEstimate> estimates = new TreeMap<>();
+    private final Map<String, String> kindOfServer = new HashMap<>();
+    private final Map<String, Double> kindLevels = new HashMap<>();
     private final Map<String, Double> draws = new HashMap<>();
-    private List<Listed> listed = List.of();
-    private long newest = Long.MIN_VALUE;
-    private long drawn = Long.MIN_VALUE;
+    private List<ListedServer> listed = List.of();
+    private long newestWindow = Long.MIN_VALUE;
+    private long drawnWindow = Long.MIN_VALUE;
     private double warmRate;
-    /** Times the usual slot between two tries. */
-    private double longer = 1;
+    /** Factor by which the interval between two trials of a server is longer than the setting. */
+    private double trialStretch = 1;
 
-    public Bandit(Setting setting, String me, long seed) {
-        this.setting = setting;
-        this.seed = seed ^ me.hashCode() * 0x9E3779B97F4A7C15L;
-        this.duty = new Duty(me, setting.tryEvery());
+    public Bandit(BanditSettings settings, String self, long seed) {
+        this.settings = settings;
+        this.seed = seed ^ self.hashCode() * 0x9E3779B97F4A7C15L;
+        this.trials = new TrialSchedule(self, settings.trialIntervalMicros());
     }
 
-    /** Called when rows, the live or the list changed; each window at least. */
-    public void heard(long now, Picture picture, Set<String> live, Collection<Listed> list) {
-        duty.live(live);
-        listed = list.stream().sorted(Comparator.comparing(Listed::id)).toList();
-        kindOf.clear();
-        listed.forEach(l -> kindOf.put(l.id(), l.kind()));
-        known.keySet().retainAll(kindOf.keySet());
-        for (Listed l : listed) {
-            Known k = known.get(l.id());
-            if (k == null || k.startedAt != l.startedAt()) {
-                known.put(l.id(), new Known(setting, l.startedAt(), k));
+    /** Updates all estimates. To be called when rows, live balancers or listed servers change, at least each window. */
+    public void update(long now, OutcomeSnapshot snapshot, Set<String> live, Collection<ListedServer> servers) {
+        trials.setLive(live);
+        listed = servers.stream().sorted(Comparator.comparing(ListedServer::id)).toList();
+        kindOfServer.clear();
+        listed.forEach(l -> kindOfServer.put(l.id(), l.kind()));
+        estimates.keySet().retainAll(kindOfServer.keySet());
+        for (ListedServer server : listed) {
+            ServerEstimate estimate = estimates.get(server.id());
+            if (estimate == null || estimate.startedAt != server.startedAt()) {
+                estimates.put(server.id(), new ServerEstimate(settings, server.startedAt(), estimate));
             }
         }
-        List<Row> rows = picture.rows(now).stream()
-                .filter(r -> now - (r.window() + 1) * setting.window() <= 4 * setting.age())
+        List<AggregateRow> rows = snapshot.rows(now).stream()
+                .filter(r -> now - (r.window() + 1) * settings.windowMicros() <= 4 * settings.decayMicros())
                 .toList();
-        newest = rows.stream().mapToLong(Row::window).max().orElse(Long.MIN_VALUE);
-        Map<String, TreeMap<Long, Sight>> sights = sights(rows);
-        known.forEach((server, k) ->
-                k.see(now, sights.getOrDefault(server, new TreeMap<>()).values()));
-        judge();
-        sights.forEach((server, of) -> known.get(server).health(of, level(server)));
-        load(now, sights);
+        newestWindow = rows.stream().mapToLong(AggregateRow::window).max().orElse(Long.MIN_VALUE);
+        Map<String, TreeMap<Long, ServerWindow>> windowsOfServer = windowsOfServer(rows);
+        estimates.forEach((server, estimate) -> estimate.addUp(
+                now, windowsOfServer.getOrDefault(server, new TreeMap<>()).values()));
+        updatePosteriors();
+        windowsOfServer.forEach((server, windows) -> estimates.get(server).updateHealth(windows, kindLevel(server)));
+        updateLoad(now, windowsOfServer);
     }
 
-    private Map<String, TreeMap<Long, Sight>> sights(List<Row> rows) {
-        Map<String, List<Double>> lanes = new HashMap<>();
+    private Map<String, TreeMap<Long, ServerWindow>> windowsOfServer(List<AggregateRow> rows) {
+        Map<String, List<Double>> logsOfClass = new HashMap<>();
         rows.stream()
-                .filter(r -> r.clipped().speeds() > 0)
-                .forEach(r -> lanes.computeIfAbsent(r.subject().lane(), l -> new ArrayList<>())
-                        .add(Sight.log(r, setting)));
-        Map<String, Double> levels = new HashMap<>();
-        lanes.forEach((lane, logs) -> levels.put(lane, middle(logs)));
-        Map<String, TreeMap<Long, List<Row>>> by = new TreeMap<>();
-        for (Row r : rows) {
-            Known k = known.get(r.subject().server());
-            if (k != null && k.startedAt == r.subject().startedAt()) {
-                by.computeIfAbsent(r.subject().server(), s -> new TreeMap<>())
-                        .computeIfAbsent(r.window(), w -> new ArrayList<>())
-                        .add(r);
+                .filter(r -> r.clipped().speedSamples() > 0)
+                .forEach(r -> logsOfClass
+                        .computeIfAbsent(r.key().requestClass(), c -> new ArrayList<>())
+                        .add(ServerWindow.robustLogSpeed(r, settings)));
+        Map<String, Double> levelOfClass = new HashMap<>();
+        logsOfClass.forEach((requestClass, logs) -> levelOfClass.put(requestClass, median(logs)));
+        Map<String, TreeMap<Long, List<AggregateRow>>> rowsOfServer = new TreeMap<>();
+        for (AggregateRow row : rows) {
+            ServerEstimate estimate = estimates.get(row.key().server());
+            if (estimate != null && estimate.startedAt == row.key().startedAt()) {
+                rowsOfServer
+                        .computeIfAbsent(row.key().server(), s -> new TreeMap<>())
+                        .computeIfAbsent(row.window(), w -> new ArrayList<>())
+                        .add(row);
             }
         }
-        Map<String, TreeMap<Long, Sight>> sights = new TreeMap<>();
-        by.forEach((server, windows) ->
-                windows.forEach((window, of) -> sights.computeIfAbsent(server, s -> new TreeMap<>())
-                        .put(window, Sight.of(window, of, lane -> levels.getOrDefault(lane, 0.0), setting))));
-        return sights;
+        Map<String, TreeMap<Long, ServerWindow>> result = new TreeMap<>();
+        rowsOfServer.forEach((server, rowsOfWindow) ->
+                rowsOfWindow.forEach((window, windowRows) -> result.computeIfAbsent(server, s -> new TreeMap<>())
+                        .put(
+                                window,
+                                ServerWindow.of(
+                                        window, windowRows, c -> levelOfClass.getOrDefault(c, 0.0), settings))));
+        return result;
     }
 
-    private static double middle(List<Double> of) {
-        double[] sorted = of.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+    private static double median(List<Double> values) {
+        double[] sorted =
+                values.stream().mapToDouble(Double::doubleValue).sorted().toArray();
         return sorted.length == 0 ? 0 : (sorted[(sorted.length - 1) / 2] + sorted[sorted.length / 2]) / 2;
     }
 
-    /** Kinds' levels first (the median of those that are not sick), then each server by its kind's. */
-    private void judge() {
-        Map<String, List<Double>> of = new HashMap<>();
-        for (Listed l : listed) {
-            Known k = known.get(l.id());
-            if (k.samples > 0 && !k.sick) {
-                of.computeIfAbsent(l.kind(), kind -> new ArrayList<>()).add(k.raw);
+    /** Computes the level of each kind (the median of its healthy servers), then each server's posterior from it. */
+    private void updatePosteriors() {
+        Map<String, List<Double>> logsOfKind = new HashMap<>();
+        for (ListedServer server : listed) {
+            ServerEstimate estimate = estimates.get(server.id());
+            if (estimate.samples > 0 && !estimate.unhealthy) {
+                logsOfKind
+                        .computeIfAbsent(server.kind(), k -> new ArrayList<>())
+                        .add(estimate.sampleMean);
             }
         }
-        kinds.clear();
-        // A few servers say little of their kind: the fleet's level (0) stands for two more.
-        of.forEach((kind, logs) ->
-                kinds.put(kind, Math.max(KIND_LEAST, middle(logs) * logs.size() / (logs.size() + 2.0))));
-        listed.forEach(l -> known.get(l.id()).judge(level(l.id()), 1));
+        kindLevels.clear();
+        // A few servers say little about their kind, so the fleet's level (0) counts as two more servers.
+        logsOfKind.forEach((kind, logs) ->
+                kindLevels.put(kind, Math.max(MIN_KIND_LEVEL, median(logs) * logs.size() / (logs.size() + 2.0))));
+        listed.forEach(l -> estimates.get(l.id()).updatePosterior(kindLevel(l.id()), 1));
     }
 
-    private double level(String server) {
-        return kinds.getOrDefault(kindOf.getOrDefault(server, ""), 0.0);
+    private double kindLevel(String server) {
+        return kindLevels.getOrDefault(kindOfServer.getOrDefault(server, ""), 0.0);
     }
 
-    /** The fleet's rate at a warm server, and how far each server's is from what its speed says. */
-    private void load(long now, Map<String, TreeMap<Long, Sight>> sights) {
-        List<Listed> warm = listed.stream()
+    /**
+     * Computes the fleet's dispatch rate at a warm server, the interval of trials, and how far each server's load is
+     * from what its speed accounts for.
+     */
+    private void updateLoad(long now, Map<String, TreeMap<Long, ServerWindow>> windowsOfServer) {
+        List<ListedServer> warm = listed.stream()
                 .filter(l -> l.ready()
-                        && !known.get(l.id()).sick
-                        && (l.startedAt() <= 0 || now - l.startedAt() >= setting.warmUp())
-                        && known.get(l.id()).dispatches > 0)
+                        && !estimates.get(l.id()).unhealthy
+                        && (l.startedAt() <= 0 || now - l.startedAt() >= settings.warmUpMicros())
+                        && estimates.get(l.id()).dispatches > 0)
                 .toList();
-        double speeds = warm.stream()
-                .mapToDouble(l -> Math.exp(known.get(l.id()).mean))
+        double meanSpeed = warm.stream()
+                .mapToDouble(l -> Math.exp(estimates.get(l.id()).mean))
                 .average()
                 .orElse(1);
-        double all = warm.stream()
-                .mapToDouble(l -> known.get(l.id()).dispatches)
+        double meanDispatches = warm.stream()
+                .mapToDouble(l -> estimates.get(l.id()).dispatches)
                 .average()
                 .orElse(0);
-        double windows = sights.values().stream()
+        // The windows seen, each with the weight of its age, as in the decayed dispatch counts.
+        double windows = windowsOfServer.values().stream()
                 .flatMap(s -> s.keySet().stream())
                 .distinct()
-                .mapToDouble(w -> Math.exp(-(double) Math.max(0, now - (w + 1) * setting.window()) / setting.age()))
+                .mapToDouble(w -> Math.exp(
+                        -(double) Math.max(0, now - (w + 1) * settings.windowMicros()) / settings.decayMicros()))
                 .sum();
-        warmRate = windows == 0 ? 0 : all / windows / (setting.window() / 1e6);
-        double fleet = windows == 0
+        warmRate = windows == 0 ? 0 : meanDispatches / windows / (settings.windowMicros() / 1e6);
+        double fleetRate = windows == 0
                 ? 0
-                : known.values().stream().mapToDouble(k -> k.dispatches).sum() / windows / (setting.window() / 1e6);
-        long tried =
-                known.values().stream().filter(k -> k.sick || k.samples < 1).count();
-        longer = tried * 1e6 / (setting.tryEvery() * Math.max(1e-9, fleet * setting.tryPart()));
-        for (Listed l : warm) {
-            Known k = known.get(l.id());
-            k.correct(newest, Math.exp(k.mean) / speeds, k.dispatches / all);
+                : estimates.values().stream().mapToDouble(e -> e.dispatches).sum()
+                        / windows
+                        / (settings.windowMicros() / 1e6);
+        long tried = estimates.values().stream()
+                .filter(e -> e.unhealthy || e.samples < 1)
+                .count();
+        trialStretch =
+                tried * 1e6 / (settings.trialIntervalMicros() * Math.max(1e-9, fleetRate * settings.maxTrialShare()));
+        for (ListedServer server : warm) {
+            ServerEstimate estimate = estimates.get(server.id());
+            estimate.correctBias(
+                    newestWindow, Math.exp(estimate.mean) / meanSpeed, estimate.dispatches / meanDispatches);
         }
     }
 
-    public Advices advise(long now) {
-        long until = now + 2 * setting.window();
-        double share = 1.0 / duty.size();
-        if (newest == Long.MIN_VALUE || now - (newest + 1) * setting.window() > setting.stale()) {
-            return new Advices(List.of(), 0, share, until);
+    /** The advice at this time, by the last update. */
+    public FleetAdvice advise(long now) {
+        long until = now + 2 * settings.windowMicros();
+        double share = 1.0 / trials.fleetSize();
+        if (newestWindow == Long.MIN_VALUE
+                || now - (newestWindow + 1) * settings.windowMicros() > settings.staleMicros()) {
+            return new FleetAdvice(List.of(), 0, share, until);
         }
-        draw(Math.floorDiv(now, setting.window()));
+        draw(Math.floorDiv(now, settings.windowMicros()));
         double[] speeds = listed.stream()
-                .map(l -> known.get(l.id()))
-                .filter(k -> !k.sick)
-                .mapToDouble(k -> Math.exp(k.mean))
+                .map(l -> estimates.get(l.id()))
+                .filter(e -> !e.unhealthy)
+                .mapToDouble(e -> Math.exp(e.mean))
                 .toArray();
-        double typical = Arrays.stream(speeds).average().orElse(1);
-        List<Advice> of = new ArrayList<>();
-        for (Listed l : listed) {
-            if (l.ready()) {
-                of.add(advice(now, l, known.get(l.id()), typical));
+        double typicalSpeed = Arrays.stream(speeds).average().orElse(1);
+        List<Advice> servers = new ArrayList<>();
+        for (ListedServer server : listed) {
+            if (server.ready()) {
+                servers.add(advise(now, server, estimates.get(server.id()), typicalSpeed));
             }
         }
-        return new Advices(of, warmRate, share, until);
+        return new FleetAdvice(servers, warmRate, share, until);
     }
 
-    private Advice advice(long now, Listed l, Known k, double typical) {
-        if (k.sick) {
-            boolean mine = duty.mine(l.id(), now, longer, k.hopeful ? setting.eager() : 1);
-            return new Advice(l.id(), l.startedAt(), SICK_SPEED, setting.most(), true, mine);
+    private Advice advise(long now, ListedServer server, ServerEstimate estimate, double typicalSpeed) {
+        if (estimate.unhealthy) {
+            boolean mine =
+                    trials.isMyTurn(server.id(), now, trialStretch, estimate.recovering ? settings.trialSpeedup() : 1);
+            return new Advice(server.id(), server.startedAt(), UNHEALTHY_SPEED, settings.maxWorthSamples(), true, mine);
         }
-        double below = k.mean - level(l.id());
-        double trouble = Math.max(0, Math.min(1, (Known.TROUBLE - below) / (Known.TROUBLE - Known.BROKEN)));
-        double draw = draws.getOrDefault(l.id(), 0.0);
-        // A share as the capacity: the softmax of 1 + tau ln x is as x.
-        double even = 1
-                + setting.tau() * (k.mean - Math.log(typical) + k.bias)
-                + draw * Math.max(setting.width(), setting.tau() * k.width);
-        double slow = Math.exp(k.mean + draw * k.width) / typical;
-        double speed = ((1 - trouble) * even + trouble * slow) * k.success;
-        boolean silent = k.samples < 1;
+        double relative = estimate.mean - kindLevel(server.id());
+        double degradation = Math.max(
+                0,
+                Math.min(
+                        1,
+                        (ServerEstimate.DEGRADED_LOG - relative)
+                                / (ServerEstimate.DEGRADED_LOG - ServerEstimate.SEVERELY_DEGRADED_LOG)));
+        double draw = draws.getOrDefault(server.id(), 0.0);
+        // The softmax of 1 + temperature * ln x is proportional to x, which makes the share proportional to capacity.
+        double byCapacity = 1
+                + settings.temperature() * (estimate.mean - Math.log(typicalSpeed) + estimate.bias)
+                + draw * Math.max(settings.minDrawDeviation(), settings.temperature() * estimate.deviation);
+        double byLatency = Math.exp(estimate.mean + draw * estimate.deviation) / typicalSpeed;
+        double speed = ((1 - degradation) * byCapacity + degradation * byLatency) * estimate.successRate;
+        boolean unsampled = estimate.samples < 1;
         return new Advice(
-                l.id(),
-                l.startedAt(),
+                server.id(),
+                server.startedAt(),
                 Math.max(0, Math.min(3, speed)),
-                k.worth(),
+                estimate.worthSamples(),
                 false,
-                silent && duty.mine(l.id(), now, longer, 1));
+                unsampled && trials.isMyTurn(server.id(), now, trialStretch, 1));
     }
 
+    /** Draws a standard normal number for each server, once for each window. */
     private void draw(long window) {
-        if (window == drawn) {
+        if (window == drawnWindow) {
             return;
         }
-        drawn = window;
+        drawnWindow = window;
         draws.clear();
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed ^ window * 0xD1342543DE82EF95L);
         ZigguratSampler.NormalizedGaussian normal = ZigguratSampler.NormalizedGaussian.of(random);
--- a/bandit/src/test/java/calicochute/bandit/BanditTest.java
+++ b/bandit/src/test/java/calicochute/bandit/BanditTest.java
@@ -5,99 +5,106 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicochute.outcomes.End;
-import calicochute.outcomes.Pictures;
-import calicochute.outcomes.Row;
-import calicochute.outcomes.Subject;
+import calicochute.outcomes.AggregateRow;
+import calicochute.outcomes.DispatchResult;
+import calicochute.outcomes.OutcomeKey;
+import calicochute.outcomes.Snapshots;
 import calicochute.outcomes.Tally;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.TreeMap;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
 class BanditTest {
-    private static final long W = 2_000_000, NOW = 104 * W;
+    /** Length of a window in microseconds. */
+    private static final long WINDOW = 2_000_000;
+    /** Time in microseconds. */
+    private static final long NOW = 104 * WINDOW;
+
     private static final int SERVERS = 12;
 
-    /** What one witness counts at a server in a window; null: nothing. */
-    private interface Seen {
-        Tally of(long window, int server, int witness);
+    /** What one reporter counts at a server in a window; null for nothing. */
+    private interface Reports {
+        Tally of(long window, int server, int reporter);
     }
 
-    private static Tally many(int n, End end, double log) {
-        Tally sum = Tally.NONE;
-        for (int i = 0; i < n; i++) {
-            sum = sum.plus(Tally.of(end, log));
+    private static Tally tally(int count, DispatchResult result, double logSpeed) {
+        Tally sum = Tally.EMPTY;
+        for (int i = 0; i < count; i++) {
+            sum = sum.plus(Tally.of(result, logSpeed));
         }
         return sum;
     }
 
-    /** Two answers for each witness, with noise that depends on who and what alone. */
-    private static Tally usual(long window, int server, int witness) {
-        SplittableRandom random = new SplittableRandom(window * 1_000_003 + server * 1009 + witness);
-        return Tally.of(End.IN_AIM, random.nextGaussian() / 2).plus(Tally.of(End.IN_AIM, random.nextGaussian() / 2));
+    /** Two answers for each reporter, with noise that depends only on window, server and reporter. */
+    private static Tally usual(long window, int server, int reporter) {
+        SplittableRandom random = new SplittableRandom(window * 1_000_003 + server * 1009 + reporter);
+        return Tally.of(DispatchResult.WITHIN_OBJECTIVE, random.nextGaussian() / 2)
+                .plus(Tally.of(DispatchResult.WITHIN_OBJECTIVE, random.nextGaussian() / 2));
     }
 
-    private static List<Row> rows(long from, long to, int witnesses, Seen seen) {
-        List<Row> rows = new ArrayList<>();
-        for (long w = from; w <= to; w++) {
-            for (int s = 0; s < SERVERS; s++) {
-                List<Tally> of = new ArrayList<>();
-                for (int i = 0; i < witnesses; i++) {
-                    Tally t = seen.of(w, s, i);
-                    if (t != null) {
-                        of.add(t);
+    private static List<AggregateRow> rows(long from, long last, int reporters, Reports reports) {
+        List<AggregateRow> rows = new ArrayList<>();
+        for (long window = from; window <= last; window++) {
+            for (int server = 0; server < SERVERS; server++) {
+                List<Tally> tallies = new ArrayList<>();
+                for (int i = 0; i < reporters; i++) {
+                    Tally tally = reports.of(window, server, i);
+                    if (tally != null) {
+                        tallies.add(tally);
                     }
                 }
-                if (!of.isEmpty()) {
-                    rows.add(Pictures.row(new Subject("s" + s, 1, "lane", ""), w, of));
+                if (!tallies.isEmpty()) {
+                    rows.add(Snapshots.row(new OutcomeKey("s" + server, 1, "lane", ""), window, tallies));
                 }
             }
         }
         return rows;
     }
 
-    private static List<Listed> listed(long startedAt) {
-        List<Listed> list = new ArrayList<>();
-        for (int s = 0; s < SERVERS; s++) {
-            list.add(new Listed("s" + s, startedAt, "kind", "z", 1, true));
+    private static List<ListedServer> listed(long startedAt) {
+        List<ListedServer> list = new ArrayList<>();
+        for (int server = 0; server < SERVERS; server++) {
+            list.add(new ListedServer("s" + server, startedAt, "kind", "z", 1, true));
         }
         return list;
     }
 
-    private static Set<String> fleet(int many) {
+    private static Set<String> fleet(int balancers) {
         Set<String> live = new TreeSet<>();
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < balancers; i++) {
             live.add("b" + i);
         }
         return live;
     }
 
-    private static Bandit told(String me, List<Row> rows) {
-        Bandit bandit = new Bandit(Setting.USUAL, me, 7);
-        bandit.heard(NOW, Pictures.of(rows), fleet(100), listed(1));
+    private static Bandit banditWith(String self, List<AggregateRow> rows) {
+        Bandit bandit = new Bandit(BanditSettings.DEFAULT, self, 7);
+        bandit.update(NOW, Snapshots.of(rows), fleet(100), listed(1));
         return bandit;
     }
 
-    private static Map<String, Advice> advised(Bandit bandit, long now) {
-        Map<String, Advice> by = new HashMap<>();
-        bandit.advise(now).of().forEach(a -> by.put(a.server(), a));
-        return by;
+    private static Map<String, Advice> adviceByServer(Bandit bandit, long now) {
+        Map<String, Advice> byServer = new HashMap<>();
+        bandit.advise(now).servers().forEach(a -> byServer.put(a.server(), a));
+        return byServer;
     }
 
-    /** Shares by the softmax where the reader has some own samples of its own opinion. */
-    private static double[] shares(Map<String, Advice> advice, double samples) {
+    /** Shares by the softmax of a reader with this many own samples, which differ a little from the advice. */
+    private static double[] shares(Map<String, Advice> adviceByServer, double ownSamples) {
         double[] score = new double[SERVERS];
         double best = 0;
         for (int s = 0; s < SERVERS; s++) {
-            Advice a = advice.get("s" + s);
-            double k = samples / (samples + a.worth());
-            score[s] = (1 + 0.02 * (s % 3)) * k + a.speed() * (1 - k);
+            Advice advice = adviceByServer.get("s" + s);
+            double ownShare = ownSamples / (ownSamples + advice.worthSamples());
+            score[s] = (1 + 0.02 * (s % 3)) * ownShare + advice.speed() * (1 - ownShare);
             best = Math.max(best, score[s]);
         }
         double sum = 0;
@@ -110,82 +117,104 @@
         return score;
     }
 
-    private static double moved(Seen with, double samples) {
-        Seen without = (w, s, i) -> i == 99 ? null : usual(w, s, i);
-        double[] a = shares(advised(told("b1", rows(98, 102, 100, without)), NOW), samples);
-        double[] b = shares(advised(told("b1", rows(98, 102, 100, with)), NOW), samples);
+    /** How much of the traffic these reports move, compared to those without reporter 99. */
+    private static double movedShare(Reports reports, double ownSamples) {
+        Reports without = (window, server, i) -> i == 99 ? null : usual(window, server, i);
+        double[] before = shares(adviceByServer(banditWith("b1", rows(98, 102, 100, without)), NOW), ownSamples);
+        double[] after = shares(adviceByServer(banditWith("b1", rows(98, 102, 100, reports)), NOW), ownSamples);
         double moved = 0;
         for (int s = 0; s < SERVERS; s++) {
-            moved += Math.abs(a[s] - b[s]) / 2;
+            moved += Math.abs(before[s] - after[s]) / 2;
         }
         return moved;
     }
 
     @Test
-    void oneBadWitnessInAHundredMovesSharesByUnderTwoPercent() {
-        Map<String, Seen> bad = Map.of(
-                "a third fails",
-                        (w, s, i) -> i < 99
-                                ? usual(w, s, i)
-                                : s % 3 == 0 ? many(50, End.UNREACHABLE, Double.NaN) : many(2, End.IN_AIM, 0),
-                "a third is twenty times as fast",
-                        (w, s, i) -> i < 99 ? usual(w, s, i) : many(50, End.IN_AIM, s % 3 == 0 ? 3 : 0),
-                "a third is twenty times as slow",
-                        (w, s, i) -> i < 99 ? usual(w, s, i) : many(50, End.LATE, s % 3 == 0 ? -3 : 0));
-        bad.forEach((what, seen) -> {
-            for (double samples : new double[] {0, 1, 12}) {
-                double moved = moved(seen, samples);
-                assertTrue(moved < 0.02, what + ", " + samples + " own samples: " + moved);
+    void oneFaultyReporterInAHundredMovesSharesByUnderTwoPercent() {
+        Map<String, Reports> faulty = Map.of(
+                "a third of the servers fail",
+                        (window, server, i) -> i < 99
+                                ? usual(window, server, i)
+                                : server % 3 == 0
+                                        ? tally(50, DispatchResult.CONNECT_FAILED, Double.NaN)
+                                        : tally(2, DispatchResult.WITHIN_OBJECTIVE, 0),
+                "a third of the servers are twenty times as fast",
+                        (window, server, i) -> i < 99
+                                ? usual(window, server, i)
+                                : tally(50, DispatchResult.WITHIN_OBJECTIVE, server % 3 == 0 ? 3 : 0),
+                "a third of the servers are twenty times as slow",
+                        (window, server, i) -> i < 99
+                                ? usual(window, server, i)
+                                : tally(50, DispatchResult.LATE, server % 3 == 0 ? -3 : 0));
+        faulty.forEach((what, reports) -> {
+            for (double ownSamples : new double[] {0, 1, 12}) {
+                double moved = movedShare(reports, ownSamples);
+                assertTrue(moved < 0.02, what + ", " + ownSamples + " own samples: " + moved);
             }
         });
     }
 
     @Test
-    void aHundredThatAgreeAreBelievedAtOnceAndThoseThatDifferLess() {
-        Bandit agree =
-                told("b1", rows(102, 102, 100, (w, s, i) -> s == 5 ? many(2, End.IN_AIM, -1.6) : usual(w, s, i)));
-        Advice slow = advised(agree, NOW).get("s5");
-        assertTrue(slow.sick() && slow.speed() < 0.3 && slow.worth() > 50, slow.toString());
-        assertTrue(advised(agree, NOW).get("s4").worth() > 50);
-        Bandit differ = told(
+    void reportersThatAgreeAreTrustedAtOnceAndReportersThatDifferLess() {
+        Bandit agreeing = banditWith(
                 "b1",
-                rows(102, 102, 100, (w, s, i) -> s == 5 && i % 3 == 0 ? many(2, End.IN_AIM, -1.6) : usual(w, s, i)));
-        Advice path = advised(differ, NOW).get("s5");
-        assertTrue(!path.sick() && path.worth() < 5, path.toString());
+                rows(
+                        102,
+                        102,
+                        100,
+                        (window, server, i) -> server == 5
+                                ? tally(2, DispatchResult.WITHIN_OBJECTIVE, -1.6)
+                                : usual(window, server, i)));
+        Advice slow = adviceByServer(agreeing, NOW).get("s5");
+        assertTrue(slow.unhealthy() && slow.speed() < 0.3 && slow.worthSamples() > 50, slow.toString());
+        assertTrue(adviceByServer(agreeing, NOW).get("s4").worthSamples() > 50);
+        Bandit differing = banditWith(
+                "b1",
+                rows(
+                        102,
+                        102,
+                        100,
+                        (window, server, i) -> server == 5 && i % 3 == 0
+                                ? tally(2, DispatchResult.WITHIN_OBJECTIVE, -1.6)
+                                : usual(window, server, i)));
+        Advice slowPath = adviceByServer(differing, NOW).get("s5");
+        assertTrue(!slowPath.unhealthy() && slowPath.worthSamples() < 5, slowPath.toString());
     }
 
     @Test
-    void dispatchesBeyondWhatSpeedSaysAreCorrected() {
-        Seen crowded = (w, s, i) -> s == 3 ? usual(w, s, i).plus(usual(w, s, i)) : usual(w, s, i);
+    void dispatchesBeyondWhatSpeedAccountsForAreCorrected() {
+        Reports overloaded = (window, server, i) ->
+                server == 3 ? usual(window, server, i).plus(usual(window, server, i)) : usual(window, server, i);
         double[] speeds = new double[2];
         for (int i = 0; i < 2; i++) {
-            Bandit bandit = new Bandit(Setting.USUAL, "b1", 7);
-            for (long w = 98; w <= 102; w++) {
-                bandit.heard(
-                        (w + 2) * W,
-                        Pictures.of(rows(w - 2, w, 20, i == 0 ? crowded : BanditTest::usual)),
+            Bandit bandit = new Bandit(BanditSettings.DEFAULT, "b1", 7);
+            for (long window = 98; window <= 102; window++) {
+                bandit.update(
+                        (window + 2) * WINDOW,
+                        Snapshots.of(rows(window - 2, window, 20, i == 0 ? overloaded : BanditTest::usual)),
                         fleet(20),
                         listed(1));
             }
-            speeds[i] = advised(bandit, NOW).get("s3").speed();
+            speeds[i] = adviceByServer(bandit, NOW).get("s3").speed();
         }
         assertTrue(speeds[0] < speeds[1] - 0.01, speeds[0] + " " + speeds[1]);
     }
 
-    private static Seen dead(int server) {
-        return (w, s, i) -> s == server ? many(2, End.UNREACHABLE, Double.NaN) : usual(w, s, i);
+    private static Reports unreachable(int unreachable) {
+        return (window, server, i) ->
+                server == unreachable ? tally(2, DispatchResult.CONNECT_FAILED, Double.NaN) : usual(window, server, i);
     }
 
-    /** Turns in a minute over the whole fleet, and by whom. */
+    /** Turns to try server 5 in four slots over the whole fleet, by balancer. */
     private static Map<String, Integer> turns(int balancers) {
-        List<Row> rows = rows(100, 102, Math.min(balancers, 100), dead(5));
-        Map<String, Integer> turns = new java.util.TreeMap<>();
-        for (String me : fleet(balancers)) {
-            Bandit bandit = new Bandit(Setting.USUAL, me, 7);
-            bandit.heard(NOW, Pictures.of(rows), fleet(balancers), listed(1));
+        List<AggregateRow> rows = rows(100, 102, Math.min(balancers, 100), unreachable(5));
+        Map<String, Integer> turns = new TreeMap<>();
+        for (String balancer : fleet(balancers)) {
+            Bandit bandit = new Bandit(BanditSettings.DEFAULT, balancer, 7);
+            bandit.update(NOW, Snapshots.of(rows), fleet(balancers), listed(1));
             for (long slot = 0; slot < 4; slot++) {
-                if (advised(bandit, NOW + slot * 500_000 + 1).get("s5").mayTry()) {
-                    turns.merge(me, 1, Integer::sum);
+                if (adviceByServer(bandit, NOW + slot * 500_000 + 1).get("s5").mayTry()) {
+                    turns.merge(balancer, 1, Integer::sum);
                 }
             }
         }
@@ -193,25 +222,25 @@
     }
 
     @Test
-    void triesAreTheFleetsAndDoNotGrowWithIt() {
+    void trialsDoNotGrowWithTheFleet() {
         for (int balancers : new int[] {30, 300}) {
             Map<String, Integer> turns = turns(balancers);
             assertEquals(4, turns.values().stream().mapToInt(Integer::intValue).sum());
-            assertTrue(turns.size() >= 2, "one owner for good: " + turns);
+            assertTrue(turns.size() >= 2, "one balancer has all turns: " + turns);
         }
     }
 
     @Test
-    void anOwnerThatGoesPassesItsTurnOn() {
+    void aSlotOfAnOwnerThatLeavesGoesToAnotherBalancer() {
         for (long slot = 0; slot < 50; slot++) {
             Set<String> live = fleet(20);
             Set<String> owners = new HashSet<>();
             for (int round = 0; round < 2; round++) {
-                for (String me : Set.copyOf(live)) {
-                    Duty duty = new Duty(me, 500_000);
-                    duty.live(live);
-                    if (duty.mine("s", slot * 500_000, 1, 1)) {
-                        owners.add(me);
+                for (String balancer : Set.copyOf(live)) {
+                    TrialSchedule schedule = new TrialSchedule(balancer, 500_000);
+                    schedule.setLive(live);
+                    if (schedule.isMyTurn("s", slot * 500_000, 1, 1)) {
+                        owners.add(balancer);
                     }
                 }
                 assertEquals(round + 1, owners.size());
@@ -221,66 +250,73 @@
     }
 
     @Test
-    void aFewGoodTriesBringItBackAndAfterARelapseOnlyAWindowOfThem() {
-        Bandit bandit = told("b1", rows(100, 102, 30, dead(5)));
-        assertTrue(advised(bandit, NOW).get("s5").sick());
-        // The return falls into the window: two tries failed and two went well.
-        Seen mixed = (w, s, i) -> s != 5
-                ? usual(w, s, i)
-                : i >= 4 ? null : i < 2 ? Tally.of(End.RESET, Double.NaN) : Tally.of(End.IN_AIM, 0);
-        bandit.heard(NOW + W, Pictures.of(rows(103, 103, 30, mixed)), fleet(30), listed(1));
-        Advice back = advised(bandit, NOW + W).get("s5");
-        assertTrue(!back.sick() && back.speed() > 0.93 && back.worth() > 3, back.toString());
-        bandit.heard(NOW + 2 * W, Pictures.of(rows(104, 104, 30, dead(5))), fleet(30), listed(1));
-        assertTrue(advised(bandit, NOW + 2 * W).get("s5").sick());
-        bandit.heard(NOW + 3 * W, Pictures.of(rows(105, 105, 30, mixed)), fleet(30), listed(1));
-        assertTrue(advised(bandit, NOW + 3 * W).get("s5").sick());
-        Seen good = (w, s, i) -> s != 5 ? usual(w, s, i) : i < 4 ? Tally.of(End.IN_AIM, 0) : null;
-        bandit.heard(NOW + 4 * W, Pictures.of(rows(106, 106, 30, good)), fleet(30), listed(1));
-        assertFalse(advised(bandit, NOW + 4 * W).get("s5").sick());
+    void aFewSuccessfulTrialsRestoreAServerAndAfterARelapseOnlyWithoutFailures() {
+        Bandit bandit = banditWith("b1", rows(100, 102, 30, unreachable(5)));
+        assertTrue(adviceByServer(bandit, NOW).get("s5").unhealthy());
+        // The server recovers within the window: two trials failed and two were successful.
+        Reports mixed = (window, server, i) -> server != 5
+                ? usual(window, server, i)
+                : i >= 4
+                        ? null
+                        : i < 2
+                                ? Tally.of(DispatchResult.RESET, Double.NaN)
+                                : Tally.of(DispatchResult.WITHIN_OBJECTIVE, 0);
+        bandit.update(NOW + WINDOW, Snapshots.of(rows(103, 103, 30, mixed)), fleet(30), listed(1));
+        Advice recovered = adviceByServer(bandit, NOW + WINDOW).get("s5");
+        assertTrue(
+                !recovered.unhealthy() && recovered.speed() > 0.93 && recovered.worthSamples() > 3,
+                recovered.toString());
+        bandit.update(NOW + 2 * WINDOW, Snapshots.of(rows(104, 104, 30, unreachable(5))), fleet(30), listed(1));
+        assertTrue(adviceByServer(bandit, NOW + 2 * WINDOW).get("s5").unhealthy());
+        bandit.update(NOW + 3 * WINDOW, Snapshots.of(rows(105, 105, 30, mixed)), fleet(30), listed(1));
+        assertTrue(adviceByServer(bandit, NOW + 3 * WINDOW).get("s5").unhealthy());
+        Reports successful = (window, server, i) ->
+                server != 5 ? usual(window, server, i) : i < 4 ? Tally.of(DispatchResult.WITHIN_OBJECTIVE, 0) : null;
+        bandit.update(NOW + 4 * WINDOW, Snapshots.of(rows(106, 106, 30, successful)), fleet(30), listed(1));
+        assertFalse(adviceByServer(bandit, NOW + 4 * WINDOW).get("s5").unhealthy());
     }
 
     @Test
     void withoutFreshRowsThereIsNoAdvice() {
-        Bandit bandit = told("b1", rows(100, 102, 30, BanditTest::usual));
-        assertEquals(SERVERS, bandit.advise(103 * W + 6_000_000).of().size());
-        Advices stale = bandit.advise(103 * W + 6_000_001);
-        assertTrue(stale.of().isEmpty() && stale.warmRate() == 0);
+        Bandit bandit = banditWith("b1", rows(100, 102, 30, BanditTest::usual));
+        assertEquals(SERVERS, bandit.advise(103 * WINDOW + 6_000_000).servers().size());
+        FleetAdvice stale = bandit.advise(103 * WINDOW + 6_000_001);
+        assertTrue(stale.servers().isEmpty() && stale.warmRate() == 0);
         assertEquals(0.01, stale.share());
     }
 
     @Test
-    void aRestartLeavesLittleOfWhatWasKnown() {
-        Bandit bandit = told("b1", rows(100, 102, 30, BanditTest::usual));
-        assertTrue(advised(bandit, NOW).get("s5").worth() > 30);
-        bandit.heard(NOW, Pictures.of(rows(100, 102, 30, BanditTest::usual)), fleet(30), listed(2));
-        assertEquals(2, advised(bandit, NOW).get("s5").worth());
+    void aRestartDiscountsTheEstimate() {
+        Bandit bandit = banditWith("b1", rows(100, 102, 30, BanditTest::usual));
+        assertTrue(adviceByServer(bandit, NOW).get("s5").worthSamples() > 30);
+        bandit.update(NOW, Snapshots.of(rows(100, 102, 30, BanditTest::usual)), fleet(30), listed(2));
+        assertEquals(2, adviceByServer(bandit, NOW).get("s5").worthSamples());
     }
 
     @Test
-    void theSameSeedGivesTheSameAndBalancersDiffer() {
-        List<Row> rows = rows(100, 102, 30, BanditTest::usual);
-        assertEquals(told("b1", rows).advise(NOW), told("b1", rows).advise(NOW));
-        Bandit one = told("b1", rows);
-        double first = advised(one, NOW).get("s5").speed();
-        assertEquals(first, advised(one, NOW + W / 2).get("s5").speed());
-        assertNotEquals(first, advised(one, NOW + W).get("s5").speed());
+    void theSameSeedGivesTheSameAdviceAndBalancersDiffer() {
+        List<AggregateRow> rows = rows(100, 102, 30, BanditTest::usual);
+        assertEquals(banditWith("b1", rows).advise(NOW), banditWith("b1", rows).advise(NOW));
+        Bandit bandit = banditWith("b1", rows);
+        double first = adviceByServer(bandit, NOW).get("s5").speed();
+        assertEquals(first, adviceByServer(bandit, NOW + WINDOW / 2).get("s5").speed());
+        assertNotEquals(first, adviceByServer(bandit, NOW + WINDOW).get("s5").speed());
         Set<String> best = new HashSet<>();
-        for (String me : fleet(40)) {
-            best.add(told(me, rows).advise(NOW).of().stream()
-                    .max(java.util.Comparator.comparing(Advice::speed))
+        for (String balancer : fleet(40)) {
+            best.add(banditWith(balancer, rows).advise(NOW).servers().stream()
+                    .max(Comparator.comparing(Advice::speed))
                     .orElseThrow()
                     .server());
         }
-        assertTrue(best.size() >= 3, "all on " + best);
+        assertTrue(best.size() >= 3, "all balancers prefer " + best);
     }
 
     @Test
-    void loadIsMoreEvenThanAloneInASimulatedFleet() {
-        double[] alone = new Simulation("none", 30, 1).evenness();
-        double[] advised = new Simulation("thompson", 30, 1).evenness();
+    void loadIsMoreEvenWithAdviceThanWithoutInASimulatedFleet() {
+        double[] without = new BanditSimulation("none", 30, 1).evenness();
+        double[] advised = new BanditSimulation("thompson", 30, 1).evenness();
         assertTrue(
-                advised[0] < 0.8 * alone[0] && advised[1] > alone[1] + 0.15,
-                advised[0] + " " + advised[1] + " against " + alone[0] + " " + alone[1]);
+                advised[0] < 0.8 * without[0] && advised[1] > without[1] + 0.15,
+                advised[0] + " " + advised[1] + " against " + without[0] + " " + without[1]);
     }
 }
--- a/outcomes/src/main/java/calicochute/outcomes/Origin.java
+++ b/outcomes/src/main/java/calicochute/outcomes/Origin.java
@@ -3,15 +3,15 @@
 import java.util.Comparator;
 
 /**
- * One process that counts: each start of a balancer is an origin of its own, so that what it counted before a restart
- * and after it are two wholes and neither is taken for the other.
+ * One process that counts outcomes. Each start of a balancer is an origin of its own, so that its counts before and
+ * after a restart add up and neither replaces the other.
  *
- * @param id its name in the list of peers
- * @param start when the process began (microseconds)
+ * @param id the balancer's id in the list of peers
+ * @param startedAt when the process started (microseconds)
  */
-public record Origin(String id, long start) implements Comparable<Origin> {
+public record Origin(String id, long startedAt) implements Comparable<Origin> {
     private static final Comparator<Origin> ORDER =
-            Comparator.comparing(Origin::id).thenComparingLong(Origin::start);
+            Comparator.comparing(Origin::id).thenComparingLong(Origin::startedAt);
 
     @Override
     public int compareTo(Origin other) {
--- a/outcomes/src/main/java/calicochute/outcomes/Tally.java
+++ b/outcomes/src/main/java/calicochute/outcomes/Tally.java
@@ -3,146 +3,155 @@
 import java.util.Arrays;
 
 /**
- * Dispatches counted by how they ended, and the speeds seen. Immutable. The logs are multiples of 1/16384, so that
- * their sums are exact: added in any order they are the same to the last bit.
+ * Dispatches counted by result, and sums of the speeds measured. Immutable. The logs are multiples of 1/16384, so that
+ * their sums are exact and the same to the last bit in any order of addition.
  *
- * @param ends how many ended in each way, by {@link End#ordinal()}
- * @param logSpeed the sum of the natural logs of the speeds (1: the time that was expected; 2: half of it)
- * @param logSpeedSquares the sum of their squares
- * @param speeds how many dispatches gave a speed
+ * @param counts dispatches by {@link DispatchResult#ordinal()}
+ * @param logSpeedSum the sum of the natural logs of the speeds (speed 1: the expected time; 2: half of it)
+ * @param logSpeedSquareSum the sum of the squares of these logs
+ * @param speedSamples how many dispatches gave a speed
  */
-public record Tally(long[] ends, double logSpeed, double logSpeedSquares, long speeds) implements Comparable<Tally> {
-    /** Units of a log on the wire and in the sums. */
-    static final double UNITS = 16_384;
-    /** No balancer can measure a speed over 1000 or under a thousandth. */
-    public static final double GREATEST_LOG = Math.log(1000);
+public record Tally(long[] counts, double logSpeedSum, double logSpeedSquareSum, long speedSamples)
+        implements Comparable<Tally> {
+    /** Units of one log on the wire and in the sums. */
+    static final double UNITS_PER_LOG = 16_384;
+    /** Natural log of the greatest speed that counts: speeds are limited to the range from 1/1000 to 1000. */
+    public static final double MAX_LOG_SPEED = Math.log(1000);
 
-    private static final int WAYS = End.values().length;
+    private static final int RESULTS = DispatchResult.values().length;
 
-    public static final Tally NONE = new Tally(new long[WAYS], 0, 0, 0);
+    public static final Tally EMPTY = new Tally(new long[RESULTS], 0, 0, 0);
 
     public Tally {
-        if (ends.length != WAYS) {
-            throw new IllegalArgumentException("ends: " + ends.length);
+        if (counts.length != RESULTS) {
+            throw new IllegalArgumentException("wrong number of counts: " + counts.length);
         }
-        ends = ends.clone();
-        logSpeed = exact(logSpeed);
-        logSpeedSquares = exact(logSpeedSquares);
+        counts = counts.clone();
+        logSpeedSum = quantize(logSpeedSum);
+        logSpeedSquareSum = quantize(logSpeedSquareSum);
     }
 
-    static double exact(double log) {
-        return Math.rint(log * UNITS) / UNITS;
+    /** Rounds a log to the nearest multiple of 1/16384. */
+    static double quantize(double log) {
+        return Math.rint(log * UNITS_PER_LOG) / UNITS_PER_LOG;
     }
 
-    /** One dispatch; a log speed of NaN: none was seen; one out of range counts as the end of the range. */
-    public static Tally of(End end, double logSpeed) {
-        long[] ends = new long[WAYS];
-        ends[end.ordinal()] = 1;
+    /** One dispatch. A log speed of NaN means that none was measured; one out of range counts as the end of it. */
+    public static Tally of(DispatchResult result, double logSpeed) {
+        long[] counts = new long[RESULTS];
+        counts[result.ordinal()] = 1;
         if (Double.isNaN(logSpeed)) {
-            return new Tally(ends, 0, 0, 0);
+            return new Tally(counts, 0, 0, 0);
         }
-        double log = exact(Math.max(-GREATEST_LOG, Math.min(GREATEST_LOG, logSpeed)));
-        return new Tally(ends, log, log * log, 1);
+        double log = quantize(Math.max(-MAX_LOG_SPEED, Math.min(MAX_LOG_SPEED, logSpeed)));
+        return new Tally(counts, log, log * log, 1);
     }
 
     @Override
-    public long[] ends() {
-        return ends.clone();
+    public long[] counts() {
+        return counts.clone();
     }
 
-    public long of(End end) {
-        return ends[end.ordinal()];
+    /** The number of dispatches with this result. */
+    public long count(DispatchResult result) {
+        return counts[result.ordinal()];
     }
 
-    /** Dispatches in all. */
+    /** The number of dispatches with any result. */
     public long total() {
         long total = 0;
-        for (long many : ends) {
-            total += many;
+        for (long count : counts) {
+            total += count;
         }
         return total;
     }
 
     /** The mean of the log speeds; 0 where there are none. */
     public double meanLogSpeed() {
-        return speeds == 0 ? 0 : logSpeed / speeds;
+        return speedSamples == 0 ? 0 : logSpeedSum / speedSamples;
     }
 
+    /** The sum of two tallies. */
     public Tally plus(Tally other) {
-        long[] sum = ends.clone();
-        for (int i = 0; i < WAYS; i++) {
-            sum[i] += other.ends[i];
+        long[] sum = counts.clone();
+        for (int i = 0; i < RESULTS; i++) {
+            sum[i] += other.counts[i];
         }
         return new Tally(
-                sum, logSpeed + other.logSpeed, logSpeedSquares + other.logSpeedSquares, speeds + other.speeds);
+                sum,
+                logSpeedSum + other.logSpeedSum,
+                logSpeedSquareSum + other.logSpeedSquareSum,
+                speedSamples + other.speedSamples);
     }
 
     /**
-     * The same shares of ends and the same mean speed with {@code most} dispatches, if there are more: whole numbers by
-     * the largest remainders.
+     * This tally scaled down to at most {@code most} dispatches, with the same shares of results and the same mean
+     * speed. The counts stay whole numbers, by the largest remainder method.
      */
-    public Tally atMost(long most) {
+    public Tally clippedTo(long most) {
         long total = total();
         if (total <= most) {
             return this;
         }
         double share = (double) most / total;
-        long[] fewer = new long[WAYS];
-        double[] rest = new double[WAYS];
+        long[] scaled = new long[RESULTS];
+        double[] remainders = new double[RESULTS];
         long left = most;
-        for (int i = 0; i < WAYS; i++) {
-            fewer[i] = Math.min(ends[i], (long) (ends[i] * share));
-            rest[i] = ends[i] * share - fewer[i];
-            left -= fewer[i];
+        for (int i = 0; i < RESULTS; i++) {
+            scaled[i] = Math.min(counts[i], (long) (counts[i] * share));
+            remainders[i] = counts[i] * share - scaled[i];
+            left -= scaled[i];
         }
         for (; left > 0; left--) {
             int next = -1;
-            for (int i = 0; i < WAYS; i++) {
-                if (fewer[i] < ends[i] && (next < 0 || rest[i] > rest[next])) {
+            for (int i = 0; i < RESULTS; i++) {
+                if (scaled[i] < counts[i] && (next < 0 || remainders[i] > remainders[next])) {
                     next = i;
                 }
             }
-            fewer[next]++;
-            rest[next]--;
+            scaled[next]++;
+            remainders[next]--;
         }
-        long seen = Math.min(most, Math.round(speeds * share));
-        double of = speeds == 0 ? 0 : (double) seen / speeds;
-        return new Tally(fewer, logSpeed * of, logSpeedSquares * of, seen);
+        long samples = Math.min(most, Math.round(speedSamples * share));
+        double factor = speedSamples == 0 ? 0 : (double) samples / speedSamples;
+        return new Tally(scaled, logSpeedSum * factor, logSpeedSquareSum * factor, samples);
     }
 
     /**
-     * Whether a balancer (or {@code witnesses} of them) can have counted this, at most {@code most} dispatches each.
+     * Whether a balancer (or {@code reporters} of them) can have counted this, with at most {@code most} dispatches
+     * each.
      */
-    boolean possible(long most, int witnesses) {
-        for (long many : ends) {
-            if (many < 0 || many > most * witnesses) {
+    boolean isPlausible(long most, int reporters) {
+        for (long count : counts) {
+            if (count < 0 || count > most * reporters) {
                 return false;
             }
         }
         long total = total();
-        if (total < 1 || total > most * witnesses || speeds < 0 || speeds > total) {
+        if (total < 1 || total > most * reporters || speedSamples < 0 || speedSamples > total) {
             return false;
         }
-        // Each sum is off by half a unit for each sample or clipped witness at most; a mean of logs that far off moves
-        // the square by as much times 2 logs.
-        double slack = (speeds + witnesses) * 16 / UNITS;
-        return Math.abs(logSpeed) <= speeds * GREATEST_LOG + slack
-                && logSpeedSquares <= speeds * GREATEST_LOG * GREATEST_LOG + slack
-                && logSpeedSquares >= 0
-                && logSpeedSquares * speeds + slack * speeds >= logSpeed * logSpeed
-                && (speeds > 0 || logSpeed == 0 && logSpeedSquares == 0);
+        // Each sum is off by at most half a unit for each sample or clipped reporter. An error of that size in the mean
+        // log changes the square by that error times twice the log.
+        double slack = (speedSamples + reporters) * 16 / UNITS_PER_LOG;
+        return Math.abs(logSpeedSum) <= speedSamples * MAX_LOG_SPEED + slack
+                && logSpeedSquareSum <= speedSamples * MAX_LOG_SPEED * MAX_LOG_SPEED + slack
+                && logSpeedSquareSum >= 0
+                && logSpeedSquareSum * speedSamples + slack * speedSamples >= logSpeedSum * logSpeedSum
+                && (speedSamples > 0 || logSpeedSum == 0 && logSpeedSquareSum == 0);
     }
 
     /**
-     * A fixed order of all tallies, more dispatches first of all: of two that cannot both be true the greater is kept.
+     * A fixed total order of all tallies, by the number of dispatches first. Of two tallies that contradict each other
+     * the greater is kept.
      */
     @Override
     public int compareTo(Tally other) {
-        int by = Long.compare(total(), other.total());
-        by = by != 0 ? by : Arrays.compare(ends, other.ends);
-        by = by != 0 ? by : Long.compare(speeds, other.speeds);
-        by = by != 0 ? by : Double.compare(logSpeed, other.logSpeed);
-        return by != 0 ? by : Double.compare(logSpeedSquares, other.logSpeedSquares);
+        int order = Long.compare(total(), other.total());
+        order = order != 0 ? order : Arrays.compare(counts, other.counts);
+        order = order != 0 ? order : Long.compare(speedSamples, other.speedSamples);
+        order = order != 0 ? order : Double.compare(logSpeedSum, other.logSpeedSum);
+        return order != 0 ? order : Double.compare(logSpeedSquareSum, other.logSpeedSquareSum);
     }
 
     @Override
@@ -152,11 +161,12 @@
 
     @Override
     public int hashCode() {
-        return Arrays.hashCode(ends) * 31 + Double.hashCode(logSpeed);
+        return Arrays.hashCode(counts) * 31 + Double.hashCode(logSpeedSum);
     }
 
     @Override
     public String toString() {
-        return Arrays.toString(ends) + " logs " + logSpeed + " squares " + logSpeedSquares + " of " + speeds;
+        return Arrays.toString(counts) + " log speeds " + logSpeedSum + " squares " + logSpeedSquareSum + " samples "
+                + speedSamples;
     }
 }
--- a/outcomes/src/test/java/calicochute/outcomes/Drawn.java
+++ b/outcomes/src/test/java/calicochute/outcomes/TallyArbitraries.java
@@ -5,28 +5,28 @@
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
 
-/** Drawn values. */
-final class Drawn {
-    private Drawn() {}
+/** Generators of random tallies for property tests. */
+final class TallyArbitraries {
+    private TallyArbitraries() {}
 
-    record Dispatch(End end, double log) {}
+    record Dispatch(DispatchResult result, double logSpeed) {}
 
     static Arbitrary<Tally> tally() {
-        Arbitrary<Double> log =
+        Arbitrary<Double> logSpeed =
                 Arbitraries.doubles().between(-8, 8).injectNull(0.2).map(d -> d == null ? Double.NaN : d);
-        Arbitrary<Integer> times = Arbitraries.of(1, 1, 1, 7, 1000);
+        Arbitrary<Integer> repetitions = Arbitraries.of(1, 1, 1, 7, 1000);
         return Combinators.combine(
-                        Combinators.combine(Arbitraries.of(End.class), log)
+                        Combinators.combine(Arbitraries.of(DispatchResult.class), logSpeed)
                                 .as(Dispatch::new)
                                 .list()
                                 .ofMinSize(1)
                                 .ofMaxSize(12),
-                        times)
-                .as((of, many) -> {
-                    Tally tally = Tally.NONE;
-                    for (int i = 0; i < many; i++) {
-                        for (Dispatch one : of) {
-                            tally = tally.plus(Tally.of(one.end, one.log));
+                        repetitions)
+                .as((dispatches, count) -> {
+                    Tally tally = Tally.EMPTY;
+                    for (int i = 0; i < count; i++) {
+                        for (Dispatch dispatch : dispatches) {
+                            tally = tally.plus(Tally.of(dispatch.result, dispatch.logSpeed));
                         }
                     }
                     return tally;
--- a/outcomes/src/test/java/calicochute/outcomes/TallyTest.java
+++ b/outcomes/src/test/java/calicochute/outcomes/TallyTest.java
@@ -16,96 +16,102 @@
 import net.jqwik.api.Provide;
 
 class TallyTest {
-    private static final Limits LIMITS = Limits.USUAL;
+    private static final Limits LIMITS = Limits.DEFAULT;
 
     @Provide
     Arbitrary<List<Tally>> tallies() {
-        return Drawn.tallies();
+        return TallyArbitraries.tallies();
     }
 
     /**
-     * The row is the same to the last bit whatever the order, could have been measured, and comes back from the wire as
-     * it went.
+     * The aggregate is the same to the last bit for any order of the tallies, is plausible, and is decoded as it was
+     * encoded.
      */
     @Property(tries = 300, seed = "1")
-    void rowsOfAnyOrderAreOneRow(@ForAll("tallies") List<Tally> tallies, @ForAll Random random)
-            throws Bodies.Malformed {
-        Summed row = Summed.of(7, tallies, LIMITS.cap());
-        List<Tally> other = new ArrayList<>(tallies);
-        Collections.shuffle(other, random);
-        assertEquals(row, Summed.of(7, other, LIMITS.cap()));
-        tallies.forEach(t -> assertTrue(t.possible(LIMITS.counts(), 1), t::toString));
-        assertTrue(row.possible(LIMITS), row::toString);
-        byte[] body = Bodies.rows(12, List.of(row));
-        assertEquals(new Bodies.Rows(12, List.of(row)), Bodies.rows(body, LIMITS));
-        List<Bodies.Entry> entries =
-                tallies.stream().map(t -> new Bodies.Entry(t.hashCode(), t)).toList();
-        List<Bodies.Entry> back = new ArrayList<>();
-        for (byte[] report : Bodies.reports(12, entries, 200)) {
+    void aggregatesDoNotDependOnTheOrder(@ForAll("tallies") List<Tally> tallies, @ForAll Random random)
+            throws MessageCodec.MalformedException {
+        Aggregate row = Aggregate.of(7, tallies, LIMITS.medianMultiple());
+        List<Tally> shuffled = new ArrayList<>(tallies);
+        Collections.shuffle(shuffled, random);
+        assertEquals(row, Aggregate.of(7, shuffled, LIMITS.medianMultiple()));
+        tallies.forEach(t -> assertTrue(t.isPlausible(LIMITS.maxDispatches(), 1), t::toString));
+        assertTrue(row.isPlausible(LIMITS), row::toString);
+        byte[] body = MessageCodec.encodeRows(12, List.of(row));
+        assertEquals(new MessageCodec.Rows(12, List.of(row)), MessageCodec.decodeRows(body, LIMITS));
+        List<MessageCodec.Entry> entries = tallies.stream()
+                .map(t -> new MessageCodec.Entry(t.hashCode(), t))
+                .toList();
+        List<MessageCodec.Entry> decoded = new ArrayList<>();
+        for (byte[] report : MessageCodec.encodeReports(12, entries, 200)) {
             assertTrue(report.length <= 200);
-            back.addAll(Bodies.report(report, LIMITS).entries());
+            decoded.addAll(MessageCodec.decodeReport(report, LIMITS).entries());
         }
-        assertEquals(entries, back);
+        assertEquals(entries, decoded);
     }
 
     /**
-     * Whoever the witness and whatever it says: no more than three times the median's dispatches, with its own shares
-     * and mean.
+     * Whatever a reporter claims, it counts with at most three times the median's dispatches, and keeps its own shares
+     * of results and its mean speed.
      */
     @Property(tries = 300, seed = "2")
-    void oneWitnessCountsOnlySoMuch(@ForAll("tallies") List<Tally> tallies) {
+    void aReportersInfluenceIsBounded(@ForAll("tallies") List<Tally> tallies) {
         long[] totals = tallies.stream().mapToLong(Tally::total).sorted().toArray();
         long most = 3 * totals[(totals.length - 1) / 2];
         for (Tally tally : tallies) {
-            Tally fewer = tally.atMost(most);
-            assertEquals(Math.min(most, tally.total()), fewer.total());
-            for (End end : End.values()) {
-                assertTrue(Math.abs(fewer.of(end) - tally.of(end) * (double) fewer.total() / tally.total()) <= 1);
+            Tally clipped = tally.clippedTo(most);
+            assertEquals(Math.min(most, tally.total()), clipped.total());
+            for (DispatchResult result : DispatchResult.values()) {
+                assertTrue(
+                        Math.abs(clipped.count(result) - tally.count(result) * (double) clipped.total() / tally.total())
+                                <= 1);
             }
-            if (fewer.speeds() > 0) {
-                assertEquals(tally.meanLogSpeed(), fewer.meanLogSpeed(), 1 / Tally.UNITS);
+            if (clipped.speedSamples() > 0) {
+                assertEquals(tally.meanLogSpeed(), clipped.meanLogSpeed(), 1 / Tally.UNITS_PER_LOG);
             }
         }
         assertEquals(
                 tallies.stream().mapToLong(t -> Math.min(most, t.total())).sum(),
-                Summed.of(7, tallies, 3).clipped().total());
+                Aggregate.of(7, tallies, 3).clipped().total());
     }
 
     @Example
-    void aBadWitnessAmongTwenty() {
-        List<Tally> tallies = new ArrayList<>(
-                Collections.nCopies(20, Tally.of(End.IN_AIM, 0.5).plus(Tally.of(End.IN_AIM, 0.5))));
-        Tally bad = Tally.NONE;
+    void aFaultyReporterAmongTwenty() {
+        List<Tally> tallies = new ArrayList<>(Collections.nCopies(
+                20,
+                Tally.of(DispatchResult.WITHIN_OBJECTIVE, 0.5).plus(Tally.of(DispatchResult.WITHIN_OBJECTIVE, 0.5))));
+        Tally faulty = Tally.EMPTY;
         for (int i = 0; i < 900; i++) {
-            bad = bad.plus(Tally.of(End.ERROR, -6));
+            faulty = faulty.plus(Tally.of(DispatchResult.ERROR, -6));
         }
-        tallies.add(bad);
-        Summed row = Summed.of(7, tallies, 3);
-        assertEquals(900, row.sum().of(End.ERROR));
-        assertEquals(6, row.clipped().of(End.ERROR));
-        assertEquals(40, row.clipped().of(End.IN_AIM));
-        assertEquals(0.5, row.middle());
-        assertEquals(42.25 / 21, row.between(), 1e-4);
+        tallies.add(faulty);
+        Aggregate row = Aggregate.of(7, tallies, 3);
+        assertEquals(900, row.sum().count(DispatchResult.ERROR));
+        assertEquals(6, row.clipped().count(DispatchResult.ERROR));
+        assertEquals(40, row.clipped().count(DispatchResult.WITHIN_OBJECTIVE));
+        assertEquals(0.5, row.medianLogSpeed());
+        assertEquals(42.25 / 21, row.varianceBetweenReporters(), 1e-4);
     }
 
     @Example
-    void whatNobodyCanHaveMeasured() {
-        long[] one = {1, 0, 0, 0, 0, 0, 0, 0};
-        assertTrue(new Tally(one, 6.9, 47.61, 1).possible(10, 1));
-        assertFalse(new Tally(one, 7.1, 50.41, 1).possible(10, 1), "speed over 1000");
-        assertFalse(new Tally(one, 2, 3, 1).possible(10, 1), "squares under the mean's");
-        assertFalse(new Tally(one, 0, 0, 2).possible(10, 1), "more speeds than dispatches");
-        assertFalse(new Tally(one, 1, 0, 0).possible(10, 1), "logs of no speeds");
-        assertFalse(new Tally(new long[] {11, 0, 0, 0, 0, 0, 0, 0}, 0, 0, 0).possible(10, 1), "more than can be sent");
-        assertFalse(Tally.NONE.possible(10, 1), "nothing");
-        one[0] = 9;
-        assertArrayEquals(new long[8], Tally.NONE.ends());
+    void implausibleTalliesAreRecognized() {
+        long[] counts = {1, 0, 0, 0, 0, 0, 0, 0};
+        assertTrue(new Tally(counts, 6.9, 47.61, 1).isPlausible(10, 1));
+        assertFalse(new Tally(counts, 7.1, 50.41, 1).isPlausible(10, 1), "speed over 1000");
+        assertFalse(new Tally(counts, 2, 3, 1).isPlausible(10, 1), "sum of squares below the square of the mean");
+        assertFalse(new Tally(counts, 0, 0, 2).isPlausible(10, 1), "more speed samples than dispatches");
+        assertFalse(new Tally(counts, 1, 0, 0).isPlausible(10, 1), "log speeds without samples");
+        assertFalse(
+                new Tally(new long[] {11, 0, 0, 0, 0, 0, 0, 0}, 0, 0, 0).isPlausible(10, 1),
+                "more dispatches than the limit");
+        assertFalse(Tally.EMPTY.isPlausible(10, 1), "no dispatches");
+        counts[0] = 9;
+        assertArrayEquals(new long[8], Tally.EMPTY.counts());
     }
 
-    /** The widest row fits its bound, and six of them a body. */
+    /** The largest possible row stays within its size bound, and six of them fit into a body. */
     @Example
-    void theWidestRowFits() throws Bodies.Malformed {
-        Tally wide = new Tally(
+    void theLargestRowFitsItsBound() throws MessageCodec.MalformedException {
+        Tally largest = new Tally(
                 new long[] {
                     128_000_000,
                     128_000_000,
@@ -119,11 +125,14 @@
                 -1_024_000_000 * 6.9,
                 1_024_000_000 * 47.7,
                 1_024_000_000);
-        Tally other = new Tally(wide.ends(), wide.logSpeed() + 1, wide.logSpeedSquares(), wide.speeds() - 1);
-        Summed row = new Summed(-1, 1024, wide, other, Tally.exact(-6.9), 47);
-        assertTrue(row.possible(LIMITS));
-        byte[] body = Bodies.rows(1L << 34, Collections.nCopies(Bodies.rows(LIMITS), row));
-        assertTrue(body.length <= LIMITS.body() && Bodies.rows(LIMITS) == 6, "bytes: " + body.length);
-        assertEquals(row, Bodies.rows(body, LIMITS).rows().get(0));
+        Tally smaller = new Tally(
+                largest.counts(), largest.logSpeedSum() + 1, largest.logSpeedSquareSum(), largest.speedSamples() - 1);
+        Aggregate row = new Aggregate(-1, 1024, largest, smaller, Tally.quantize(-6.9), 47);
+        assertTrue(row.isPlausible(LIMITS));
+        byte[] body = MessageCodec.encodeRows(1L << 34, Collections.nCopies(MessageCodec.maxRowsPerBody(LIMITS), row));
+        assertTrue(
+                body.length <= LIMITS.maxBodyBytes() && MessageCodec.maxRowsPerBody(LIMITS) == 6,
+                "bytes: " + body.length);
+        assertEquals(row, MessageCodec.decodeRows(body, LIMITS).rows().get(0));
     }
 }
