--- a/bandit/src/test/java/calicochute/bandit/BanditSimulation.java
+++ b/bandit/src/test/java/calicochute/bandit/BanditSimulation.java
@@ -118,10 +118,13 @@
             }
             if (event.server >= 0) {
                 double log = members[event.balancer].onEnded(event.at, event.server, event.sentAt, event.failed);
-                DispatchResult result = event.failed ? DispatchResult.TIMED_OUT : DispatchResult.WITHIN_OBJECTIVE;
                 tallies.computeIfAbsent(event.sentAt / WINDOW, w -> new TreeMap<>())
                         .computeIfAbsent(event.server, s -> new TreeMap<>())
-                        .merge(event.balancer, Tally.of(result, log), Tally::plus);
+                        .merge(
+                                event.balancer,
+                                Tally.of(
+                                        event.failed ? DispatchResult.TIMED_OUT : DispatchResult.WITHIN_OBJECTIVE, log),
+                                Tally::plus);
                 continue;
             }
             int server = members[event.balancer].pick(event.at, strategies[event.balancer].randomShare());
