--- a/balancer/src/main/java/calicochute/fleet/OwnCounts.java
+++ b/balancer/src/main/java/calicochute/fleet/OwnCounts.java
@@ -51,7 +51,7 @@
     }
 
     void tell(long now, Counts counts) {
-        own.put(counts.window(), counts.bytes());
+        own.put(counts.window(), counts.toBytes());
         toldAt = now;
         tell(own.lastEntry().getValue());
     }
--- a/balancer/src/main/java/calicochute/fleet/Sessions.java
+++ b/balancer/src/main/java/calicochute/fleet/Sessions.java
@@ -7,7 +7,7 @@
 import calicochute.exchange.DecisionQueue;
 import calicochute.exchange.Dispatch;
 import calicochute.exchange.Exchange;
-import calicochute.experiment.Teller.Ticket;
+import calicochute.experiment.SessionCounter.Enrollment;
 import calicochute.outcomes.Closed;
 import calicochute.outcomes.End;
 import calicochute.outcomes.Ledger;
@@ -35,12 +35,12 @@
     private static final class Placed {
         final long window;
         final Trial trial;
-        final Ticket ticket;
+        final Enrollment ticket;
         final String arm;
         boolean answered;
         boolean crossed;
 
-        Placed(long window, Trial trial, Ticket ticket) {
+        Placed(long window, Trial trial, Enrollment ticket) {
             this.window = window;
             this.trial = trial;
             this.ticket = ticket;
@@ -85,7 +85,7 @@
                 ? ""
                 : tenants.get().get(exchange.tenantIndex).name();
         Trial trial = null;
-        Ticket ticket = null;
+        Enrollment ticket = null;
         int arm = 0;
         for (int i = 0; i < trials.size() && ticket == null; i++) {
             ticket = trials.get(i).begin(now, now + exchange.patience, call(exchange), lane, tenant, exchange.retry);
--- a/balancer/src/main/java/calicochute/fleet/Trial.java
+++ b/balancer/src/main/java/calicochute/fleet/Trial.java
@@ -5,17 +5,17 @@
 import calicochute.experiment.Counts;
 import calicochute.experiment.Experiment;
 import calicochute.experiment.Experiment.Server;
-import calicochute.experiment.Gathered;
-import calicochute.experiment.Sealed;
+import calicochute.experiment.GatheredCounts;
+import calicochute.experiment.SealedWindow;
+import calicochute.experiment.SessionCounter;
+import calicochute.experiment.SessionCounter.Enrollment;
 import calicochute.experiment.State;
 import calicochute.experiment.Stopper;
-import calicochute.experiment.Teller;
-import calicochute.experiment.Teller.Ticket;
 import calicochute.experiment.UnreadableException;
 import calicochute.experiment.Verdict;
 import calicochute.experiment.seal.Effect;
-import calicochute.experiment.seal.Place;
 import calicochute.experiment.seal.Register;
+import calicochute.experiment.seal.SlotId;
 import calicochute.experiment.seal.Timing;
 import calicochute.metrics.Log;
 import calicochute.operator.OperatorFileReader;
@@ -72,7 +72,7 @@
     private final Register register;
     private final TreeMap<Long, Map<String, Counts>> gathered = new TreeMap<>();
     private State state;
-    private Teller teller;
+    private SessionCounter teller;
     private long proposedFor = Long.MIN_VALUE;
     private int proposedWith;
     private final OwnCounts own;
@@ -105,8 +105,8 @@
         stopper = new Stopper(experiment, windows.length(), LEAD);
         name = experiment.name() + "@" + Integer.toHexString(stopper.definition());
         own = new OwnCounts(me, (peer, counts) -> host.counts(name, peer, counts));
-        register =
-                new Register(experiment.name(), stopper.definition(), peers, me, start, remembers, kept, Timing.USUAL);
+        register = new Register(
+                experiment.name(), stopper.definition(), peers, me, start, remembers, kept, Timing.DEFAULT);
         read(false);
     }
 
@@ -122,25 +122,25 @@
     /** The arm whose servers a server belongs to, or null. */
     Arm armOf(Backend b) {
         Server server = OperatorFileReader.server(b);
-        return experiment.control().takes(server)
+        return experiment.control().selects(server)
                 ? Arm.CONTROL
-                : experiment.treatment().takes(server) ? Arm.TREATMENT : null;
+                : experiment.treatment().selects(server) ? Arm.TREATMENT : null;
     }
 
     /** Null where the session is not in it, or it has not begun. */
-    Ticket begin(long now, long until, String call, String lane, String tenant, boolean retry) {
+    Enrollment begin(long now, long until, String call, String lane, String tenant, boolean retry) {
         return teller == null ? null : teller.begin(now, until, call, lane, tenant, retry);
     }
 
-    void over(Ticket ticket, double asked, double served, boolean failed, boolean crossed, String server) {
-        teller.over(ticket, asked, served, failed, crossed, server);
+    void over(Enrollment ticket, double asked, double served, boolean failed, boolean crossed, String server) {
+        teller.end(ticket, asked, served, failed, crossed, server);
     }
 
     // ---- Counts
 
     void heardCounts(long now, String from, byte[] body) {
         try {
-            take(now, from, Counts.of(body));
+            take(now, from, Counts.fromBytes(body));
         } catch (UnreadableException e) {
             unreadable++;
         }
@@ -159,10 +159,10 @@
                             counts,
                             (a, b) -> a.equals(b)
                                     ? a
-                                    : Gathered.NONE
+                                    : GatheredCounts.EMPTY
                                             .with(from, a)
                                             .with(from, b)
-                                            .of(window)
+                                            .ofWindow(window)
                                             .get(from));
         }
     }
@@ -175,7 +175,7 @@
             own.sealers(Owners.of("experiment " + name, live, SEALERS));
         }
         int rank = own.rank();
-        register.turn(rank < 0 ? SEALERS : rank);
+        register.setRank(rank < 0 ? SEALERS : rank);
         register.tick(now);
         if (teller != null) {
             tell(now);
@@ -188,7 +188,7 @@
 
     private void tell(long now) {
         own.again(now);
-        for (Counts counts : teller.close(now)) {
+        for (Counts counts : teller.closeWindows(now)) {
             if (counts.window() > state.window()) {
                 take(now, me, counts);
                 own.tell(now, counts);
@@ -197,17 +197,17 @@
     }
 
     private void propose(long now, Collection<String> live) {
-        Place place = register.place();
+        SlotId place = register.decidedSlot();
         if (state == null) {
             register.propose(
-                    now, place, stopper.begin(windows.number(now) + LEAD).bytes());
+                    now, place, stopper.initialState(windows.number(now) + LEAD).toBytes());
             return;
         }
         long window = state.window() + 1;
         Map<String, Counts> heard = gathered.getOrDefault(window, Map.of());
         long due = windows.end(window) + deadline.getAsLong() + SETTLE;
         boolean all = heard.keySet().containsAll(live);
-        if (state.over(experiment)
+        if (state.isFinished(experiment)
                 || now < due
                 || !all && now < due + GRACE
                 || proposedFor == window && proposedWith == heard.size()) {
@@ -215,8 +215,8 @@
         }
         proposedFor = window;
         proposedWith = heard.size();
-        Sealed sealed = Sealed.of(experiment, window, state.share(window), heard, peers);
-        register.propose(now, place, stopper.next(state, sealed).bytes());
+        SealedWindow sealed = SealedWindow.of(experiment, window, state.share(window), heard, peers);
+        register.propose(now, place, stopper.advance(state, sealed).toBytes());
     }
 
     void heardSeal(long now, String from, byte[] message) {
@@ -228,16 +228,17 @@
         for (List<Effect> effects = register.effects(); !effects.isEmpty(); effects = register.effects()) {
             for (Effect effect : effects) {
                 if (effect instanceof Effect.Send send) {
-                    host.seal(name, send.to(), send.message());
+                    host.seal(name, send.recipient(), send.message());
                 } else if (effect instanceof Effect.Persist persist) {
                     host.keep(name, persist.state(), persist.token(), token -> {
                         register.persisted(token);
                         act(now);
                     });
-                } else if (effect instanceof Effect.Begun begun) {
+                } else if (effect instanceof Effect.EpochBegun begun) {
                     Log.info(
                             "experiment-epoch",
-                            "name=" + name + " epoch=" + begun.place().epoch().number() + " lost=" + begun.lost());
+                            "name=" + name + " epoch="
+                                    + begun.baseSlot().epoch().number() + " lost=" + begun.memoryLost());
                 } else if (effect instanceof Effect.Decided) {
                     read(true);
                 }
@@ -255,19 +256,19 @@
         }
         try {
             State before = state;
-            State now = State.of(value);
-            if (!stopper.knows(now)) {
+            State now = State.fromBytes(value);
+            if (!stopper.matchesDefinition(now)) {
                 throw new UnreadableException("a state of another definition");
             }
             state = now;
             gathered.headMap(state.window(), true).clear();
             own.sealed(state.window());
             if (teller == null) {
-                teller = new Teller(
+                teller = new SessionCounter(
                         experiment,
                         peers.indexOf(me),
                         peers.size(),
-                        state.first(),
+                        state.firstWindow(),
                         windows.number(began),
                         windows.length(),
                         w -> state.share(w));
--- a/balancer/src/main/java/calicochute/fleet/TrialText.java
+++ b/balancer/src/main/java/calicochute/fleet/TrialText.java
@@ -12,16 +12,17 @@
     /** @param state null where it has not begun */
     static String line(String name, State state, Register register, long unreadable) {
         if (state == null) {
-            return "name=" + name + " verdict=NONE window=none votes=" + register.votes();
+            return "name=" + name + " verdict=NONE window=none votes=" + register.canVote();
         }
         return "name=" + name + " verdict=" + state.verdict() + " window=" + state.window() + " share="
                 + state.share(state.window() + 1)
-                + String.format(" effect=%.4f spread=%.4f", state.effect(), state.spread())
+                + String.format(" effect=%.4f spread=%.4f", state.effect(), state.varianceSums())
                 + " sessions=" + (long) state.sessions(Arm.CONTROL) + "/" + (long) state.sessions(Arm.TREATMENT)
                 + String.format(
                         " crossed=%.4f/%.4f cut=%.4f",
-                        state.crossed(Arm.CONTROL), state.crossed(Arm.TREATMENT), state.cut())
-                + " notes=" + state.notes() + " slot=" + register.slot() + " votes=" + register.votes() + " left_out="
+                        state.crossoverShare(Arm.CONTROL), state.crossoverShare(Arm.TREATMENT), state.cutShare())
+                + " notes=" + state.notes() + " slot=" + register.slotNumber() + " votes=" + register.canVote()
+                + " left_out="
                 + state.leftOut()
                 + " unreadable=" + unreadable;
     }
--- a/balancer/src/main/java/calicochute/operator/OperatorFileReader.java
+++ b/balancer/src/main/java/calicochute/operator/OperatorFileReader.java
@@ -7,7 +7,7 @@
 import calicochute.errors.Code;
 import calicochute.experiment.Complaint;
 import calicochute.experiment.Experiment;
-import calicochute.experiment.ExperimentCheck;
+import calicochute.experiment.ExperimentValidator;
 import calicochute.operator.OperatorFile.Peer;
 import calicochute.settings.Configuration;
 import calicochute.settings.SettingsException;
@@ -114,9 +114,9 @@
     private void experiments(List<Experiment> experiments, Settings settings, List<Backend> servers)
             throws OperatorFileException {
         need(experiments.stream().noneMatch(java.util.Objects::isNull), "experiments", "holds an empty entry");
-        List<Complaint> complaints = ExperimentCheck.of(
+        List<Complaint> complaints = ExperimentValidator.validate(
                 experiments,
-                new ExperimentCheck.Fleet(
+                new ExperimentValidator.Context(
                         servers.stream().map(OperatorFileReader::server).toList(),
                         settings.classes().stream().map(RequestClass::name).collect(Collectors.toSet()),
                         settings.tenants().stream().map(Tenant::name).collect(Collectors.toSet()),
--- a/balancer/src/test/java/calicochute/fleet/TrialTest.java
+++ b/balancer/src/test/java/calicochute/fleet/TrialTest.java
@@ -6,7 +6,7 @@
 import calicochute.experiment.Experiment;
 import calicochute.experiment.Experiment.Guard;
 import calicochute.experiment.Experiment.Selector;
-import calicochute.experiment.Teller.Ticket;
+import calicochute.experiment.SessionCounter.Enrollment;
 import calicochute.outcomes.Windows;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -61,7 +61,7 @@
         }
         assertTrue(trial.text().contains("left_out=0"), trial.text());
         longest[0] = 20 * SECOND;
-        List<Ticket> tickets = new ArrayList<>();
+        List<Enrollment> tickets = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             tickets.add(trial.begin(now, now + 20 * SECOND, "call" + i, "view", "", false));
         }
--- a/experiment/src/main/java/calicochute/experiment/Assignment.java
+++ b/experiment/src/main/java/calicochute/experiment/Assignment.java
@@ -11,18 +11,18 @@
 public final class Assignment {
     private Assignment() {}
 
-    public static Arm of(Experiment e, String unit, double share) {
-        return place(e, unit, "") < share ? Arm.TREATMENT : Arm.CONTROL;
+    public static Arm of(Experiment experiment, String unit, double share) {
+        return position(experiment, unit, "") < share ? Arm.TREATMENT : Arm.CONTROL;
     }
 
     /** In [0, 1), uniform over units; another purpose gives a place that has nothing to do with the first. */
-    static double place(Experiment e, String unit, String purpose) {
+    static double position(Experiment experiment, String unit, String purpose) {
         // Lengths keep ("a", "bc") and ("ab", "c") apart.
-        return fraction(e.name().length() + ":" + e.name() + e.salt().length() + ":" + e.salt() + purpose.length() + ":"
-                + purpose + unit);
+        return hashFraction(experiment.name().length() + ":" + experiment.name()
+                + experiment.salt().length() + ":" + experiment.salt() + purpose.length() + ":" + purpose + unit);
     }
 
-    static double fraction(String text) {
+    static double hashFraction(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         return (MurmurHash3.hash128x64(bytes, 0, bytes.length, 0)[0] >>> 11) * 0x1p-53;
     }
--- a/experiment/src/main/java/calicochute/experiment/Counts.java
+++ b/experiment/src/main/java/calicochute/experiment/Counts.java
@@ -16,115 +16,135 @@
  * @param asked worth asked for, before the cut
  * @param cut of which was cut off
  */
-public record Counts(long window, double share, Map<Cell, Sums> cells, List<Long> parts, double asked, double cut) {
+public record Counts(
+        long window,
+        double share,
+        Map<ArmLane, Sums> byArmLane,
+        List<Long> serverBuckets,
+        double worthAsked,
+        double worthCut) {
     /** Arm and lane. */
-    public record Cell(Arm arm, int lane) implements Comparable<Cell> {
+    public record ArmLane(Arm arm, int lane) implements Comparable<ArmLane> {
         @Override
-        public int compareTo(Cell o) {
-            return arm == o.arm ? Integer.compare(lane, o.lane) : arm.compareTo(o.arm);
+        public int compareTo(ArmLane other) {
+            return arm == other.arm ? Integer.compare(lane, other.lane) : arm.compareTo(other.arm);
         }
     }
 
-    static final int PARTS = 4;
+    static final int BUCKETS = 4;
     private static final byte VERSION = 1;
     /** What 16 cells and the parts can take at most. */
-    static final int MOST_BYTES = 1000;
+    static final int MAX_BYTES = 1000;
 
     public Counts {
-        cells = java.util.Collections.unmodifiableMap(new TreeMap<>(cells));
-        parts = List.copyOf(parts);
+        byArmLane = java.util.Collections.unmodifiableMap(new TreeMap<>(byArmLane));
+        serverBuckets = List.copyOf(serverBuckets);
     }
 
     long sessions() {
-        return cells.values().stream().mapToLong(Sums::n).sum();
+        return byArmLane.values().stream().mapToLong(Sums::count).sum();
     }
 
-    public byte[] bytes() {
-        ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
-        out.put(VERSION);
-        put(out, window);
-        out.putDouble(share).putDouble(asked).putDouble(cut);
-        out.put((byte) cells.size());
-        cells.forEach((cell, sums) -> {
-            out.put((byte) (cell.lane() << 1 | cell.arm().ordinal()));
-            for (long value :
-                    new long[] {sums.n(), sums.sum(), sums.squares(), sums.failures(), sums.crossed(), sums.repeats()
-                    }) {
-                put(out, value);
+    public byte[] toBytes() {
+        ByteBuffer output = ByteBuffer.allocate(MAX_BYTES);
+        output.put(VERSION);
+        writeVarint(output, window);
+        output.putDouble(share).putDouble(worthAsked).putDouble(worthCut);
+        output.put((byte) byArmLane.size());
+        byArmLane.forEach((armLane, sums) -> {
+            output.put((byte) (armLane.lane() << 1 | armLane.arm().ordinal()));
+            for (long value : new long[] {
+                sums.count(), sums.sum(), sums.sumOfSquares(), sums.failures(), sums.crossovers(), sums.retries()
+            }) {
+                writeVarint(output, value);
             }
         });
-        parts.forEach(value -> put(out, value));
-        byte[] bytes = new byte[out.flip().remaining()];
-        out.get(bytes);
+        serverBuckets.forEach(value -> writeVarint(output, value));
+        byte[] bytes = new byte[output.flip().remaining()];
+        output.get(bytes);
         return bytes;
     }
 
-    public static Counts of(byte[] bytes) throws UnreadableException {
-        if (bytes.length > MOST_BYTES) {
+    public static Counts fromBytes(byte[] bytes) throws UnreadableException {
+        if (bytes.length > MAX_BYTES) {
             throw new UnreadableException("counts of " + bytes.length + " bytes");
         }
-        ByteBuffer in = ByteBuffer.wrap(bytes);
+        ByteBuffer input = ByteBuffer.wrap(bytes);
         try {
-            byte version = in.get();
+            byte version = input.get();
             if (version != VERSION) {
                 throw new UnreadableException("counts of version " + version);
             }
-            long window = take(in);
-            double share = in.getDouble();
-            double asked = in.getDouble();
-            double cut = in.getDouble();
-            int many = in.get();
+            long window = readVarint(input);
+            double share = input.getDouble();
+            double worthAsked = input.getDouble();
+            double worthCut = input.getDouble();
+            int cellCount = input.get();
             check(
-                    window >= 0 && share >= 0 && share <= 1 && asked >= 0 && asked < 1e18 && cut >= 0 && cut <= asked,
+                    window >= 0
+                            && share >= 0
+                            && share <= 1
+                            && worthAsked >= 0
+                            && worthAsked < 1e18
+                            && worthCut >= 0
+                            && worthCut <= worthAsked,
                     "window, share or worth");
-            check(many >= 0 && many <= 2 * ExperimentCheck.MOST_LANES, "number of cells");
-            Map<Cell, Sums> cells = new TreeMap<>();
-            for (int i = 0; i < many; i++) {
-                int at = in.get();
-                check(at >= 0 && at < 2 * ExperimentCheck.MOST_LANES, "lane");
-                Sums sums = new Sums(take(in), take(in), take(in), take(in), take(in), take(in));
-                check(sums.possible(), "sums");
-                check(cells.put(new Cell(Arm.values()[at & 1], at >> 1), sums) == null, "cell twice");
+            check(cellCount >= 0 && cellCount <= 2 * ExperimentValidator.MAX_LANES, "number of cells");
+            Map<ArmLane, Sums> byArmLane = new TreeMap<>();
+            for (int i = 0; i < cellCount; i++) {
+                int armLaneIndex = input.get();
+                check(armLaneIndex >= 0 && armLaneIndex < 2 * ExperimentValidator.MAX_LANES, "lane");
+                Sums sums = new Sums(
+                        readVarint(input),
+                        readVarint(input),
+                        readVarint(input),
+                        readVarint(input),
+                        readVarint(input),
+                        readVarint(input));
+                check(sums.isConsistent(), "sums");
+                check(
+                        byArmLane.put(new ArmLane(Arm.values()[armLaneIndex & 1], armLaneIndex >> 1), sums) == null,
+                        "cell twice");
             }
-            List<Long> parts = new ArrayList<>();
-            for (int i = 0; i < 4 * PARTS; i++) {
-                parts.add(take(in));
+            List<Long> serverBuckets = new ArrayList<>();
+            for (int i = 0; i < 4 * BUCKETS; i++) {
+                serverBuckets.add(readVarint(input));
             }
-            for (int i = 0; i < 4 * PARTS; i += 2) {
+            for (int i = 0; i < 4 * BUCKETS; i += 2) {
                 check(
-                        parts.get(i) >= 0
-                                && parts.get(i) < 1L << 32
-                                && parts.get(i + 1) >= 0
-                                && parts.get(i + 1) <= parts.get(i) * Sums.PARTS,
+                        serverBuckets.get(i) >= 0
+                                && serverBuckets.get(i) < 1L << 32
+                                && serverBuckets.get(i + 1) >= 0
+                                && serverBuckets.get(i + 1) <= serverBuckets.get(i) * Sums.SCALE,
                         "parts");
             }
-            check(!in.hasRemaining(), "length");
-            return new Counts(window, share, cells, parts, asked, cut);
+            check(!input.hasRemaining(), "length");
+            return new Counts(window, share, byArmLane, serverBuckets, worthAsked, worthCut);
         } catch (BufferUnderflowException e) {
             throw new UnreadableException("counts cut short at " + bytes.length + " bytes");
         }
     }
 
-    private static void check(boolean good, String what) throws UnreadableException {
-        if (!good) {
+    private static void check(boolean valid, String what) throws UnreadableException {
+        if (!valid) {
             throw new UnreadableException("counts of an impossible " + what);
         }
     }
 
     /** Seven bits a byte, the lowest first. */
-    private static void put(ByteBuffer out, long value) {
-        long left = value;
-        while ((left & ~0x7FL) != 0) {
-            out.put((byte) (left & 0x7F | 0x80));
-            left >>>= 7;
+    private static void writeVarint(ByteBuffer output, long value) {
+        long rest = value;
+        while ((rest & ~0x7FL) != 0) {
+            output.put((byte) (rest & 0x7F | 0x80));
+            rest >>>= 7;
         }
-        out.put((byte) left);
+        output.put((byte) rest);
     }
 
-    private static long take(ByteBuffer in) throws UnreadableException {
+    private static long readVarint(ByteBuffer input) throws UnreadableException {
         long value = 0;
         for (int shift = 0; shift < 63; shift += 7) {
-            byte next = in.get();
+            byte next = input.get();
             value |= (long) (next & 0x7F) << shift;
             if (next >= 0) {
                 return value;
--- a/experiment/src/main/java/calicochute/experiment/EffectTest.java
+++ b/experiment/src/main/java/calicochute/experiment/EffectEvidence.java
@@ -1,6 +1,6 @@
 package calicochute.experiment;
 
-import calicochute.experiment.Sealed.Total;
+import calicochute.experiment.SealedWindow.Total;
 
 /**
  * Evidence on the effect (mean measure of the treatment minus that of the control), valid whenever it is looked at.
@@ -26,81 +26,89 @@
  * <p>What it takes for granted: a session's arm does not change another session's outcome, and one unit is counted
  * once. The effect may differ from window to window: tested is its mean, weighted by sessions and h.
  */
-final class EffectTest {
+final class EffectEvidence {
     /** As multiples of least / variance, the best for an effect of `least`; and the logarithms of their weights. */
-    static final double[] TIMES = {0.7, 1, 1.5, 3};
+    static final double[] BET_MULTIPLES = {0.7, 1, 1.5, 3};
 
-    private static final double[] LOG_WEIGHT = {
+    private static final double[] LOG_BET_WEIGHTS = {
         StrictMath.log(0.2), StrictMath.log(0.45), StrictMath.log(0.25), StrictMath.log(0.1)
     };
-    static final int MANY = TIMES.length;
+    static final int BETS = BET_MULTIPLES.length;
     /** Hypotheses to be rejected: effect at most 0, at least 0, at least `least`, at most -`least`. */
     static final int HYPOTHESES = 4;
 
-    private static final double[] SIGN = {1, -1, -1, 1};
-    private static final double[] AT = {0, 0, 1, -1};
+    private static final double[] SIGNS = {1, -1, -1, 1};
+    private static final double[] EFFECT_BOUNDS = {0, 0, 1, -1};
     /** Of 1/a: beyond it psi eats up what is won. */
-    private static final double FURTHEST = 0.8;
+    private static final double MAX_BET_SHARE = 0.8;
 
-    private EffectTest() {}
+    private EffectEvidence() {}
 
     static double psi(double x) {
         return -StrictMath.log1p(-x) - x;
     }
 
     /** Place of the logarithm of one evidence. */
-    private static int at(int hypothesis, int k, int group) {
-        return (hypothesis * MANY + k) * Sealed.GROUPS + group;
+    private static int index(int hypothesis, int bet, int group) {
+        return (hypothesis * BETS + bet) * SealedWindow.GROUPS + group;
     }
 
     /** Adds one lane of a window to the evidence; `variance` (of X times h) is that foreseen from earlier windows. */
     static void add(
-            float[] wealth, Sealed sealed, int lane, double p, double bT, double bC, double variance, double least) {
+            float[] logWealth,
+            SealedWindow sealed,
+            int lane,
+            double p,
+            double bT,
+            double bC,
+            double variance,
+            double least) {
         double h = p * (1 - p);
         for (int i = 0; i < HYPOTHESES; i++) {
             double a = Math.max(
-                    0.02, SIGN[i] > 0 ? Math.max((1 - p) * bT, p * (1 - bC)) : Math.max((1 - p) * (1 - bT), p * bC));
-            for (int k = 0; k < MANY; k++) {
-                double l = Math.min(TIMES[k] * least / variance, FURTHEST / a);
-                double price = psi(l * a) / (a * a);
-                for (int g = 0; g < Sealed.GROUPS; g++) {
-                    Total t = sealed.totals[g][lane][1];
-                    Total c = sealed.totals[g][lane][0];
-                    double z = h * (t.n + c.n) * (bT - bC - AT[i] * least)
-                            + (1 - p) * (t.sum - t.n * bT)
-                            - p * (c.sum - c.n * bC);
-                    wealth[at(i, k, g)] += (float) (l * SIGN[i] * z - price * squares(t, c, p, bT, bC));
+                    0.02, SIGNS[i] > 0 ? Math.max((1 - p) * bT, p * (1 - bC)) : Math.max((1 - p) * (1 - bT), p * bC));
+            for (int k = 0; k < BETS; k++) {
+                double l = Math.min(BET_MULTIPLES[k] * least / variance, MAX_BET_SHARE / a);
+                double penalty = psi(l * a) / (a * a);
+                for (int g = 0; g < SealedWindow.GROUPS; g++) {
+                    Total treatment = sealed.totals[g][lane][1];
+                    Total control = sealed.totals[g][lane][0];
+                    double z = h * (treatment.count + control.count) * (bT - bC - EFFECT_BOUNDS[i] * least)
+                            + (1 - p) * (treatment.sum - treatment.count * bT)
+                            - p * (control.sum - control.count * bC);
+                    logWealth[index(i, k, g)] +=
+                            (float) (l * SIGNS[i] * z - penalty * squaredResiduals(treatment, control, p, bT, bC));
                 }
             }
         }
     }
 
     /** Sum of (z - e) squared. */
-    static double squares(Total t, Total c, double p, double bT, double bC) {
-        return (1 - p) * (1 - p) * t.around(bT) + p * p * c.around(bC);
+    static double squaredResiduals(Total treatment, Total control, double p, double bT, double bC) {
+        return (1 - p) * (1 - p) * treatment.squaredDeviations(bT) + p * p * control.squaredDeviations(bC);
     }
 
     /** Logarithm of the evidence against a hypothesis, without one group (-1: of all). */
-    static double evidence(float[] wealth, int hypothesis, int without) {
-        double[] logs = new double[MANY];
-        for (int k = 0; k < MANY; k++) {
-            logs[k] = LOG_WEIGHT[k];
-            for (int g = 0; g < Sealed.GROUPS; g++) {
-                logs[k] += g == without ? 0 : wealth[at(hypothesis, k, g)];
+    static double logEvidence(float[] logWealth, int hypothesis, int excludedGroup) {
+        double[] logs = new double[BETS];
+        for (int k = 0; k < BETS; k++) {
+            logs[k] = LOG_BET_WEIGHTS[k];
+            for (int g = 0; g < SealedWindow.GROUPS; g++) {
+                logs[k] += g == excludedGroup ? 0 : logWealth[index(hypothesis, k, g)];
             }
         }
-        return logOfSum(logs);
+        return logSumExp(logs);
     }
 
-    static double logOfSum(double[] logs) {
-        double most = Double.NEGATIVE_INFINITY;
+    static double logSumExp(double[] logs) {
+        double max = Double.NEGATIVE_INFINITY;
         for (double log : logs) {
-            most = Math.max(most, log);
+            max = Math.max(max, log);
         }
         double sum = 0;
         for (double log : logs) {
-            sum += StrictMath.exp(log - most);
+            sum += StrictMath.exp(log - max);
         }
-        return most + StrictMath.log(sum);
+        return max + StrictMath.log(sum);
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/Experiment.java
+++ b/experiment/src/main/java/calicochute/experiment/Experiment.java
@@ -51,7 +51,7 @@
             id = id == null ? "" : id;
         }
 
-        public boolean takes(Server server) {
+        public boolean selects(Server server) {
             return (kind.isEmpty() || kind.equals(server.kind()))
                     && (cell.isEmpty() || cell.equals(server.cell()))
                     && (zone.isEmpty() || zone.equals(server.zone()))
@@ -60,28 +60,28 @@
 
         /** Linear but for the last star's retries: no pattern can make it run away. */
         private static boolean matches(String pattern, String text) {
-            int p = 0;
-            int t = 0;
-            int star = -1;
-            int from = 0;
-            while (t < text.length()) {
-                if (p < pattern.length() && pattern.charAt(p) == '*') {
-                    star = p++;
-                    from = t;
-                } else if (p < pattern.length() && pattern.charAt(p) == text.charAt(t)) {
-                    p++;
-                    t++;
-                } else if (star >= 0) {
-                    p = star + 1;
-                    t = ++from;
+            int patternIndex = 0;
+            int textIndex = 0;
+            int starIndex = -1;
+            int starMatchEnd = 0;
+            while (textIndex < text.length()) {
+                if (patternIndex < pattern.length() && pattern.charAt(patternIndex) == '*') {
+                    starIndex = patternIndex++;
+                    starMatchEnd = textIndex;
+                } else if (patternIndex < pattern.length() && pattern.charAt(patternIndex) == text.charAt(textIndex)) {
+                    patternIndex++;
+                    textIndex++;
+                } else if (starIndex >= 0) {
+                    patternIndex = starIndex + 1;
+                    textIndex = ++starMatchEnd;
                 } else {
                     return false;
                 }
             }
-            while (p < pattern.length() && pattern.charAt(p) == '*') {
-                p++;
+            while (patternIndex < pattern.length() && pattern.charAt(patternIndex) == '*') {
+                patternIndex++;
             }
-            return p == pattern.length();
+            return patternIndex == pattern.length();
         }
     }
 
@@ -96,12 +96,12 @@
      */
     public record Measure(double most, double quantile) {
         /** From worths seen before the experiment. */
-        public static Measure at(double quantile, Collection<Double> worths) {
+        public static Measure atQuantile(double quantile, Collection<Double> worths) {
             List<Double> sorted = new ArrayList<>(worths);
             sorted.sort(null);
-            int at = (int) Math.ceil(quantile * sorted.size()) - 1;
+            int index = (int) Math.ceil(quantile * sorted.size()) - 1;
             return new Measure(
-                    sorted.isEmpty() ? 0 : sorted.get(Math.max(0, Math.min(sorted.size() - 1, at))), quantile);
+                    sorted.isEmpty() ? 0 : sorted.get(Math.max(0, Math.min(sorted.size() - 1, index))), quantile);
         }
     }
 
@@ -131,12 +131,12 @@
     }
 
     /** In the order in which counts and states hold them, the same everywhere. */
-    List<String> lanesInOrder() {
+    List<String> sortedLanes() {
         return List.copyOf(new TreeSet<>(lanes));
     }
 
     /** Whether a session is in it at all. */
-    public boolean takes(String lane, String tenant) {
+    public boolean includes(String lane, String tenant) {
         return lanes.contains(lane) && (tenants.isEmpty() || tenants.contains(tenant));
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/State.java
+++ b/experiment/src/main/java/calicochute/experiment/State.java
@@ -12,63 +12,67 @@
  */
 public final class State {
     /** Floats of a predictor: mean and weight of the treatment, then of the control. */
-    static final int OF_LANE = 4;
+    static final int PREDICTOR_FLOATS = 4;
 
     final int definition;
-    final long first;
+    final long firstWindow;
     long window;
     double share;
     double nextShare;
-    long nextFrom = Long.MAX_VALUE;
+    long nextShareWindow = Long.MAX_VALUE;
     Verdict verdict = Verdict.NONE;
-    long decided = -1;
-    int guard = -1;
-    int step;
+    long verdictWindow = -1;
+    int trippedGuard = -1;
+    int rolloutStep;
     EnumSet<Note> notes = EnumSet.noneOf(Note.class);
     long leftOut;
     /** Evidence on the effect, {@link EffectTest}. */
-    final float[] wealth;
+    final float[] effectLogWealth;
     /** Evidence of harm, {@link HarmTest}. */
-    final float[] harm;
+    final float[] harmLogWealth;
 
-    final float[] lanes;
-    final float[] guards;
+    final float[] lanePredictors;
+    final float[] guardPredictors;
     /** Squares of residuals over h, and sessions. */
-    final float[] spread;
+    final float[] varianceSums;
     /** For each group: sum of z, of h, and of squared residuals. */
-    final float[] groups;
+    final float[] groupSums;
     /** For each arm four parts of its servers: sessions and sum, in turn. */
-    final float[] parts;
+    final float[] serverBuckets;
     /**
      * Treatment's sessions beyond the drawn ones, sessions; of control and treatment: sessions, crossed; worth asked
      * for, cut.
      */
     final double[] totals;
 
-    State(int definition, long first, int lanes, int guards) {
+    State(int definition, long firstWindow, int lanes, int guards) {
         this.definition = definition;
-        this.first = first;
-        window = first - 1;
-        wealth = new float[EffectTest.HYPOTHESES * EffectTest.MANY * Sealed.GROUPS];
-        harm = new float[guards * HarmTest.MANY];
-        this.lanes = new float[lanes * OF_LANE];
-        this.guards = new float[guards * OF_LANE];
-        spread = new float[2];
-        groups = new float[Sealed.GROUPS * 3];
-        parts = new float[4 * Counts.PARTS];
+        this.firstWindow = firstWindow;
+        window = firstWindow - 1;
+        effectLogWealth = new float[EffectEvidence.HYPOTHESES * EffectEvidence.BETS * SealedWindow.GROUPS];
+        harmLogWealth = new float[guards * HarmEvidence.BETS];
+        this.lanePredictors = new float[lanes * PREDICTOR_FLOATS];
+        this.guardPredictors = new float[guards * PREDICTOR_FLOATS];
+        varianceSums = new float[2];
+        groupSums = new float[SealedWindow.GROUPS * 3];
+        serverBuckets = new float[4 * Counts.BUCKETS];
         totals = new double[8];
     }
 
     State copy() {
-        State copy = new State(definition, first, lanes.length / OF_LANE, guards.length / OF_LANE);
+        State copy = new State(
+                definition,
+                firstWindow,
+                lanePredictors.length / PREDICTOR_FLOATS,
+                guardPredictors.length / PREDICTOR_FLOATS);
         copy.window = window;
         copy.share = share;
         copy.nextShare = nextShare;
-        copy.nextFrom = nextFrom;
+        copy.nextShareWindow = nextShareWindow;
         copy.verdict = verdict;
-        copy.decided = decided;
-        copy.guard = guard;
-        copy.step = step;
+        copy.verdictWindow = verdictWindow;
+        copy.trippedGuard = trippedGuard;
+        copy.rolloutStep = rolloutStep;
         copy.notes = EnumSet.copyOf(notes);
         copy.leftOut = leftOut;
         float[][] from = floats();
@@ -81,7 +85,9 @@
     }
 
     float[][] floats() {
-        return new float[][] {wealth, harm, lanes, guards, spread, groups, parts};
+        return new float[][] {
+            effectLogWealth, harmLogWealth, lanePredictors, guardPredictors, varianceSums, groupSums, serverBuckets
+        };
     }
 
     /** The newest window sealed. */
@@ -94,24 +100,26 @@
     }
 
     /** The first window that counts. */
-    public long first() {
-        return first;
+    public long firstWindow() {
+        return firstWindow;
     }
 
     /** True once nothing more is to be sealed: there is a verdict, and no steps whose guards have to be watched. */
-    public boolean over(Experiment e) {
+    public boolean isFinished(Experiment experiment) {
         return verdict != Verdict.NONE
-                && (verdict != Verdict.TREATMENT || e.after().steps().isEmpty() || notes.contains(Note.TURNED_BACK));
+                && (verdict != Verdict.TREATMENT
+                        || experiment.after().steps().isEmpty()
+                        || notes.contains(Note.TURNED_BACK));
     }
 
     /** The window at which the verdict fell; -1: none yet. */
-    public long decided() {
-        return decided;
+    public long verdictWindow() {
+        return verdictWindow;
     }
 
     /** Of a HARM: the place of the guard that tripped; -1: none. */
-    public int guard() {
-        return guard;
+    public int trippedGuard() {
+        return trippedGuard;
     }
 
     public Set<Note> notes() {
@@ -119,8 +127,10 @@
     }
 
     /** Of a window's units, how many go to the treatment; none at all once it has done harm. */
-    public double share(long of) {
-        return verdict == Verdict.HARM || notes.contains(Note.TURNED_BACK) ? 0 : of < nextFrom ? share : nextShare;
+    public double share(long atWindow) {
+        return verdict == Verdict.HARM || notes.contains(Note.TURNED_BACK)
+                ? 0
+                : atWindow < nextShareWindow ? share : nextShare;
     }
 
     /** What the treatment serves more, of the worth asked for; NaN: no sessions yet. */
@@ -129,7 +139,7 @@
     }
 
     /** Of {@link #effect()}: one standard deviation, as if looked at once; for reading, not for deciding. */
-    public double spread() {
+    public double varianceSums() {
         return Math.sqrt(groupSum(2)) / groupSum(1);
     }
 
@@ -138,12 +148,12 @@
     }
 
     /** Part of an arm's sessions for which it had no room. */
-    public double crossed(Arm arm) {
+    public double crossoverShare(Arm arm) {
         return totals[arm == Arm.CONTROL ? 4 : 5] / Math.max(1, sessions(arm));
     }
 
     /** Part of the worth asked for that was cut off. */
-    public double cut() {
+    public double cutShare() {
         return totals[7] / Math.max(Double.MIN_NORMAL, totals[6]);
     }
 
@@ -152,34 +162,34 @@
         return leftOut;
     }
 
-    double groupSum(int figure) {
+    double groupSum(int column) {
         double sum = 0;
-        for (int g = 0; g < Sealed.GROUPS; g++) {
-            sum += groups[g * 3 + figure];
+        for (int g = 0; g < SealedWindow.GROUPS; g++) {
+            sum += groupSums[g * 3 + column];
         }
         return sum;
     }
 
-    public byte[] bytes() {
-        return StateBytes.of(this);
+    public byte[] toBytes() {
+        return StateBytes.write(this);
     }
 
-    public static State of(byte[] bytes) throws UnreadableException {
+    public static State fromBytes(byte[] bytes) throws UnreadableException {
         return StateBytes.read(bytes);
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof State state && Arrays.equals(bytes(), state.bytes());
+        return other instanceof State state && Arrays.equals(toBytes(), state.toBytes());
     }
 
     @Override
     public int hashCode() {
-        return Arrays.hashCode(bytes());
+        return Arrays.hashCode(toBytes());
     }
 
     @Override
     public String toString() {
-        return verdict + " at " + window + " effect " + effect() + " +- " + spread() + " notes " + notes;
+        return verdict + " at " + window + " effect " + effect() + " +- " + varianceSums() + " notes " + notes;
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/StateBytes.java
+++ b/experiment/src/main/java/calicochute/experiment/StateBytes.java
@@ -6,96 +6,102 @@
 
 /** A state as bytes, at most {@link #MOST}; the first says the version. */
 final class StateBytes {
-    static final int MOST = 900;
+    static final int MAX_BYTES = 900;
     private static final byte VERSION = 1;
 
     private StateBytes() {}
 
-    static byte[] of(State s) {
-        ByteBuffer out = ByteBuffer.allocate(MOST);
-        out.put(VERSION).put((byte) (s.lanes.length / State.OF_LANE)).put((byte) (s.guards.length / State.OF_LANE));
-        out.putInt(s.definition)
-                .putLong(s.first)
-                .putLong(s.window)
-                .putDouble(s.share)
-                .putDouble(s.nextShare)
-                .putLong(s.nextFrom);
-        out.put((byte) s.verdict.ordinal())
-                .putLong(s.decided)
-                .put((byte) s.guard)
-                .put((byte) s.step);
+    static byte[] write(State state) {
+        ByteBuffer output = ByteBuffer.allocate(MAX_BYTES);
+        output.put(VERSION)
+                .put((byte) (state.lanePredictors.length / State.PREDICTOR_FLOATS))
+                .put((byte) (state.guardPredictors.length / State.PREDICTOR_FLOATS));
+        output.putInt(state.definition)
+                .putLong(state.firstWindow)
+                .putLong(state.window)
+                .putDouble(state.share)
+                .putDouble(state.nextShare)
+                .putLong(state.nextShareWindow);
+        output.put((byte) state.verdict.ordinal())
+                .putLong(state.verdictWindow)
+                .put((byte) state.trippedGuard)
+                .put((byte) state.rolloutStep);
         int notes = 0;
-        for (Note note : s.notes) {
+        for (Note note : state.notes) {
             notes |= 1 << note.ordinal();
         }
-        out.put((byte) notes).putLong(s.leftOut);
-        for (float[] floats : s.floats()) {
+        output.put((byte) notes).putLong(state.leftOut);
+        for (float[] floats : state.floats()) {
             for (float value : floats) {
-                out.putFloat(value);
+                output.putFloat(value);
             }
         }
-        for (double value : s.totals) {
-            out.putDouble(value);
+        for (double value : state.totals) {
+            output.putDouble(value);
         }
-        byte[] bytes = new byte[out.flip().remaining()];
-        out.get(bytes);
+        byte[] bytes = new byte[output.flip().remaining()];
+        output.get(bytes);
         return bytes;
     }
 
     static State read(byte[] bytes) throws UnreadableException {
-        ByteBuffer in = ByteBuffer.wrap(bytes);
+        ByteBuffer input = ByteBuffer.wrap(bytes);
         try {
-            check(bytes.length <= MOST && in.get() == VERSION, "version or length");
-            int lanes = in.get();
-            int guards = in.get();
+            check(bytes.length <= MAX_BYTES && input.get() == VERSION, "version or length");
+            int lanes = input.get();
+            int guards = input.get();
             check(
                     lanes >= 0
-                            && lanes <= ExperimentCheck.MOST_LANES
+                            && lanes <= ExperimentValidator.MAX_LANES
                             && guards >= 0
-                            && guards <= ExperimentCheck.MOST_GUARDS,
+                            && guards <= ExperimentValidator.MAX_GUARDS,
                     "lanes or guards");
-            State s = new State(in.getInt(), in.getLong(), lanes, guards);
-            s.window = in.getLong();
-            s.share = in.getDouble();
-            s.nextShare = in.getDouble();
-            s.nextFrom = in.getLong();
+            State state = new State(input.getInt(), input.getLong(), lanes, guards);
+            state.window = input.getLong();
+            state.share = input.getDouble();
+            state.nextShare = input.getDouble();
+            state.nextShareWindow = input.getLong();
             check(
-                    s.share >= 0 && s.share <= 1 && s.nextShare >= 0 && s.nextShare <= 1 && s.window >= s.first - 1,
+                    state.share >= 0
+                            && state.share <= 1
+                            && state.nextShare >= 0
+                            && state.nextShare <= 1
+                            && state.window >= state.firstWindow - 1,
                     "share or window");
-            int verdict = in.get();
+            int verdict = input.get();
             check(verdict >= 0 && verdict < Verdict.values().length, "verdict");
-            s.verdict = Verdict.values()[verdict];
-            s.decided = in.getLong();
-            s.guard = in.get();
-            s.step = in.get();
-            check(s.guard >= -1 && s.guard < guards && s.step >= 0, "guard or step");
-            int notes = in.get();
+            state.verdict = Verdict.values()[verdict];
+            state.verdictWindow = input.getLong();
+            state.trippedGuard = input.get();
+            state.rolloutStep = input.get();
+            check(state.trippedGuard >= -1 && state.trippedGuard < guards && state.rolloutStep >= 0, "guard or step");
+            int notes = input.get();
             check(notes >= 0 && notes < 1 << Note.values().length, "notes");
             for (Note note : Note.values()) {
                 if ((notes >> note.ordinal() & 1) == 1) {
-                    s.notes.add(note);
+                    state.notes.add(note);
                 }
             }
-            s.leftOut = in.getLong();
-            for (float[] floats : s.floats()) {
+            state.leftOut = input.getLong();
+            for (float[] floats : state.floats()) {
                 for (int i = 0; i < floats.length; i++) {
-                    floats[i] = in.getFloat();
+                    floats[i] = input.getFloat();
                     check(Float.isFinite(floats[i]), "figure");
                 }
             }
-            for (int i = 0; i < s.totals.length; i++) {
-                s.totals[i] = in.getDouble();
-                check(Double.isFinite(s.totals[i]), "total");
+            for (int i = 0; i < state.totals.length; i++) {
+                state.totals[i] = input.getDouble();
+                check(Double.isFinite(state.totals[i]), "total");
             }
-            check(!in.hasRemaining(), "length");
-            return s;
+            check(!input.hasRemaining(), "length");
+            return state;
         } catch (BufferUnderflowException e) {
             throw new UnreadableException("a state cut short at " + bytes.length + " bytes");
         }
     }
 
-    private static void check(boolean good, String what) throws UnreadableException {
-        if (!good) {
+    private static void check(boolean valid, String what) throws UnreadableException {
+        if (!valid) {
             throw new UnreadableException("a state of an impossible " + what);
         }
     }
--- a/experiment/src/main/java/calicochute/experiment/Stopper.java
+++ b/experiment/src/main/java/calicochute/experiment/Stopper.java
@@ -13,59 +13,60 @@
  * one truth. Whatever withholds a verdict (notes) can only make false ones rarer.
  */
 public final class Stopper {
-    private static final double FOR_GUARDS = 0.2;
+    private static final double GUARD_ERROR_SHARE = 0.2;
     /** Of the evidence asked for, how much (as logarithm) must stand without any one group of balancers. */
-    static final double WITHOUT_ONE = 0.5;
+    static final double LEAVE_ONE_OUT_SHARE = 0.5;
 
-    private final Experiment e;
-    private final int lead;
-    private final long longest;
-    private final long each;
+    private final Experiment experiment;
+    private final int leadWindows;
+    private final long maxWindows;
+    private final long stepWindows;
     private final List<String> lanes;
-    private final double logForArm;
-    private final double logForGuard;
+    private final double armLogThreshold;
+    private final double guardLogThreshold;
     private final int definition;
-    private final Ledger ledger;
+    private final EvidenceUpdater ledger;
 
     /**
      * @param windowLength microseconds
      * @param lead windows from the one sealed to the first with a moved share: more than sealing takes, so that all
      *     have heard
      */
-    public Stopper(Experiment e, long windowLength, int lead) {
-        this.e = e;
-        this.lead = lead;
-        longest = Math.max(1, e.longest().toMillis() * 1000 / windowLength);
-        each = Math.max(1, e.after().each().toMillis() * 1000 / windowLength);
-        lanes = e.lanesInOrder();
-        logForArm = -StrictMath.log(part(e));
-        logForGuard =
-                -StrictMath.log(e.error() * FOR_GUARDS / Math.max(1, e.guards().size()));
-        definition = fingerprint(e);
-        ledger = new Ledger(e, lanes);
+    public Stopper(Experiment experiment, long windowMicros, int leadWindows) {
+        this.experiment = experiment;
+        this.leadWindows = leadWindows;
+        maxWindows = Math.max(1, experiment.longest().toMillis() * 1000 / windowMicros);
+        stepWindows = Math.max(1, experiment.after().each().toMillis() * 1000 / windowMicros);
+        lanes = experiment.sortedLanes();
+        armLogThreshold = -StrictMath.log(armErrorRate(experiment));
+        guardLogThreshold = -StrictMath.log(experiment.error()
+                * GUARD_ERROR_SHARE
+                / Math.max(1, experiment.guards().size()));
+        definition = definitionHash(experiment);
+        ledger = new EvidenceUpdater(experiment, lanes);
     }
 
     /** The error rate of a verdict for one arm. */
-    static double part(Experiment e) {
-        return e.error() * (e.guards().isEmpty() ? 1 : 1 - FOR_GUARDS) / 2;
+    static double armErrorRate(Experiment experiment) {
+        return experiment.error() * (experiment.guards().isEmpty() ? 1 : 1 - GUARD_ERROR_SHARE) / 2;
     }
 
     /** All that evidence rests on; the share and what follows a verdict may change under way. */
-    private static int fingerprint(Experiment e) {
+    private static int definitionHash(Experiment experiment) {
         String text = String.join(
                 "\n",
-                e.name(),
-                e.salt(),
-                "" + e.unit(),
-                "" + e.control(),
-                "" + e.treatment(),
-                "" + e.lanesInOrder(),
-                "" + new TreeSet<>(e.tenants()),
-                "" + e.measure(),
-                "" + e.least(),
-                "" + e.error(),
-                "" + e.guards(),
-                "" + e.longest());
+                experiment.name(),
+                experiment.salt(),
+                "" + experiment.unit(),
+                "" + experiment.control(),
+                "" + experiment.treatment(),
+                "" + experiment.sortedLanes(),
+                "" + new TreeSet<>(experiment.tenants()),
+                "" + experiment.measure(),
+                "" + experiment.least(),
+                "" + experiment.error(),
+                "" + experiment.guards(),
+                "" + experiment.longest());
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         return MurmurHash3.hash32x86(bytes, 0, bytes.length, 0);
     }
@@ -76,19 +77,20 @@
     }
 
     /** @param first the first window that counts */
-    public State begin(long first) {
-        State s = new State(definition, first, lanes.size(), e.guards().size());
-        s.share = e.share();
-        s.nextShare = e.share();
-        Ledger.foresee(s);
-        return s;
+    public State initialState(long firstWindow) {
+        State state = new State(
+                definition, firstWindow, lanes.size(), experiment.guards().size());
+        state.share = experiment.share();
+        state.nextShare = experiment.share();
+        EvidenceUpdater.initializePredictors(state);
+        return state;
     }
 
     /** Whether a state is of this definition, not of one since changed. */
-    public boolean knows(State s) {
-        return s.definition == definition
-                && s.lanes.length == lanes.size() * State.OF_LANE
-                && s.guards.length == e.guards().size() * State.OF_LANE;
+    public boolean matchesDefinition(State state) {
+        return state.definition == definition
+                && state.lanePredictors.length == lanes.size() * State.PREDICTOR_FLOATS
+                && state.guardPredictors.length == experiment.guards().size() * State.PREDICTOR_FLOATS;
     }
 
     /**
@@ -96,86 +98,88 @@
      *
      * @throws IllegalArgumentException the share is out of range, the window already sealed, or an earlier move not yet
      */
-    public State move(State s, double share, long from) {
-        boolean pending = s.nextFrom != Long.MAX_VALUE && s.nextFrom > s.window + 1;
-        if (!ExperimentCheck.inRange(share) || from <= s.window || pending) {
-            throw new IllegalArgumentException("a share of " + share + " from window " + from
+    public State moveShare(State state, double share, long fromWindow) {
+        boolean pending = state.nextShareWindow != Long.MAX_VALUE && state.nextShareWindow > state.window + 1;
+        if (!ExperimentValidator.isShareInRange(share) || fromWindow <= state.window || pending) {
+            throw new IllegalArgumentException("a share of " + share + " from window " + fromWindow
                     + (pending ? " before the last move is sealed" : ""));
         }
-        State next = s.copy();
-        if (s.verdict == Verdict.NONE) {
-            moveFrom(next, share, from);
+        State next = state.copy();
+        if (state.verdict == Verdict.NONE) {
+            scheduleShare(next, share, fromWindow);
         }
         return next;
     }
 
-    private static void moveFrom(State next, double share, long from) {
-        next.share = next.share(from - 1);
-        next.nextShare = share;
-        next.nextFrom = from;
+    private static void scheduleShare(State state, double share, long fromWindow) {
+        state.share = state.share(fromWindow - 1);
+        state.nextShare = share;
+        state.nextShareWindow = fromWindow;
     }
 
     /** After one more sealed window; one already in it changes nothing. */
-    public State next(State s, Sealed sealed) {
-        if (!knows(s)) {
+    public State advance(State state, SealedWindow sealed) {
+        if (!matchesDefinition(state)) {
             throw new IllegalArgumentException("a state of another definition");
         }
-        if (sealed.window <= s.window) {
-            return s;
+        if (sealed.window <= state.window) {
+            return state;
         }
-        State next = s.copy();
-        double p = s.share(sealed.window);
+        State next = state.copy();
+        double p = state.share(sealed.window);
         next.window = sealed.window;
         next.leftOut += sealed.leftOut();
         boolean mixed = p > 0 && p < 1;
-        if (s.verdict == Verdict.NONE) {
+        if (state.verdict == Verdict.NONE) {
             if (mixed) {
-                ledger.guards(next, sealed, p);
-                ledger.count(next, sealed, p);
+                ledger.updateGuards(next, sealed, p);
+                ledger.updateEffect(next, sealed, p);
             }
             decide(next);
-        } else if (s.verdict == Verdict.TREATMENT && !e.after().steps().isEmpty()) {
+        } else if (state.verdict == Verdict.TREATMENT
+                && !experiment.after().steps().isEmpty()) {
             if (mixed) {
-                ledger.guards(next, sealed, p);
+                ledger.updateGuards(next, sealed, p);
             }
-            step(next);
+            advanceRollout(next);
         }
         return next;
     }
 
-    private void decide(State s) {
-        for (int i = 0; i < e.guards().size(); i++) {
-            if (HarmTest.evidence(s.harm, i) >= logForGuard) {
-                s.guard = i;
-                end(s, Verdict.HARM);
+    private void decide(State state) {
+        for (int i = 0; i < experiment.guards().size(); i++) {
+            if (HarmEvidence.logEvidence(state.harmLogWealth, i) >= guardLogThreshold) {
+                state.trippedGuard = i;
+                conclude(state, Verdict.HARM);
                 return;
             }
         }
-        Notes.look(s);
-        if (s.notes.contains(Note.SPLIT)) {
-            end(s, Verdict.UNDECIDED);
+        NoteRules.beforeVerdict(state);
+        if (state.notes.contains(Note.SPLIT)) {
+            conclude(state, Verdict.UNDECIDED);
             return;
         }
-        boolean treatment = rejected(s, 0);
-        boolean control = rejected(s, 1);
-        boolean none = rejected(s, 2) & rejected(s, 3);
-        if (!s.notes.contains(Note.STARVED) && treatment != control) {
-            end(s, treatment ? Verdict.TREATMENT : Verdict.CONTROL);
-        } else if (!s.notes.contains(Note.STARVED) && none) {
-            end(s, Verdict.NO_DIFFERENCE);
-        } else if (s.window - s.first + 1 >= longest) {
-            end(s, Verdict.UNDECIDED);
+        boolean treatment = isRejected(state, 0);
+        boolean control = isRejected(state, 1);
+        boolean noDifference = isRejected(state, 2) & isRejected(state, 3);
+        if (!state.notes.contains(Note.STARVED) && treatment != control) {
+            conclude(state, treatment ? Verdict.TREATMENT : Verdict.CONTROL);
+        } else if (!state.notes.contains(Note.STARVED) && noDifference) {
+            conclude(state, Verdict.NO_DIFFERENCE);
+        } else if (state.window - state.firstWindow + 1 >= maxWindows) {
+            conclude(state, Verdict.UNDECIDED);
         }
     }
 
-    private boolean rejected(State s, int hypothesis) {
-        if (EffectTest.evidence(s.wealth, hypothesis, -1) < logForArm) {
+    private boolean isRejected(State state, int hypothesis) {
+        if (EffectEvidence.logEvidence(state.effectLogWealth, hypothesis, -1) < armLogThreshold) {
             return false;
         }
-        if (!s.notes.contains(Note.FEW_WITNESSES)) {
-            for (int g = 0; g < Sealed.GROUPS; g++) {
-                if (EffectTest.evidence(s.wealth, hypothesis, g) < WITHOUT_ONE * logForArm) {
-                    s.notes.add(Note.CARRIED_BY_FEW);
+        if (!state.notes.contains(Note.FEW_WITNESSES)) {
+            for (int g = 0; g < SealedWindow.GROUPS; g++) {
+                if (EffectEvidence.logEvidence(state.effectLogWealth, hypothesis, g)
+                        < LEAVE_ONE_OUT_SHARE * armLogThreshold) {
+                    state.notes.add(Note.CARRIED_BY_FEW);
                     return false;
                 }
             }
@@ -183,28 +187,30 @@
         return true;
     }
 
-    private void end(State s, Verdict verdict) {
-        s.verdict = verdict;
-        s.decided = s.window;
-        Notes.decided(s);
-        if (!e.after().steps().isEmpty()) {
+    private void conclude(State state, Verdict verdict) {
+        state.verdict = verdict;
+        state.verdictWindow = state.window;
+        NoteRules.onVerdict(state);
+        if (!experiment.after().steps().isEmpty()) {
             if (verdict == Verdict.TREATMENT) {
-                moveFrom(s, e.after().steps().get(s.step++), s.window + lead);
+                scheduleShare(state, experiment.after().steps().get(state.rolloutStep++), state.window + leadWindows);
             } else if (verdict == Verdict.CONTROL) {
-                moveFrom(s, 0, s.window + lead);
+                scheduleShare(state, 0, state.window + leadWindows);
             }
         }
     }
 
-    private void step(State s) {
-        for (int i = 0; i < e.guards().size(); i++) {
-            if (HarmTest.evidence(s.harm, i) >= logForGuard) {
-                s.guard = i;
-                s.notes.add(Note.TURNED_BACK);
+    private void advanceRollout(State state) {
+        for (int i = 0; i < experiment.guards().size(); i++) {
+            if (HarmEvidence.logEvidence(state.harmLogWealth, i) >= guardLogThreshold) {
+                state.trippedGuard = i;
+                state.notes.add(Note.TURNED_BACK);
             }
         }
-        if (!s.notes.contains(Note.TURNED_BACK) && s.step < e.after().steps().size() && s.window >= s.nextFrom + each) {
-            moveFrom(s, e.after().steps().get(s.step++), s.window + lead);
+        if (!state.notes.contains(Note.TURNED_BACK)
+                && state.rolloutStep < experiment.after().steps().size()
+                && state.window >= state.nextShareWindow + stepWindows) {
+            scheduleShare(state, experiment.after().steps().get(state.rolloutStep++), state.window + leadWindows);
         }
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/Sums.java
+++ b/experiment/src/main/java/calicochute/experiment/Sums.java
@@ -11,37 +11,37 @@
  * @param crossed for which the arm had no room or no server: served by another one, or denied
  * @param repeats retries of a unit counted before: not in n
  */
-public record Sums(long n, long sum, long squares, long failures, long crossed, long repeats) {
-    public static final long PARTS = 1024;
-    static final Sums NONE = new Sums(0, 0, 0, 0, 0, 0);
-    private static final long MOST = 1L << 32;
+public record Sums(long count, long sum, long sumOfSquares, long failures, long crossovers, long retries) {
+    public static final long SCALE = 1024;
+    static final Sums ZERO = new Sums(0, 0, 0, 0, 0, 0);
+    private static final long MAX_COUNT = 1L << 32;
 
-    public Sums plus(Sums o) {
+    public Sums plus(Sums other) {
         return new Sums(
-                n + o.n,
-                sum + o.sum,
-                squares + o.squares,
-                failures + o.failures,
-                crossed + o.crossed,
-                repeats + o.repeats);
+                count + other.count,
+                sum + other.sum,
+                sumOfSquares + other.sumOfSquares,
+                failures + other.failures,
+                crossovers + other.crossovers,
+                retries + other.retries);
     }
 
     /**
      * What n values in [0, 1] can give: the sum at most n, the squares at most the sum, and at least its square over n.
      */
-    boolean possible() {
-        return n >= 0
-                && n < MOST
+    boolean isConsistent() {
+        return count >= 0
+                && count < MAX_COUNT
                 && sum >= 0
-                && sum <= n * PARTS
-                && squares >= 0
-                && squares <= sum * PARTS
-                && (double) sum * sum <= (double) n * squares * (1 + 1e-9)
+                && sum <= count * SCALE
+                && sumOfSquares >= 0
+                && sumOfSquares <= sum * SCALE
+                && (double) sum * sum <= (double) count * sumOfSquares * (1 + 1e-9)
                 && failures >= 0
-                && failures <= n * PARTS
-                && crossed >= 0
-                && crossed <= n
-                && repeats >= 0
-                && repeats < MOST;
+                && failures <= count * SCALE
+                && crossovers >= 0
+                && crossovers <= count
+                && retries >= 0
+                && retries < MAX_COUNT;
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/seal/Ballot.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Ballot.java
@@ -8,17 +8,17 @@
  * @param index of the proposer in the sorted list of peers
  * @param life when the proposer's process began (microseconds)
  */
-record Ballot(int round, int index, long life) implements Comparable<Ballot> {
+record Ballot(int round, int proposerIndex, long incarnation) implements Comparable<Ballot> {
     static final Ballot NONE = new Ballot(0, 0, 0);
     static final int BYTES = 14;
-    static final int MOST_ROUNDS = 1 << 30;
+    static final int MAX_ROUNDS = 1 << 30;
 
     @Override
     public int compareTo(Ballot other) {
-        int by = Integer.compare(round, other.round);
-        if (by == 0) {
-            by = Integer.compare(index, other.index);
+        int order = Integer.compare(round, other.round);
+        if (order == 0) {
+            order = Integer.compare(proposerIndex, other.proposerIndex);
         }
-        return by != 0 ? by : Long.compare(life, other.life);
+        return order != 0 ? order : Long.compare(incarnation, other.incarnation);
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/seal/Codec.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Codec.java
@@ -12,22 +12,22 @@
  * list of peers.
  */
 final class Codec {
-    static final int MOST_VALUE = 900;
-    static final int MOST_BYTES = 1_100;
+    static final int MAX_VALUE_BYTES = 900;
+    static final int MAX_MESSAGE_BYTES = 1_100;
     private static final byte VERSION = 1;
-    private static final int STATE = 100;
-    private static final int HEADER = 26;
-    private static final long MOST = 1L << 62;
-    private final long name;
+    private static final int STATE_KIND = 100;
+    private static final int HEADER_BYTES = 26;
+    private static final long MAX_NUMBER = 1L << 62;
+    private final long nameHash;
     private final long definition;
-    private final long peersHash;
-    private final int peers;
+    private final long peerListHash;
+    private final int peerCount;
 
     Codec(String name, long definition, List<String> peers) {
-        this.name = hash(name);
+        this.nameHash = hash(name);
         this.definition = definition;
-        this.peersHash = hash(String.join("\n", peers));
-        this.peers = peers.size();
+        this.peerListHash = hash(String.join("\n", peers));
+        this.peerCount = peers.size();
     }
 
     private static long hash(String text) {
@@ -35,90 +35,111 @@
     }
 
     byte[] write(Message message) {
-        ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
-        if (message instanceof Ask m) {
-            header(out, 1).putLong(m.life());
-        } else if (message instanceof Answer m) {
-            header(out, 2).putLong(m.toLife()).putLong(m.life()).put(bit(m.voter()));
-            put(put(out, m.seen()).putLong(m.mark()), m.place());
-        } else if (message instanceof Form m) {
-            put(put(header(out, 3), m.epoch()).putLong(m.toLife()), m.base());
-        } else if (message instanceof Commit m) {
-            put(header(out, 4), m.epoch()).put(bit(m.voter()));
-        } else if (message instanceof Prepare m) {
-            put(put(header(out, 5), m.place()), m.ballot());
-        } else if (message instanceof Promise m) {
-            put(put(put(put(header(out, 6), m.place()), m.ballot()), m.accepted()), m.value());
-        } else if (message instanceof Accept m) {
-            put(put(put(header(out, 7), m.place()), m.ballot()), m.value());
-        } else if (message instanceof Accepted m) {
-            put(put(header(out, 8), m.place()), m.ballot());
-        } else if (message instanceof Refused m) {
-            put(put(put(header(out, 9), m.place()), m.ballot()), m.promised());
-        } else if (message instanceof Known m) {
-            put(put(header(out, 10), m.place()), m.ballot());
-        } else if (message instanceof Want m) {
-            put(header(out, 11), m.place());
-        } else if (message instanceof Value m) {
-            put(put(header(out, 12), m.place()), m.value());
-        }
-        return taken(out);
-    }
-
-    Message read(byte[] bytes) throws Malformed {
-        if (bytes.length > MOST_BYTES) {
-            throw new Malformed(Refusal.TRAILING);
-        }
-        ByteBuffer in = ByteBuffer.wrap(bytes);
-        int kind = header(in);
+        ByteBuffer output = ByteBuffer.allocate(MAX_MESSAGE_BYTES);
+        if (message instanceof StatusRequest typed) {
+            header(output, 1).putLong(typed.incarnation());
+        } else if (message instanceof StatusReply typed) {
+            header(output, 2)
+                    .putLong(typed.toIncarnation())
+                    .putLong(typed.incarnation())
+                    .put(flagByte(typed.canVote()));
+            put(put(output, typed.newestEpoch()).putLong(typed.highWaterMark()), typed.decidedSlot());
+        } else if (message instanceof EpochProposal typed) {
+            put(put(header(output, 3), typed.epoch()).putLong(typed.toIncarnation()), typed.baseSlot());
+        } else if (message instanceof EpochCommit typed) {
+            put(header(output, 4), typed.epoch()).put(flagByte(typed.canVote()));
+        } else if (message instanceof Prepare typed) {
+            put(put(header(output, 5), typed.slotId()), typed.ballot());
+        } else if (message instanceof Promise typed) {
+            put(
+                    put(put(put(header(output, 6), typed.slotId()), typed.ballot()), typed.acceptedBallot()),
+                    typed.acceptedValue());
+        } else if (message instanceof Accept typed) {
+            put(put(put(header(output, 7), typed.slotId()), typed.ballot()), typed.value());
+        } else if (message instanceof Accepted typed) {
+            put(put(header(output, 8), typed.slotId()), typed.ballot());
+        } else if (message instanceof Rejected typed) {
+            put(put(put(header(output, 9), typed.slotId()), typed.ballot()), typed.promisedBallot());
+        } else if (message instanceof DecidedNotice typed) {
+            put(put(header(output, 10), typed.slotId()), typed.ballot());
+        } else if (message instanceof ValueRequest typed) {
+            put(header(output, 11), typed.decidedSlot());
+        } else if (message instanceof DecidedValue typed) {
+            put(put(header(output, 12), typed.slotId()), typed.value());
+        }
+        return toBytes(output);
+    }
+
+    Message read(byte[] bytes) throws MalformedException {
+        if (bytes.length > MAX_MESSAGE_BYTES) {
+            throw new MalformedException(RejectReason.TRAILING_BYTES);
+        }
+        ByteBuffer input = ByteBuffer.wrap(bytes);
+        int kind = header(input);
         Message message = switch (kind) {
-            case 1 -> new Ask(number(in));
-            case 2 -> new Answer(number(in), number(in), flag(in), epoch(in), number(in), place(in));
-            case 3 -> new Form(epoch(in), number(in), place(in));
-            case 4 -> new Commit(epoch(in), flag(in));
-            case 5 -> new Prepare(place(in), ballot(in));
-            case 6 -> new Promise(place(in), ballot(in), ballot(in), value(in));
-            case 7 -> new Accept(place(in), ballot(in), value(in));
-            case 8 -> new Accepted(place(in), ballot(in));
-            case 9 -> new Refused(place(in), ballot(in), ballot(in));
-            case 10 -> new Known(place(in), ballot(in));
-            case 11 -> new Want(place(in));
-            case 12 -> new Value(place(in), value(in));
-            default -> throw new Malformed(Refusal.KIND);
+            case 1 -> new StatusRequest(readNumber(input));
+            case 2 ->
+                new StatusReply(
+                        readNumber(input),
+                        readNumber(input),
+                        readFlag(input),
+                        readEpoch(input),
+                        readNumber(input),
+                        readSlotId(input));
+            case 3 -> new EpochProposal(readEpoch(input), readNumber(input), readSlotId(input));
+            case 4 -> new EpochCommit(readEpoch(input), readFlag(input));
+            case 5 -> new Prepare(readSlotId(input), readBallot(input));
+            case 6 -> new Promise(readSlotId(input), readBallot(input), readBallot(input), readValue(input));
+            case 7 -> new Accept(readSlotId(input), readBallot(input), readValue(input));
+            case 8 -> new Accepted(readSlotId(input), readBallot(input));
+            case 9 -> new Rejected(readSlotId(input), readBallot(input), readBallot(input));
+            case 10 -> new DecidedNotice(readSlotId(input), readBallot(input));
+            case 11 -> new ValueRequest(readSlotId(input));
+            case 12 -> new DecidedValue(readSlotId(input), readValue(input));
+            default -> throw new MalformedException(RejectReason.UNKNOWN_KIND);
         };
-        if (in.hasRemaining()) {
-            throw new Malformed(Refusal.TRAILING);
+        if (input.hasRemaining()) {
+            throw new MalformedException(RejectReason.TRAILING_BYTES);
         }
         return message;
     }
 
-    byte[] write(Memory m) {
-        ByteBuffer out = header(ByteBuffer.allocate(2 * MOST_BYTES), STATE);
-        put(put(put(out, m.seen()).put(bit(m.voter())), m.place()), m.value());
-        put(put(put(out, m.promised()), m.accepted()), m.acceptedValue());
-        return taken(out.putInt(checksum(out.array(), out.position())));
+    byte[] write(AcceptorState typed) {
+        ByteBuffer output = header(ByteBuffer.allocate(2 * MAX_MESSAGE_BYTES), STATE_KIND);
+        put(
+                put(put(output, typed.newestEpoch()).put(flagByte(typed.canVote())), typed.decidedSlot()),
+                typed.decidedValue());
+        put(put(put(output, typed.promisedBallot()), typed.acceptedBallot()), typed.acceptedValue());
+        return toBytes(output.putInt(checksum(output.array(), output.position())));
     }
 
-    Memory memory(byte[] bytes) throws Malformed {
-        if (bytes.length < HEADER + 4) {
-            throw new Malformed(Refusal.SHORT);
+    AcceptorState readState(byte[] bytes) throws MalformedException {
+        if (bytes.length < HEADER_BYTES + 4) {
+            throw new MalformedException(RejectReason.TRUNCATED);
         }
-        ByteBuffer in = ByteBuffer.wrap(bytes);
-        if (in.getInt(bytes.length - 4) != checksum(bytes, bytes.length - 4)) {
-            throw new Malformed(Refusal.CHECKSUM);
+        ByteBuffer input = ByteBuffer.wrap(bytes);
+        if (input.getInt(bytes.length - 4) != checksum(bytes, bytes.length - 4)) {
+            throw new MalformedException(RejectReason.CHECKSUM);
         }
-        in.limit(bytes.length - 4);
-        if (header(in) != STATE) {
-            throw new Malformed(Refusal.KIND);
+        input.limit(bytes.length - 4);
+        if (header(input) != STATE_KIND) {
+            throw new MalformedException(RejectReason.UNKNOWN_KIND);
         }
-        Memory memory = new Memory(epoch(in), flag(in), place(in), value(in), ballot(in), ballot(in), value(in));
-        if (in.hasRemaining()) {
-            throw new Malformed(Refusal.TRAILING);
+        AcceptorState state = new AcceptorState(
+                readEpoch(input),
+                readFlag(input),
+                readSlotId(input),
+                readValue(input),
+                readBallot(input),
+                readBallot(input),
+                readValue(input));
+        if (input.hasRemaining()) {
+            throw new MalformedException(RejectReason.TRAILING_BYTES);
         }
-        if (!memory.sound()) {
-            throw new Malformed(Refusal.BOUNDS);
+        if (!state.isConsistent()) {
+            throw new MalformedException(RejectReason.OUT_OF_RANGE);
         }
-        return memory;
+        return state;
     }
 
     private static int checksum(byte[] bytes, int length) {
@@ -127,119 +148,123 @@
         return (int) crc.getValue();
     }
 
-    private ByteBuffer header(ByteBuffer out, int kind) {
-        return out.put(VERSION)
+    private ByteBuffer header(ByteBuffer output, int kind) {
+        return output.put(VERSION)
                 .put((byte) kind)
-                .putLong(name)
+                .putLong(nameHash)
                 .putLong(definition)
-                .putLong(peersHash);
+                .putLong(peerListHash);
     }
 
-    private int header(ByteBuffer in) throws Malformed {
-        if (in.remaining() < HEADER) {
-            throw new Malformed(Refusal.SHORT);
+    private int header(ByteBuffer input) throws MalformedException {
+        if (input.remaining() < HEADER_BYTES) {
+            throw new MalformedException(RejectReason.TRUNCATED);
         }
-        if (in.get() != VERSION) {
-            throw new Malformed(Refusal.VERSION);
+        if (input.get() != VERSION) {
+            throw new MalformedException(RejectReason.VERSION);
         }
-        int kind = in.get();
-        if (in.getLong() != name) {
-            throw new Malformed(Refusal.EXPERIMENT);
+        int kind = input.get();
+        if (input.getLong() != nameHash) {
+            throw new MalformedException(RejectReason.EXPERIMENT);
         }
-        if (in.getLong() != definition) {
-            throw new Malformed(Refusal.DEFINITION);
+        if (input.getLong() != definition) {
+            throw new MalformedException(RejectReason.DEFINITION);
         }
-        if (in.getLong() != peersHash) {
-            throw new Malformed(Refusal.PEERS);
+        if (input.getLong() != peerListHash) {
+            throw new MalformedException(RejectReason.PEERS);
         }
         return kind;
     }
 
-    private static byte bit(boolean flag) {
+    private static byte flagByte(boolean flag) {
         return (byte) (flag ? 1 : 0);
     }
 
-    private static ByteBuffer put(ByteBuffer out, Epoch e) {
-        return out.putLong(e.number()).putShort((short) e.index()).putLong(e.life());
+    private static ByteBuffer put(ByteBuffer output, Epoch epoch) {
+        return output.putLong(epoch.number())
+                .putShort((short) epoch.creatorIndex())
+                .putLong(epoch.incarnation());
     }
 
-    private static ByteBuffer put(ByteBuffer out, Place p) {
-        return put(out, p.epoch()).putLong(p.slot());
+    private static ByteBuffer put(ByteBuffer output, SlotId slotId) {
+        return put(output, slotId.epoch()).putLong(slotId.slot());
     }
 
-    private static ByteBuffer put(ByteBuffer out, Ballot b) {
-        return out.putInt(b.round()).putShort((short) b.index()).putLong(b.life());
+    private static ByteBuffer put(ByteBuffer output, Ballot ballot) {
+        return output.putInt(ballot.round())
+                .putShort((short) ballot.proposerIndex())
+                .putLong(ballot.incarnation());
     }
 
-    private static ByteBuffer put(ByteBuffer out, byte[] value) {
-        return out.putShort((short) value.length).put(value);
+    private static ByteBuffer put(ByteBuffer output, byte[] value) {
+        return output.putShort((short) value.length).put(value);
     }
 
-    private static byte[] taken(ByteBuffer out) {
-        byte[] bytes = new byte[out.position()];
-        out.flip().get(bytes);
+    private static byte[] toBytes(ByteBuffer output) {
+        byte[] bytes = new byte[output.position()];
+        output.flip().get(bytes);
         return bytes;
     }
 
-    private static void need(ByteBuffer in, int bytes) throws Malformed {
-        if (in.remaining() < bytes) {
-            throw new Malformed(Refusal.SHORT);
+    private static void requireBytes(ByteBuffer input, int bytes) throws MalformedException {
+        if (input.remaining() < bytes) {
+            throw new MalformedException(RejectReason.TRUNCATED);
         }
     }
 
-    private static long number(ByteBuffer in) throws Malformed {
-        need(in, 8);
-        long number = in.getLong();
-        if (number < 0 || number > MOST) {
-            throw new Malformed(Refusal.BOUNDS);
+    private static long readNumber(ByteBuffer input) throws MalformedException {
+        requireBytes(input, 8);
+        long number = input.getLong();
+        if (number < 0 || number > MAX_NUMBER) {
+            throw new MalformedException(RejectReason.OUT_OF_RANGE);
         }
         return number;
     }
 
-    private static boolean flag(ByteBuffer in) throws Malformed {
-        need(in, 1);
-        byte flag = in.get();
+    private static boolean readFlag(ByteBuffer input) throws MalformedException {
+        requireBytes(input, 1);
+        byte flag = input.get();
         if (flag < 0 || flag > 1) {
-            throw new Malformed(Refusal.BOUNDS);
+            throw new MalformedException(RejectReason.OUT_OF_RANGE);
         }
         return flag == 1;
     }
 
-    private int index(ByteBuffer in) throws Malformed {
-        need(in, 2);
-        int index = in.getShort();
-        if (index < 0 || index >= peers) {
-            throw new Malformed(Refusal.BOUNDS);
+    private int readPeerIndex(ByteBuffer input) throws MalformedException {
+        requireBytes(input, 2);
+        int index = input.getShort();
+        if (index < 0 || index >= peerCount) {
+            throw new MalformedException(RejectReason.OUT_OF_RANGE);
         }
         return index;
     }
 
-    private Epoch epoch(ByteBuffer in) throws Malformed {
-        return new Epoch(number(in), index(in), number(in));
+    private Epoch readEpoch(ByteBuffer input) throws MalformedException {
+        return new Epoch(readNumber(input), readPeerIndex(input), readNumber(input));
     }
 
-    private Place place(ByteBuffer in) throws Malformed {
-        return new Place(epoch(in), number(in));
+    private SlotId readSlotId(ByteBuffer input) throws MalformedException {
+        return new SlotId(readEpoch(input), readNumber(input));
     }
 
-    private Ballot ballot(ByteBuffer in) throws Malformed {
-        need(in, Ballot.BYTES);
-        int round = in.getInt();
-        if (round < 0 || round > Ballot.MOST_ROUNDS) {
-            throw new Malformed(Refusal.BOUNDS);
+    private Ballot readBallot(ByteBuffer input) throws MalformedException {
+        requireBytes(input, Ballot.BYTES);
+        int round = input.getInt();
+        if (round < 0 || round > Ballot.MAX_ROUNDS) {
+            throw new MalformedException(RejectReason.OUT_OF_RANGE);
         }
-        return new Ballot(round, index(in), number(in));
+        return new Ballot(round, readPeerIndex(input), readNumber(input));
     }
 
-    private static byte[] value(ByteBuffer in) throws Malformed {
-        need(in, 2);
-        int length = in.getShort();
-        if (length < 0 || length > MOST_VALUE) {
-            throw new Malformed(Refusal.BOUNDS);
+    private static byte[] readValue(ByteBuffer input) throws MalformedException {
+        requireBytes(input, 2);
+        int length = input.getShort();
+        if (length < 0 || length > MAX_VALUE_BYTES) {
+            throw new MalformedException(RejectReason.OUT_OF_RANGE);
         }
-        need(in, length);
+        requireBytes(input, length);
         byte[] value = new byte[length];
-        in.get(value);
+        input.get(value);
         return value;
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/seal/Effect.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Effect.java
@@ -8,10 +8,10 @@
     record Persist(long token, byte[] state) implements Effect {}
 
     /** Send to a peer; may be lost, repeated, late. */
-    record Send(String to, byte[] message) implements Effect {}
+    record Send(String recipient, byte[] message) implements Effect {}
 
     /** The newest decided slot is this one; slots between may have been jumped over. */
-    record Decided(Place place, byte[] value) implements Effect {}
+    record Decided(SlotId slotId, byte[] value) implements Effect {}
 
     /**
      * The register goes on in a new epoch, after this place (slot 0: from nothing). Decided follows if there is a
@@ -19,10 +19,10 @@
      *
      * @param before where this peer stood: {@link Place#NONE} if it had no memory
      */
-    record Begun(Place place, Place before) implements Effect {
+    record EpochBegun(SlotId baseSlot, SlotId previousSlot) implements Effect {
         /** Most of the peers lost their memory: of the epoch before nothing later than this place counts. */
-        public boolean lost() {
-            return !before.equals(Place.NONE);
+        public boolean memoryLost() {
+            return !previousSlot.equals(SlotId.NONE);
         }
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/seal/Epoch.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Epoch.java
@@ -8,7 +8,7 @@
  * @param index that peer, by place in the sorted list of peers
  * @param life when that peer's process began (microseconds), so that no two epochs are the same
  */
-public record Epoch(long number, int index, long life) implements Comparable<Epoch> {
+public record Epoch(long number, int creatorIndex, long incarnation) implements Comparable<Epoch> {
     /** Known to a peer without memory. */
     public static final Epoch NONE = new Epoch(0, 0, 0);
 
@@ -16,10 +16,10 @@
 
     @Override
     public int compareTo(Epoch other) {
-        int by = Long.compare(number, other.number);
-        if (by == 0) {
-            by = Integer.compare(index, other.index);
+        int order = Long.compare(number, other.number);
+        if (order == 0) {
+            order = Integer.compare(creatorIndex, other.creatorIndex);
         }
-        return by != 0 ? by : Long.compare(life, other.life);
+        return order != 0 ? order : Long.compare(incarnation, other.incarnation);
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/seal/Outbox.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Outbox.java
@@ -8,92 +8,92 @@
  * Messages on their way out. One that rests on a memory not kept yet waits until it is; one to this peer comes back in.
  */
 final class Outbox {
-    private record Held(int to, Message message, long needs) {}
+    private record QueuedMessage(int recipient, Message message, long requiredChange) {}
 
     private final Codec codec;
     private final List<String> peers;
-    private final int me;
-    private final boolean remembers;
-    private final int most;
-    private final ArrayDeque<Held> held = new ArrayDeque<>();
-    private final ArrayDeque<Message> own = new ArrayDeque<>();
+    private final int selfIndex;
+    private final boolean persistent;
+    private final int maxQueued;
+    private final ArrayDeque<QueuedMessage> queue = new ArrayDeque<>();
+    private final ArrayDeque<Message> loopback = new ArrayDeque<>();
     private List<Effect> ready = new ArrayList<>();
     /** How often the memory changed, up to which change it was handed out and kept. */
     private long changes;
 
-    private long handed;
-    private long kept;
+    private long handedOut;
+    private long persisted;
     private long dropped;
 
-    Outbox(Codec codec, List<String> peers, int me, boolean remembers) {
+    Outbox(Codec codec, List<String> peers, int selfIndex, boolean persistent) {
         this.codec = codec;
         this.peers = peers;
-        this.me = me;
-        this.remembers = remembers;
-        this.most = 16 * peers.size() + 256;
+        this.selfIndex = selfIndex;
+        this.persistent = persistent;
+        this.maxQueued = 16 * peers.size() + 256;
     }
 
-    void changed() {
+    void stateChanged() {
         changes++;
-        if (!remembers) {
-            kept = changes;
+        if (!persistent) {
+            persisted = changes;
         }
     }
 
-    void send(int to, Message message) {
-        if (held.size() >= most) {
-            held.poll();
+    void send(int recipient, Message message) {
+        if (queue.size() >= maxQueued) {
+            queue.poll();
             dropped++;
         }
-        held.add(new Held(to, message, changes));
+        queue.add(new QueuedMessage(recipient, message, changes));
     }
 
-    void all(Message message) {
+    void broadcast(Message message) {
         for (int i = 0; i < peers.size(); i++) {
             send(i, message);
         }
     }
 
-    void tell(Effect effect) {
+    void addEffect(Effect effect) {
         ready.add(effect);
     }
 
-    void kept(long token) {
-        kept = Math.max(kept, Math.min(token, handed));
+    void persisted(long token) {
+        persisted = Math.max(persisted, Math.min(token, handedOut));
     }
 
     /** What may leave, leaves; true if a message to this peer is there now. */
-    boolean release(Memory memory) {
-        if (changes > handed && remembers) {
-            ready.add(new Effect.Persist(changes, codec.write(memory)));
-            handed = changes;
+    boolean release(AcceptorState state) {
+        if (changes > handedOut && persistent) {
+            ready.add(new Effect.Persist(changes, codec.write(state)));
+            handedOut = changes;
         }
-        Held first;
+        QueuedMessage first;
         Message written = null;
         byte[] bytes = null;
-        while ((first = held.peek()) != null && first.needs <= kept) {
-            held.poll();
-            if (first.to == me) {
-                own.add(first.message);
+        while ((first = queue.peek()) != null && first.requiredChange <= persisted) {
+            queue.poll();
+            if (first.recipient == selfIndex) {
+                loopback.add(first.message);
             } else {
                 if (first.message != written) {
                     written = first.message;
                     bytes = codec.write(written);
                 }
-                ready.add(new Effect.Send(peers.get(first.to), bytes));
+                ready.add(new Effect.Send(peers.get(first.recipient), bytes));
             }
         }
-        return !own.isEmpty();
+        return !loopback.isEmpty();
     }
 
-    Message own() {
-        return own.poll();
+    Message loopback() {
+        return loopback.poll();
     }
 
     List<Effect> drain() {
-        List<Effect> out = ready;
+        List<Effect> drained = ready;
         ready = new ArrayList<>();
-        return out;
+        return drained;
     }
 
     long dropped() {
--- a/experiment/src/main/java/calicochute/experiment/seal/Proposer.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Proposer.java
@@ -9,151 +9,154 @@
  * a restart.
  */
 final class Proposer {
-    private static final int MOST_TURN = 20;
-    private static final int MOST_DOUBLINGS = 4;
-    private final Voter voter;
-    private final Outbox out;
+    private static final int MAX_RANK = 20;
+    private static final int MAX_BACKOFF_DOUBLINGS = 4;
+    private final Acceptor acceptor;
+    private final Outbox outbox;
     private final Timing timing;
-    private final int peers;
-    private final int me;
-    private final long life;
-    private byte[] next;
-    private long since;
-    private long movedAt;
+    private final int peerCount;
+    private final int selfIndex;
+    private final long incarnation;
+    private byte[] nextValue;
+    private long proposedAt;
+    private long slotChangedAt;
     private long notBefore = Long.MIN_VALUE;
-    private int rounds;
-    private int refusals;
+    private int highestRound;
+    private int rejections;
     private int rank;
 
-    private Place place;
+    private SlotId slotId;
     private Ballot ballot = Ballot.NONE;
-    private Ballot best = Ballot.NONE;
+    private Ballot highestAccepted = Ballot.NONE;
     private byte[] value;
-    private boolean accepting;
-    private final BitSet answered = new BitSet();
-    private long again;
-    private int repeats;
+    private boolean acceptPhase;
+    private final BitSet repliedPeers = new BitSet();
+    private long retryAt;
+    private int retries;
 
-    Proposer(Voter voter, Outbox out, Timing timing, int peers, int me, long life) {
-        this.voter = voter;
-        this.out = out;
+    Proposer(Acceptor acceptor, Outbox outbox, Timing timing, int peerCount, int selfIndex, long incarnation) {
+        this.acceptor = acceptor;
+        this.outbox = outbox;
         this.timing = timing;
-        this.peers = peers;
-        this.me = me;
-        this.life = life;
-        this.rank = me;
-        this.movedAt = life;
+        this.peerCount = peerCount;
+        this.selfIndex = selfIndex;
+        this.incarnation = incarnation;
+        this.rank = selfIndex;
+        this.slotChangedAt = incarnation;
     }
 
     void propose(long now, byte[] bytes) {
-        if (next == null) {
-            since = now;
+        if (nextValue == null) {
+            proposedAt = now;
         }
-        next = bytes.clone();
+        nextValue = bytes.clone();
         tick(now);
     }
 
-    void turn(int place) {
-        rank = Math.max(0, Math.min(place, MOST_TURN));
+    void setRank(int newRank) {
+        rank = Math.max(0, Math.min(newRank, MAX_RANK));
     }
 
     /** The newest place is another: what was proposed after the old one is void. */
-    void moved(long now) {
-        next = null;
-        place = null;
-        refusals = 0;
-        rounds = 0;
+    void slotChanged(long now) {
+        nextValue = null;
+        slotId = null;
+        rejections = 0;
+        highestRound = 0;
         notBefore = Long.MIN_VALUE;
-        movedAt = now;
+        slotChangedAt = now;
     }
 
     void tick(long now) {
-        if (place != null && !place.epoch().equals(voter.memory().seen())) {
-            place = null;
+        if (slotId != null && !slotId.epoch().equals(acceptor.state().newestEpoch())) {
+            slotId = null;
         }
-        if (place != null && now >= again) {
-            repeat(now);
+        if (slotId != null && now >= retryAt) {
+            resend(now);
         }
-        if (place != null
-                || next == null
-                || !voter.memory().place().epoch().equals(voter.memory().seen())) {
+        if (slotId != null
+                || nextValue == null
+                || !acceptor.state()
+                        .decidedSlot()
+                        .epoch()
+                        .equals(acceptor.state().newestEpoch())) {
             return;
         }
-        long due = rank == 0 ? since : Math.max(since, movedAt) + rank * timing.takeover();
-        if (now < Math.max(due, notBefore)) {
+        long dueAt = rank == 0 ? proposedAt : Math.max(proposedAt, slotChangedAt) + rank * timing.takeoverMicros();
+        if (now < Math.max(dueAt, notBefore)) {
             return;
         }
-        if (rounds >= Ballot.MOST_ROUNDS) {
+        if (highestRound >= Ballot.MAX_ROUNDS) {
             return;
         }
-        place = voter.memory().place().next();
-        ballot = new Ballot(++rounds, me, life);
-        best = Ballot.NONE;
-        value = next;
-        accepting = false;
-        begin(now, new Prepare(place, ballot));
+        slotId = acceptor.state().decidedSlot().next();
+        ballot = new Ballot(++highestRound, selfIndex, incarnation);
+        highestAccepted = Ballot.NONE;
+        value = nextValue;
+        acceptPhase = false;
+        startPhase(now, new Prepare(slotId, ballot));
     }
 
-    private void begin(long now, Message message) {
-        answered.clear();
-        repeats = 0;
-        again = now + timing.retry();
-        out.all(message);
+    private void startPhase(long now, Message message) {
+        repliedPeers.clear();
+        retries = 0;
+        retryAt = now + timing.retryMicros();
+        outbox.broadcast(message);
     }
 
-    private void repeat(long now) {
-        repeats = Math.min(repeats + 1, MOST_DOUBLINGS);
-        again = now + (timing.retry() << repeats);
-        Message message = accepting ? new Accept(place, ballot, value) : new Prepare(place, ballot);
-        for (int i = answered.nextClearBit(0); i < peers; i = answered.nextClearBit(i + 1)) {
-            out.send(i, message);
+    private void resend(long now) {
+        retries = Math.min(retries + 1, MAX_BACKOFF_DOUBLINGS);
+        retryAt = now + (timing.retryMicros() << retries);
+        Message message = acceptPhase ? new Accept(slotId, ballot, value) : new Prepare(slotId, ballot);
+        for (int i = repliedPeers.nextClearBit(0); i < peerCount; i = repliedPeers.nextClearBit(i + 1)) {
+            outbox.send(i, message);
         }
     }
 
-    private boolean mine(Place of, Ballot by) {
-        return place != null && by.equals(ballot) && of.equals(place);
+    private boolean isCurrent(SlotId messageSlot, Ballot messageBallot) {
+        return slotId != null && messageBallot.equals(ballot) && messageSlot.equals(slotId);
     }
 
-    private boolean majority(int from) {
-        answered.set(from);
-        return answered.cardinality() > peers / 2;
+    private boolean hasMajorityWith(int sender) {
+        repliedPeers.set(sender);
+        return repliedPeers.cardinality() > peerCount / 2;
     }
 
-    void promised(long now, int from, Promise m) {
-        if (!mine(m.place(), m.ballot()) || accepting) {
+    void onPromise(long now, int sender, Promise message) {
+        if (!isCurrent(message.slotId(), message.ballot()) || acceptPhase) {
             return;
         }
-        if (m.accepted().compareTo(best) > 0) {
-            best = m.accepted();
-            value = m.value();
+        if (message.acceptedBallot().compareTo(highestAccepted) > 0) {
+            highestAccepted = message.acceptedBallot();
+            value = message.acceptedValue();
         }
-        if (!majority(from)) {
+        if (!hasMajorityWith(sender)) {
             return;
         }
-        accepting = true;
-        begin(now, new Accept(place, ballot, value));
+        acceptPhase = true;
+        startPhase(now, new Accept(slotId, ballot, value));
     }
 
-    void accepted(long now, int from, Accepted m) {
-        if (!mine(m.place(), m.ballot()) || !accepting || !majority(from)) {
+    void onAccepted(long now, int sender, Accepted message) {
+        if (!isCurrent(message.slotId(), message.ballot()) || !acceptPhase || !hasMajorityWith(sender)) {
             return;
         }
-        Place decided = place;
-        Ballot by = ballot;
-        voter.learn(now, decided, value);
-        out.all(new Known(decided, by));
+        SlotId decidedSlot = slotId;
+        Ballot decidingBallot = ballot;
+        acceptor.learn(now, decidedSlot, value);
+        outbox.broadcast(new DecidedNotice(decidedSlot, decidingBallot));
     }
 
     /** Another proposer is at work: leave it time, the longer the more often it comes to this. */
-    void refused(long now, Refused m) {
-        if (!mine(m.place(), m.ballot())) {
+    void onRejected(long now, Rejected message) {
+        if (!isCurrent(message.slotId(), message.ballot())) {
             return;
         }
-        rounds = Math.max(rounds, m.promised().round());
-        place = null;
-        refusals = Math.min(refusals + 1, MOST_DOUBLINGS);
-        long spread = timing.retry() << refusals;
-        long some = Math.floorMod(MurmurHash3.hash32(life + me, now + rounds), spread);
-        notBefore = now + timing.retry() / 2 + some + (rank > 0 ? timing.takeover() : 0);
+        highestRound = Math.max(highestRound, message.promisedBallot().round());
+        slotId = null;
+        rejections = Math.min(rejections + 1, MAX_BACKOFF_DOUBLINGS);
+        long backoff = timing.retryMicros() << rejections;
+        long jitter = Math.floorMod(MurmurHash3.hash32(incarnation + selfIndex, now + highestRound), backoff);
+        notBefore = now + timing.retryMicros() / 2 + jitter + (rank > 0 ? timing.takeoverMicros() : 0);
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/seal/Register.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Register.java
@@ -1,6 +1,6 @@
 package calicochute.experiment.seal;
 
-import calicochute.experiment.seal.Message.Known;
+import calicochute.experiment.seal.Message.DecidedNotice;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
@@ -14,20 +14,20 @@
  * microseconds. After each call the host takes {@link #effects}. What holds and why: see the package.
  */
 public final class Register {
-    public static final int MOST_VALUE = Codec.MOST_VALUE;
-    public static final int MOST_PEERS = 400;
-    private static final int TOLD = 2;
+    public static final int MAX_VALUE_BYTES = Codec.MAX_VALUE_BYTES;
+    public static final int MAX_PEERS = 400;
+    private static final int ANNOUNCEMENT_FANOUT = 2;
     private final Codec codec;
     private final List<String> peers;
-    private final int me;
-    private final long life;
+    private final int selfIndex;
+    private final long incarnation;
     private final Timing timing;
-    private final Outbox out;
-    private final Voter voter;
-    private final Map<Refusal, Long> refusals = new EnumMap<>(Refusal.class);
+    private final Outbox outbox;
+    private final Acceptor acceptor;
+    private final Map<RejectReason, Long> rejections = new EnumMap<>(RejectReason.class);
     private long now;
-    private long nextTelling;
-    private int told;
+    private long nextAnnouncementAt;
+    private int announcements;
 
     /**
      * @param definition hash of what the experiment is: one that was changed is another register
@@ -40,41 +40,41 @@
     public Register(
             String name,
             long definition,
-            List<String> configured,
-            String me,
-            long start,
-            boolean remembers,
+            List<String> configuredPeers,
+            String self,
+            long incarnation,
+            boolean persistent,
             byte[] state,
             Timing timing) {
-        SortedSet<String> sorted = new TreeSet<>(configured);
-        if (sorted.isEmpty() || sorted.size() > MOST_PEERS || sorted.size() != configured.size()) {
+        SortedSet<String> sorted = new TreeSet<>(configuredPeers);
+        if (sorted.isEmpty() || sorted.size() > MAX_PEERS || sorted.size() != configuredPeers.size()) {
             throw new IllegalArgumentException("1 to 400 different peers");
         }
         this.peers = List.copyOf(sorted);
-        this.me = peers.indexOf(me);
-        if (this.me < 0) {
-            throw new IllegalArgumentException("not a peer: " + me);
+        this.selfIndex = peers.indexOf(self);
+        if (this.selfIndex < 0) {
+            throw new IllegalArgumentException("not a peer: " + self);
         }
-        if (start <= 0) {
-            throw new IllegalArgumentException("start " + start);
+        if (incarnation <= 0) {
+            throw new IllegalArgumentException("start " + incarnation);
         }
-        this.life = start;
-        this.now = start;
+        this.incarnation = incarnation;
+        this.now = incarnation;
         this.timing = timing;
         this.codec = new Codec(name, definition, peers);
-        this.out = new Outbox(codec, peers, this.me, remembers);
-        this.voter = new Voter(restored(state), out, timing, peers.size(), this.me, start);
+        this.outbox = new Outbox(codec, peers, this.selfIndex, persistent);
+        this.acceptor = new Acceptor(restore(state), outbox, timing, peers.size(), this.selfIndex, incarnation);
     }
 
-    private Memory restored(byte[] state) {
+    private AcceptorState restore(byte[] state) {
         if (state == null) {
-            return Memory.BLANK;
+            return AcceptorState.INITIAL;
         }
         try {
-            return codec.memory(state);
-        } catch (Malformed e) {
-            refused(e.refusal);
-            return Memory.BLANK;
+            return codec.readState(state);
+        } catch (MalformedException e) {
+            countRejection(e.reason);
+            return AcceptorState.INITIAL;
         }
     }
 
@@ -82,95 +82,101 @@
      * What this peer would put into the slot after {@code after}; may be said again. False if that is not the newest
      * place, or too long.
      */
-    public boolean propose(long time, Place after, byte[] next) {
+    public boolean propose(long time, SlotId after, byte[] next) {
         now = time;
-        if (!after.equals(voter.memory().place()) || after.equals(Place.NONE) || next.length > MOST_VALUE) {
+        if (!after.equals(acceptor.state().decidedSlot())
+                || after.equals(SlotId.NONE)
+                || next.length > MAX_VALUE_BYTES) {
             return false;
         }
-        voter.propose(time, next);
+        acceptor.propose(time, next);
         return true;
     }
 
     /** This peer's turn to propose, among the live: 0 at once, the others each a while later if nothing is decided. */
-    public void turn(int rank) {
-        voter.turn(rank);
+    public void setRank(int rank) {
+        acceptor.setRank(rank);
     }
 
     /** Every 50 to 250 ms. */
     public void tick(long time) {
         now = time;
-        voter.tick(time);
-        if (time < nextTelling) {
+        acceptor.tick(time);
+        if (time < nextAnnouncementAt) {
             return;
         }
-        nextTelling = time + timing.spread();
-        for (int i = 0; i < TOLD && peers.size() > 1; i++) {
+        nextAnnouncementAt = time + timing.announceMicros();
+        for (int i = 0; i < ANNOUNCEMENT_FANOUT && peers.size() > 1; i++) {
             int other = Math.floorMod(
-                    me + 1 + Math.floorMod(MurmurHash3.hash32(life + me, told++), peers.size() - 1), peers.size());
-            out.send(other, new Known(voter.memory().place(), Ballot.NONE));
+                    selfIndex
+                            + 1
+                            + Math.floorMod(
+                                    MurmurHash3.hash32(incarnation + selfIndex, announcements++), peers.size() - 1),
+                    peers.size());
+            outbox.send(other, new DecidedNotice(acceptor.state().decidedSlot(), Ballot.NONE));
         }
     }
 
     /** A message from a peer. One that is none of this register is counted. */
-    public void received(long time, String from, byte[] message) {
+    public void received(long time, String sender, byte[] message) {
         now = time;
-        int by = peers.indexOf(from);
-        if (by < 0) {
-            refused(Refusal.SENDER);
+        int senderIndex = peers.indexOf(sender);
+        if (senderIndex < 0) {
+            countRejection(RejectReason.UNKNOWN_SENDER);
             return;
         }
         try {
-            voter.handle(time, by, codec.read(message));
-        } catch (Malformed e) {
-            refused(e.refusal);
+            acceptor.handle(time, senderIndex, codec.read(message));
+        } catch (MalformedException e) {
+            countRejection(e.reason);
         }
     }
 
     /** The host has kept the state of this token, and so all before it. */
     public void persisted(long token) {
-        out.kept(token);
+        outbox.persisted(token);
     }
 
     /** To be done in this order; call again after {@link #persisted}. */
     public List<Effect> effects() {
-        while (out.release(voter.memory())) {
-            Message own;
-            while ((own = out.own()) != null) {
-                voter.handle(now, me, own);
+        while (outbox.release(acceptor.state())) {
+            Message loopback;
+            while ((loopback = outbox.loopback()) != null) {
+                acceptor.handle(now, selfIndex, loopback);
             }
         }
-        return out.drain();
+        return outbox.drain();
     }
 
     /** Newest decided slot known. */
-    public Place place() {
-        return voter.memory().place();
+    public SlotId decidedSlot() {
+        return acceptor.state().decidedSlot();
     }
 
-    public long slot() {
-        return voter.memory().place().slot();
+    public long slotNumber() {
+        return acceptor.state().decidedSlot().slot();
     }
 
     /** Its value; empty in slot 0. */
     public byte[] value() {
-        return voter.memory().value().clone();
+        return acceptor.state().decidedValue().clone();
     }
 
     /** False while this peer abstains because it has, or may have, forgotten its votes. */
-    public boolean votes() {
-        return voter.memory().voter();
+    public boolean canVote() {
+        return acceptor.state().canVote();
     }
 
     /** What was not taken, by cause. */
-    public Map<Refusal, Long> refusals() {
-        Map<Refusal, Long> all = new EnumMap<>(refusals);
-        if (out.dropped() > 0) {
-            all.put(Refusal.WAITING, out.dropped());
+    public Map<RejectReason, Long> rejections() {
+        Map<RejectReason, Long> all = new EnumMap<>(rejections);
+        if (outbox.dropped() > 0) {
+            all.put(RejectReason.QUEUE_FULL, outbox.dropped());
         }
         return all;
     }
 
-    private void refused(Refusal refusal) {
-        refusals.merge(refusal, 1L, Long::sum);
+    private void countRejection(RejectReason reason) {
+        rejections.merge(reason, 1L, Long::sum);
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/seal/Refusal.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/RejectReason.java
@@ -1,13 +1,13 @@
 package calicochute.experiment.seal;
 
 /** Why a message or a kept state was not taken. */
-public enum Refusal {
+public enum RejectReason {
     /** Ends too early. */
-    SHORT,
+    TRUNCATED,
     /** Of another version. */
     VERSION,
     /** No such kind of message. */
-    KIND,
+    UNKNOWN_KIND,
     /** Of another experiment. */
     EXPERIMENT,
     /** The experiment is defined otherwise there. */
@@ -15,13 +15,13 @@
     /** The list of peers is another there. */
     PEERS,
     /** A number out of bounds. */
-    BOUNDS,
+    OUT_OF_RANGE,
     /** Goes on after its end. */
-    TRAILING,
+    TRAILING_BYTES,
     /** Checksum of a kept state is wrong. */
     CHECKSUM,
     /** Sent by none of the peers. */
-    SENDER,
+    UNKNOWN_SENDER,
     /** Too many messages wait for the state to be kept: the oldest were dropped. */
-    WAITING
+    QUEUE_FULL
 }
--- a/experiment/src/main/java/calicochute/experiment/seal/Timing.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Timing.java
@@ -11,12 +11,19 @@
  * @param window commits to a new epoch count for so long
  * @param hold who committed keeps out of the old epoch for so long; far above window
  */
-public record Timing(long retry, long takeover, long spread, long ask, long settle, long window, long hold) {
-    public static final Timing USUAL =
+public record Timing(
+        long retryMicros,
+        long takeoverMicros,
+        long announceMicros,
+        long statusRequestMicros,
+        long settleMicros,
+        long commitWindowMicros,
+        long holdMicros) {
+    public static final Timing DEFAULT =
             new Timing(300_000, 2_000_000, 1_000_000, 250_000, 1_000_000, 1_000_000, 3_000_000);
 
     /** How old an answer may be that speaks for a new epoch. */
-    long fresh() {
-        return 12 * ask;
+    long maxReplyAgeMicros() {
+        return 12 * statusRequestMicros;
     }
 }
--- /dev/null
+++ b/experiment/src/main/java/calicochute/experiment/seal/VoteRecovery.java
@@ -0,0 +1,273 @@
+package calicochute.experiment.seal;
+
+import calicochute.experiment.seal.Message.*;
+import java.util.Arrays;
+import java.util.BitSet;
+import org.apache.commons.codec.digest.MurmurHash3;
+
+/**
+ * How a peer without a vote gets one: it reads how far the others voted and waits until that is past, or begins a new
+ * epoch with them.
+ */
+final class VoteRecovery {
+    private static final int MAX_RANK = 20;
+    private static final int MAX_REQUEST_BACKOFF = 8;
+    private final Acceptor acceptor;
+    private final Outbox outbox;
+    private final Timing timing;
+    private final int peerCount;
+    private final int selfIndex;
+    private final long incarnation;
+    private final int majority;
+    /** So many share a peer with each majority. */
+    private final int readQuorum;
+
+    private final StatusReply[] replies;
+    private final long[] repliedAt;
+    private long nextRequestAt = Long.MIN_VALUE;
+    private int requestBackoff = 1;
+    private int rank;
+    /** Of {@code readIn}: votes again once this slot is known. */
+    private Epoch readEpoch = Epoch.NONE;
+
+    private long voteFromSlot;
+
+    private Epoch committedEpoch = Epoch.NONE;
+    private long holdUntil = Long.MIN_VALUE;
+
+    private boolean stuck;
+    private long stuckSince;
+    private long nextFormationAt = Long.MIN_VALUE;
+    private Epoch formingEpoch;
+    private long formationStartedAt;
+    private long nextProposalAt;
+    private final long[] proposedTo;
+    private final BitSet recordCommit = new BitSet();
+    private final BitSet committedNonVoters = new BitSet();
+
+    VoteRecovery(Acceptor acceptor, Outbox outbox, Timing timing, int peerCount, int selfIndex, long incarnation) {
+        this.acceptor = acceptor;
+        this.outbox = outbox;
+        this.timing = timing;
+        this.peerCount = peerCount;
+        this.selfIndex = selfIndex;
+        this.incarnation = incarnation;
+        this.rank = selfIndex;
+        this.majority = peerCount / 2 + 1;
+        this.readQuorum = peerCount - majority + 1;
+        this.replies = new StatusReply[peerCount];
+        this.repliedAt = new long[peerCount];
+        this.proposedTo = new long[peerCount];
+    }
+
+    void setRank(int newRank) {
+        rank = newRank;
+    }
+
+    /** Committed to a new epoch, so neither votes in the old one nor comes back to it. */
+    boolean isHeld(long now) {
+        return now < holdUntil;
+    }
+
+    /** Takes part in an epoch from its beginning: committed to it in this life, was in it in none before. */
+    boolean isFoundingMember(Epoch epoch) {
+        return epoch.equals(committedEpoch);
+    }
+
+    void votingStarted() {
+        committedEpoch = Epoch.NONE;
+        holdUntil = Long.MIN_VALUE;
+        formingEpoch = null;
+        stuck = false;
+        readEpoch = Epoch.NONE;
+        requestBackoff = 1;
+        nextRequestAt = Long.MIN_VALUE;
+        Arrays.fill(replies, null);
+    }
+
+    void tick(long now) {
+        if (acceptor.state().canVote()) {
+            return;
+        }
+        if (now >= nextRequestAt) {
+            for (int i = 0; i < peerCount; i++) {
+                if (i != selfIndex) {
+                    outbox.send(i, new StatusRequest(incarnation));
+                }
+            }
+            nextRequestAt = now + timing.statusRequestMicros() * requestBackoff;
+            requestBackoff = Math.min(2 * requestBackoff, MAX_REQUEST_BACKOFF);
+        }
+        tryRecover(now);
+        if (!acceptor.state().canVote()) {
+            tryFormEpoch(now);
+        }
+    }
+
+    void onStatusRequest(long now, int sender, StatusRequest message) {
+        AcceptorState state = acceptor.state();
+        outbox.send(
+                sender,
+                new StatusReply(
+                        message.incarnation(),
+                        incarnation,
+                        state.canVote(),
+                        state.newestEpoch(),
+                        state.canVote() ? state.highWaterMark() : 0,
+                        state.decidedSlot()));
+    }
+
+    void onStatusReply(long now, int sender, StatusReply message) {
+        if (message.toIncarnation() != incarnation || acceptor.state().canVote() || sender == selfIndex) {
+            return;
+        }
+        replies[sender] = message;
+        repliedAt[sender] = now;
+        if (message.decidedSlot().compareTo(acceptor.state().decidedSlot()) > 0) {
+            acceptor.requestValue(now, sender);
+        }
+        tryRecover(now);
+    }
+
+    /** The rule of abstention, see the package: the mark is read once an epoch, from voters that answered this life. */
+    void tryRecover(long now) {
+        AcceptorState state = acceptor.state();
+        if (state.canVote() || state.newestEpoch().equals(Epoch.NONE)) {
+            return;
+        }
+        if (!readEpoch.equals(state.newestEpoch())) {
+            int voters = 0;
+            long highestMark = 0;
+            for (StatusReply reply : replies) {
+                if (reply == null || !reply.canVote() || !reply.newestEpoch().equals(state.newestEpoch())) {
+                    continue;
+                }
+                voters++;
+                highestMark = Math.max(highestMark, reply.highWaterMark());
+            }
+            if (voters < readQuorum) {
+                return;
+            }
+            readEpoch = state.newestEpoch();
+            voteFromSlot = highestMark + 1;
+        }
+        if (state.decidedSlot().epoch().equals(readEpoch)
+                && state.decidedSlot().slot() >= voteFromSlot
+                && !isHeld(now)) {
+            acceptor.startVoting();
+        }
+    }
+
+    /**
+     * Where so many have no vote that the others are no majority, a new epoch goes on from the newest place anyone here
+     * knows.
+     */
+    private void tryFormEpoch(long now) {
+        if (formingEpoch != null) {
+            if (now > formationStartedAt + timing.commitWindowMicros() || !formingEpoch.equals(committedEpoch)) {
+                formingEpoch = null;
+            } else if (now >= nextProposalAt) {
+                sendEpochProposals(now);
+            }
+            return;
+        }
+        int heardPeers = 1;
+        int nonVoters = 1;
+        boolean newerSlotKnown = false;
+        for (int i = 0; i < peerCount; i++) {
+            if (replies[i] == null || now - repliedAt[i] > timing.maxReplyAgeMicros()) {
+                continue;
+            }
+            heardPeers++;
+            if (!replies[i].canVote()) {
+                nonVoters++;
+            }
+            newerSlotKnown |=
+                    replies[i].decidedSlot().compareTo(acceptor.state().decidedSlot()) > 0;
+        }
+        if (heardPeers < majority || nonVoters < readQuorum || newerSlotKnown) {
+            stuck = false;
+            return;
+        }
+        if (!stuck) {
+            stuckSince = now;
+        }
+        stuck = true;
+        if (now
+                        < Math.max(
+                                nextFormationAt,
+                                stuckSince + timing.settleMicros() + Math.min(rank, MAX_RANK) * timing.retryMicros())
+                || isHeld(now)) {
+            return;
+        }
+        long number = Math.max(now, Math.max(acceptor.state().newestEpoch().number(), committedEpoch.number()) + 1);
+        formingEpoch = new Epoch(number, selfIndex, incarnation);
+        formationStartedAt = now;
+        nextFormationAt = now
+                + timing.holdMicros()
+                + Math.floorMod(MurmurHash3.hash32(incarnation + selfIndex, now), timing.holdMicros());
+        for (int i = 0; i < peerCount; i++) {
+            proposedTo[i] = replies[i] == null || now - repliedAt[i] > timing.maxReplyAgeMicros()
+                    ? -1
+                    : replies[i].incarnation();
+        }
+        recordCommit.clear();
+        committedNonVoters.clear();
+        committedEpoch = formingEpoch;
+        holdUntil = now + timing.holdMicros();
+        sendEpochProposals(now);
+        recordCommit(now, selfIndex, false);
+    }
+
+    private void sendEpochProposals(long now) {
+        nextProposalAt = now + timing.retryMicros();
+        for (int i = 0; i < peerCount; i++) {
+            if (i != selfIndex && proposedTo[i] >= 0 && !recordCommit.get(i)) {
+                outbox.send(
+                        i,
+                        new EpochProposal(
+                                formingEpoch, proposedTo[i], acceptor.state().decidedSlot()));
+            }
+        }
+    }
+
+    void onEpochProposal(long now, int sender, EpochProposal message) {
+        AcceptorState state = acceptor.state();
+        if (message.toIncarnation() != incarnation
+                || message.epoch().compareTo(state.newestEpoch()) <= 0
+                || message.epoch().compareTo(committedEpoch) < 0) {
+            return;
+        }
+        if (state.decidedSlot().compareTo(message.baseSlot()) > 0) {
+            outbox.send(sender, new DecidedNotice(state.decidedSlot(), Ballot.NONE));
+            return;
+        }
+        if (!message.epoch().equals(committedEpoch)) {
+            holdUntil = now + timing.holdMicros();
+        }
+        committedEpoch = message.epoch();
+        outbox.send(sender, new EpochCommit(message.epoch(), state.canVote()));
+    }
+
+    void onEpochCommit(long now, int sender, EpochCommit message) {
+        if (formingEpoch != null
+                && message.epoch().equals(formingEpoch)
+                && formingEpoch.equals(committedEpoch)
+                && now <= formationStartedAt + timing.commitWindowMicros()) {
+            recordCommit(now, sender, message.canVote());
+        }
+    }
+
+    private void recordCommit(long now, int sender, boolean canVote) {
+        recordCommit.set(sender);
+        if (!canVote) {
+            committedNonVoters.set(sender);
+        }
+        if (recordCommit.cardinality() < majority
+                || committedNonVoters.cardinality() < readQuorum
+                || formingEpoch.compareTo(acceptor.state().newestEpoch()) <= 0) {
+            return;
+        }
+        acceptor.beginEpoch(now, formingEpoch);
+    }
+}
--- a/experiment/src/test/java/calicochute/experiment/AssignmentTest.java
+++ b/experiment/src/test/java/calicochute/experiment/AssignmentTest.java
@@ -10,34 +10,38 @@
 import org.junit.jupiter.api.Test;
 
 class AssignmentTest {
-    private static Experiment named(String name, String salt) {
+    private static Experiment experiment(String name, String salt) {
         return new Experiment(
                 name, salt, null, null, null, 0.5, null, null, null, 0.02, 0.05, null, Duration.ofHours(1), null);
     }
 
     @Property(tries = 500)
-    void aGreaterShareOnlyMovesUnitsToTheTreatment(
-            @ForAll String unit, @ForAll @DoubleRange(max = 1) double a, @ForAll @DoubleRange(max = 1) double b) {
-        Experiment e = named("trial", "");
-        if (Assignment.of(e, unit, Math.min(a, b)) == Arm.TREATMENT) {
-            assertEquals(Arm.TREATMENT, Assignment.of(e, unit, Math.max(a, b)));
+    void largerShareOnlyMovesUnitsToTreatment(
+            @ForAll String unit,
+            @ForAll @DoubleRange(max = 1) double firstShare,
+            @ForAll @DoubleRange(max = 1) double secondShare) {
+        Experiment experiment = experiment("trial", "");
+        if (Assignment.of(experiment, unit, Math.min(firstShare, secondShare)) == Arm.TREATMENT) {
+            assertEquals(Arm.TREATMENT, Assignment.of(experiment, unit, Math.max(firstShare, secondShare)));
         }
     }
 
     /** Balancers of two versions must agree: the hash itself is part of what travels. */
     @Test
-    void placesStay() {
-        assertEquals(0.2634077944721702, Assignment.place(named("trial", ""), "call-1", ""));
+    void positionsAreStable() {
+        assertEquals(0.2634077944721702, Assignment.position(experiment("trial", ""), "call-1", ""));
     }
 
     @Test
-    void sharesAreKeptAndExperimentsIndependent() {
+    void sharesAreExactAndExperimentsIndependent() {
         int[] both = new int[4];
         int[] salted = new int[4];
         for (int i = 0; i < 100_000; i++) {
-            int first = Assignment.of(named("a", ""), "u" + i, 0.3).ordinal();
-            both[first * 2 + Assignment.of(named("b", ""), "u" + i, 0.5).ordinal()]++;
-            salted[first * 2 + Assignment.of(named("a", "2"), "u" + i, 0.3).ordinal()]++;
+            int armIndex = Assignment.of(experiment("a", ""), "u" + i, 0.3).ordinal();
+            both[armIndex * 2 + Assignment.of(experiment("b", ""), "u" + i, 0.5).ordinal()]++;
+            salted[
+                    armIndex * 2
+                            + Assignment.of(experiment("a", "2"), "u" + i, 0.3).ordinal()]++;
         }
         // Six standard deviations of 100,000 draws are under 950.
         assertTrue(Math.abs(both[2] + both[3] - 30_000) < 900, "share");
--- a/experiment/src/test/java/calicochute/experiment/ExperimentCheckTest.java
+++ b/experiment/src/test/java/calicochute/experiment/ExperimentValidatorTest.java
@@ -10,14 +10,14 @@
 import calicochute.experiment.Experiment.Selector;
 import calicochute.experiment.Experiment.Server;
 import calicochute.experiment.Experiment.Unit;
-import calicochute.experiment.ExperimentCheck.Fleet;
+import calicochute.experiment.ExperimentValidator.Context;
 import java.time.Duration;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class ExperimentCheckTest {
-    private static final Fleet FLEET = new Fleet(
+class ExperimentValidatorTest {
+    private static final Context CONTEXT = new Context(
             List.of(
                     new Server("shelf-1", "old", "c1", "z1", 3),
                     new Server("shelf-2", "old", "c2", "z2", 3),
@@ -25,17 +25,17 @@
             Set.of("order-copy", "shelf-read"),
             Set.of("t1", "t2"),
             0.7);
-    private static final Selector OLD = new Selector("old", "", "", "");
-    private static final Selector NEW = new Selector("new", "", "", "");
+    private static final Selector OLD_KIND = new Selector("old", "", "", "");
+    private static final Selector NEW_KIND = new Selector("new", "", "", "");
 
     private String name = "trial";
     private Unit unit = Unit.SESSION;
-    private Selector control = OLD;
-    private Selector treatment = NEW;
+    private Selector control = OLD_KIND;
+    private Selector treatment = NEW_KIND;
     private double share = 0.2;
     private Set<String> lanes = Set.of("order-copy");
     private Set<String> tenants = Set.of();
-    private double most;
+    private double cap;
     private double least = 0.02;
     private double error = 0.05;
     private List<Guard> guards = List.of();
@@ -52,7 +52,7 @@
                 share,
                 lanes,
                 tenants,
-                new Measure(most, 1),
+                new Measure(cap, 1),
                 least,
                 error,
                 guards,
@@ -60,70 +60,70 @@
                 after);
     }
 
-    private void finds(Code... codes) {
+    private void assertComplaints(Code... codes) {
         assertEquals(
                 List.of(codes),
-                ExperimentCheck.of(List.of(experiment()), FLEET).stream()
+                ExperimentValidator.validate(List.of(experiment()), CONTEXT).stream()
                         .map(Complaint::code)
                         .toList());
     }
 
     @Test
-    void aSoundOneHasNone() {
+    void validExperimentHasNoComplaints() {
         after = new After(List.of(0.25, 0.3), Duration.ofMinutes(5));
         guards = List.of(new Guard("order-copy", 0.01));
-        finds();
+        assertComplaints();
     }
 
     @Test
-    void arms() {
+    void invalidArms() {
         treatment = new Selector("", "c1", "", "shelf-*");
-        finds(Code.ARMS_OVERLAP);
+        assertComplaints(Code.ARMS_OVERLAP);
         treatment = new Selector("", "", "", "*-9");
-        finds(Code.ARM_EMPTY);
+        assertComplaints(Code.ARM_EMPTY);
         treatment = null;
-        finds(Code.ARM_MISSING);
+        assertComplaints(Code.ARM_MISSING);
     }
 
     @Test
-    void aShareThatNoArmCanCarry() {
+    void shareOverCapacity() {
         share = 0.5;
-        finds(Code.SHARE_OVER_CAPACITY);
+        assertComplaints(Code.SHARE_OVER_CAPACITY);
         share = 0.2;
         after = new After(List.of(0.9), Duration.ofMinutes(5));
-        finds(Code.SHARE_OVER_CAPACITY);
+        assertComplaints(Code.SHARE_OVER_CAPACITY);
         control = new Selector("", "", "", "shelf-1");
         treatment = new Selector("", "", "z2", "");
         after = new After(List.of(), null);
         share = 0.1;
-        finds(Code.SHARE_OVER_CAPACITY);
+        assertComplaints(Code.SHARE_OVER_CAPACITY);
         share = 0;
-        finds(Code.SHARE_OUT_OF_RANGE, Code.SHARE_OVER_CAPACITY);
+        assertComplaints(Code.SHARE_OUT_OF_RANGE, Code.SHARE_OVER_CAPACITY);
     }
 
     @Test
-    void numbers() {
+    void numbersOutOfRange() {
         error = 0;
         least = 0;
         longest = Duration.ofSeconds(1);
-        most = -1;
-        finds(Code.ERROR_OUT_OF_RANGE, Code.LEAST_OUT_OF_RANGE, Code.LONGEST_OUT_OF_RANGE, Code.MEASURE_BAD);
+        cap = -1;
+        assertComplaints(Code.ERROR_OUT_OF_RANGE, Code.LEAST_OUT_OF_RANGE, Code.LONGEST_OUT_OF_RANGE, Code.MEASURE_BAD);
         error = Double.NaN;
         least = 0.02;
         longest = Duration.ofHours(1);
-        most = 0;
-        finds(Code.ERROR_OUT_OF_RANGE);
+        cap = 0;
+        assertComplaints(Code.ERROR_OUT_OF_RANGE);
         error = 0.5;
         after = new After(List.of(0.3, 0.25), Duration.ofMinutes(5));
-        finds(Code.ERROR_OUT_OF_RANGE, Code.STEPS_BAD);
+        assertComplaints(Code.ERROR_OUT_OF_RANGE, Code.STEPS_BAD);
     }
 
     @Test
-    void classesAndTenants() {
+    void unknownLanesGuardsAndTenants() {
         lanes = Set.of("order-copy", "order-copi");
         guards = List.of(new Guard("shelf-read", 0.01), new Guard("order-copy", -1), new Guard("order-copy", 0.1));
         tenants = Set.of("t1", "t9");
-        finds(
+        assertComplaints(
                 Code.LANE_UNKNOWN,
                 Code.GUARD_UNKNOWN_LANE,
                 Code.GUARD_OUT_OF_RANGE,
@@ -133,31 +133,31 @@
         guards = List.of();
         tenants = Set.of();
         name = " ";
-        finds(Code.NAME_MISSING, Code.LANES_MISSING);
+        assertComplaints(Code.NAME_MISSING, Code.LANES_MISSING);
     }
 
     @Test
-    void tenantsAreTooFewDraws() {
+    void tooFewTenants() {
         unit = Unit.TENANT;
-        finds(Code.UNITS_TOO_FEW);
-        assertTrue(ExperimentCheck.unitsNeeded(experiment()) > 20_000);
+        assertComplaints(Code.UNITS_TOO_FEW);
+        assertTrue(ExperimentValidator.unitsNeeded(experiment()) > 20_000);
     }
 
     @Test
-    void betweenTwo() {
+    void conflictsBetweenExperiments() {
         Experiment first = experiment();
         control = new Selector("", "c2", "", "");
         Experiment second = experiment();
         assertEquals(
                 List.of(Code.NAME_TWICE),
-                ExperimentCheck.of(List.of(first, first), FLEET).stream()
+                ExperimentValidator.validate(List.of(first, first), CONTEXT).stream()
                         .map(Complaint::code)
                         .toList());
         name = "other";
         second = experiment();
         assertEquals(
                 List.of(Code.SERVER_IN_TWO),
-                ExperimentCheck.of(List.of(first, second), FLEET).stream()
+                ExperimentValidator.validate(List.of(first, second), CONTEXT).stream()
                         .map(Complaint::code)
                         .toList());
     }
--- a/experiment/src/test/java/calicochute/experiment/HardCasesTest.java
+++ b/experiment/src/test/java/calicochute/experiment/HardCasesTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicochute.experiment.Counts.Cell;
-import calicochute.experiment.Sealed.Total;
+import calicochute.experiment.Counts.ArmLane;
+import calicochute.experiment.SealedWindow.Total;
 import calicochute.experiment.Verdict.Note;
 import java.util.List;
 import java.util.Map;
@@ -17,44 +17,50 @@
 /** Each with what the simpler rule would say beside it. */
 class HardCasesTest {
     /** Difference of the pooled means over its standard deviation. */
-    private static double pooled(List<Sealed> history) {
-        double[][] s = new double[2][3];
-        for (Sealed sealed : history) {
+    private static double pooledZ(List<SealedWindow> history) {
+        double[][] sums = new double[2][3];
+        for (SealedWindow sealed : history) {
             for (int lane = 0; lane < 2; lane++) {
                 for (Arm arm : Arm.values()) {
-                    Total t = sealed.total(lane, arm);
-                    s[arm.ordinal()][0] += t.n;
-                    s[arm.ordinal()][1] += t.sum;
-                    s[arm.ordinal()][2] += t.squares;
+                    Total total = sealed.total(lane, arm);
+                    sums[arm.ordinal()][0] += total.count;
+                    sums[arm.ordinal()][1] += total.sum;
+                    sums[arm.ordinal()][2] += total.sumOfSquares;
                 }
             }
         }
-        double[] mean = {s[0][1] / s[0][0], s[1][1] / s[1][0]};
+        double[] mean = {sums[0][1] / sums[0][0], sums[1][1] / sums[1][0]};
         double variance = 0;
         for (int arm = 0; arm < 2; arm++) {
-            variance += (s[arm][2] / s[arm][0] - mean[arm] * mean[arm]) / s[arm][0];
+            variance += (sums[arm][2] / sums[arm][0] - mean[arm] * mean[arm]) / sums[arm][0];
         }
         return (mean[1] - mean[0]) / Math.sqrt(variance);
     }
 
-    private static Counts changed(Counts c, BiFunction<Cell, Sums, Sums> change) {
-        Map<Cell, Sums> cells = new TreeMap<>();
-        c.cells().forEach((cell, sums) -> cells.put(cell, change.apply(cell, sums)));
-        return new Counts(c.window(), c.share(), cells, c.parts(), c.asked(), c.cut());
+    private static Counts withSums(Counts counts, BiFunction<ArmLane, Sums, Sums> change) {
+        Map<ArmLane, Sums> byArmLane = new TreeMap<>();
+        counts.byArmLane().forEach((armLane, sums) -> byArmLane.put(armLane, change.apply(armLane, sums)));
+        return new Counts(
+                counts.window(),
+                counts.share(),
+                byArmLane,
+                counts.serverBuckets(),
+                counts.worthAsked(),
+                counts.worthCut());
     }
 
     /** At 10% all is well; the load jumps as the share goes to 50%: the treatment has its sessions in the bad time. */
     @Test
-    void aLoadJumpWhileTheShareMoves() {
+    void loadJumpDuringShareChangeGivesNoVerdict() {
         int wrong = 0;
         for (int seed = 0; seed < 40; seed++) {
-            Sim sim = new Sim(Sim.experiment(0.1, 0.05, 200), seed);
-            sim.state = sim.stopper.move(sim.state, 0.5, 20);
+            SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.1, 0.05, 200), seed);
+            sim.state = sim.stopper.moveShare(sim.state, 0.5, 20);
             for (int w = 0; w < 120; w++) {
                 sim.advance(100, (r, lane, arm, window) -> r.nextDouble() < (window < 20 ? 0.97 : 0.7) ? 1 : 0, null);
             }
             assertEquals(0.5, sim.state.share(20));
-            assertTrue(pooled(sim.history.subList(0, 40)) < -5, "pooled means name the control");
+            assertTrue(pooledZ(sim.history.subList(0, 40)) < -5, "pooled means name the control");
             wrong += sim.state.verdict() == Verdict.CONTROL || sim.state.verdict() == Verdict.TREATMENT ? 1 : 0;
         }
         assertTrue(wrong <= 2, wrong + " of 40");
@@ -62,12 +68,14 @@
 
     /** A balancer that has not heard of the move assigns by the old share: its counts are left out, and told so. */
     @Test
-    void aBalancerOnTheOldShare() {
-        Sim sim = new Sim(Sim.experiment(0.1, 0.05, 200), 1);
-        sim.state = sim.stopper.move(sim.state, 0.5, 1);
-        sim.advance(100, Sim.served(1, 1), null);
+    void countsUnderTheOldShareAreLeftOut() {
+        SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.1, 0.05, 200), 1);
+        sim.state = sim.stopper.moveShare(sim.state, 0.5, 1);
+        sim.advance(100, SimulatedExperiment.served(1, 1), null);
         sim.advance(
-                100, Sim.served(1, 1), (b, c) -> b == 3 ? new Counts(c.window(), 0.1, c.cells(), c.parts(), 0, 0) : c);
+                100,
+                SimulatedExperiment.served(1, 1),
+                (b, c) -> b == 3 ? new Counts(c.window(), 0.1, c.byArmLane(), c.serverBuckets(), 0, 0) : c);
         assertEquals(1, sim.state.leftOut());
     }
 
@@ -76,19 +84,20 @@
      * verdict; its note says where.
      */
     @Test
-    void aSlowdownOfSomeServersOfOneArm() {
-        for (boolean few : new boolean[] {true, false}) {
-            Sim sim = new Sim(Sim.experiment(0.5, 0.05, 1000), 7);
+    void slowServerBucketIsNoted() {
+        for (boolean oneBucketOnly : new boolean[] {true, false}) {
+            SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.5, 0.05, 1000), 7);
             State state = sim.run(
                     1000,
                     100,
                     (r, lane, arm, w) -> {
-                        double less = arm == Arm.CONTROL ? 0 : !few ? 0.1 : sim.servers == 1 ? 0.4 : 0;
-                        return r.nextDouble() < 0.95 - less ? 1 : 0;
+                        double penalty =
+                                arm == Arm.CONTROL ? 0 : !oneBucketOnly ? 0.1 : sim.serverBucket == 1 ? 0.4 : 0;
+                        return r.nextDouble() < 0.95 - penalty ? 1 : 0;
                     },
                     null);
             assertEquals(Verdict.CONTROL, state.verdict());
-            assertEquals(few, state.notes().contains(Note.ONE_PART));
+            assertEquals(oneBucketOnly, state.notes().contains(Note.ONE_PART));
         }
     }
 
@@ -96,51 +105,56 @@
      * Room for two thirds of the treatment's sessions, the rest is denied: the arm is too small, the release as good.
      */
     @Test
-    void anArmStarvedOfCapacity() {
-        Sim sim = new Sim(Sim.experiment(0.3, 0.05, 100), 2);
+    void armWithoutCapacityEndsUndecided() {
+        SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.3, 0.05, 100), 2);
         State state = sim.run(
                 100,
                 100,
-                Sim.served(0.95, 0.65),
-                (b, c) -> changed(
+                SimulatedExperiment.served(0.95, 0.65),
+                (b, c) -> withSums(
                         c,
                         (cell, s) -> new Sums(
-                                s.n(),
+                                s.count(),
                                 s.sum(),
-                                s.squares(),
+                                s.sumOfSquares(),
                                 s.failures(),
-                                cell.arm() == Arm.TREATMENT ? s.n() / 2 : 0,
+                                cell.arm() == Arm.TREATMENT ? s.count() / 2 : 0,
                                 0)));
-        assertTrue(pooled(sim.history) < -5);
+        assertTrue(pooledZ(sim.history) < -5);
         assertEquals(Verdict.UNDECIDED, state.verdict());
         assertTrue(state.notes().contains(Note.STARVED));
-        assertTrue(state.crossed(Arm.TREATMENT) > 0.1 && state.crossed(Arm.CONTROL) == 0);
+        assertTrue(state.crossoverShare(Arm.TREATMENT) > 0.1 && state.crossoverShare(Arm.CONTROL) == 0);
     }
 
     /** A call that fails on the treatment comes back to it, three times, and fails again: one call, one observation. */
     @Test
-    void clientsThatRetryMoreOnOneArm() {
-        Experiment e = Sim.experiment(0.5, 0.05, 2000);
-        Stopper stopper = new Stopper(e, Sim.LENGTH, 5);
-        State state = stopper.begin(0);
-        Teller teller = new Teller(e, 0, 1, 0, 0, Sim.LENGTH, window -> 0.5);
+    void retriesOnOneArmDoNotBiasTheVerdict() {
+        Experiment experiment = SimulatedExperiment.experiment(0.5, 0.05, 2000);
+        Stopper stopper = new Stopper(experiment, SimulatedExperiment.WINDOW_MICROS, 5);
+        State state = stopper.initialState(0);
+        SessionCounter counter =
+                new SessionCounter(experiment, 0, 1, 0, 0, SimulatedExperiment.WINDOW_MICROS, window -> 0.5);
         SplittableRandom random = new SplittableRandom(5);
         double[][] sums = new double[2][2];
         for (long window = 0; window < 60 && state.verdict() == Verdict.NONE; window++) {
-            long now = window * Sim.LENGTH;
+            long now = window * SimulatedExperiment.WINDOW_MICROS;
             for (int call = 0; call < 100; call++) {
                 boolean served = random.nextDouble() < 0.9;
-                Teller.Ticket first = null;
-                for (int time = 0; time < (served || first != null && first.arm() == Arm.CONTROL ? 1 : 4); time++) {
-                    Teller.Ticket ticket = teller.begin(now, now + 1, window + "/" + call, "order-copy", "t", false);
-                    first = first == null ? ticket : first;
-                    teller.over(ticket, 1, served ? 1 : 0, !served, false, "s");
-                    sums[ticket.arm().ordinal()][0]++;
-                    sums[ticket.arm().ordinal()][1] += served ? 1 : 0;
+                SessionCounter.Enrollment first = null;
+                for (int attempt = 0;
+                        attempt < (served || first != null && first.arm() == Arm.CONTROL ? 1 : 4);
+                        attempt++) {
+                    SessionCounter.Enrollment enrollment =
+                            counter.begin(now, now + 1, window + "/" + call, "order-copy", "t", false);
+                    first = first == null ? enrollment : first;
+                    counter.end(enrollment, 1, served ? 1 : 0, !served, false, "s");
+                    sums[enrollment.arm().ordinal()][0]++;
+                    sums[enrollment.arm().ordinal()][1] += served ? 1 : 0;
                 }
             }
-            for (Counts counts : teller.close(now + Sim.LENGTH)) {
-                state = stopper.next(state, Sealed.of(e, counts.window(), 0.5, Map.of("b", counts), List.of("b")));
+            for (Counts counts : counter.closeWindows(now + SimulatedExperiment.WINDOW_MICROS)) {
+                state = stopper.advance(
+                        state, SealedWindow.of(experiment, counts.window(), 0.5, Map.of("b", counts), List.of("b")));
             }
         }
         assertTrue(sums[1][1] / sums[1][0] < sums[0][1] / sums[0][0] - 0.1, "all tries together name the control");
@@ -149,41 +163,45 @@
 
     /** Sessions of one arm counted half as often again: nothing can be read from such figures. */
     @Test
-    void armsThatDoNotSplitAsDrawn() {
-        Sim sim = new Sim(Sim.experiment(0.5, 0.02, 2000), 4);
+    void unevenSplitEndsUndecided() {
+        SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.5, 0.02, 2000), 4);
         State state = sim.run(
                 2000,
                 100,
-                Sim.served(0.9, 0.9),
-                (b, c) -> changed(c, (cell, s) -> {
-                    long more = cell.arm() == Arm.TREATMENT ? s.n() / 2 : 0;
+                SimulatedExperiment.served(0.9, 0.9),
+                (b, c) -> withSums(c, (cell, s) -> {
+                    long more = cell.arm() == Arm.TREATMENT ? s.count() / 2 : 0;
                     return new Sums(
-                            s.n() + more,
-                            s.sum() + more * Sums.PARTS,
-                            s.squares() + more * Sums.PARTS * Sums.PARTS,
+                            s.count() + more,
+                            s.sum() + more * Sums.SCALE,
+                            s.sumOfSquares() + more * Sums.SCALE * Sums.SCALE,
                             0,
                             0,
                             0);
                 }));
-        assertTrue(pooled(sim.history) > 2, "pooled means name the treatment");
+        assertTrue(pooledZ(sim.history) > 2, "pooled means name the treatment");
         assertEquals(Verdict.UNDECIDED, state.verdict());
         assertTrue(state.notes().contains(Note.SPLIT));
     }
 
     /** One of ten counts all of the treatment's sessions as unserved: within all bounds. */
     @Test
-    void aBalancerThatCountsWrongly() {
+    void oneMiscountingBalancerRarelyDecides() {
         int wrong = 0;
         for (int seed = 0; seed < 50; seed++) {
-            Sim sim = new Sim(Sim.experiment(0.5, 0.05, 100), seed);
+            SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.5, 0.05, 100), seed);
             sim.run(
                     60,
                     100,
-                    Sim.served(0.9, 0.9),
+                    SimulatedExperiment.served(0.9, 0.9),
                     (b, c) -> b == 4
-                            ? changed(c, (cell, s) -> cell.arm() == Arm.TREATMENT ? new Sums(s.n(), 0, 0, 0, 0, 0) : s)
+                            ? withSums(
+                                    c,
+                                    (cell, s) -> cell.arm() == Arm.TREATMENT ? new Sums(s.count(), 0, 0, 0, 0, 0) : s)
                             : c);
-            assertTrue(EffectTest.evidence(sim.state.wealth, 1, -1) >= -Math.log(0.025), "without the rule a verdict");
+            assertTrue(
+                    EffectEvidence.logEvidence(sim.state.effectLogWealth, 1, -1) >= -Math.log(0.025),
+                    "without the rule a verdict");
             wrong += sim.state.verdict() == Verdict.CONTROL ? 1 : 0;
             assertFalse(sim.state.verdict() == Verdict.TREATMENT);
         }
@@ -192,28 +210,31 @@
     }
 
     @Test
-    void aBalancerThatCountsTooMuch() {
-        Sim sim = new Sim(Sim.experiment(0.5, 0.05, 100), 1);
+    void oversizedBalancerIsScaledDown() {
+        SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.5, 0.05, 100), 1);
         sim.advance(
                 200,
-                Sim.served(0.9, 0.9),
+                SimulatedExperiment.served(0.9, 0.9),
                 (b, c) -> b == 4
-                        ? changed(c, (cell, s) -> new Sums(s.n() * 1000, s.sum() * 1000, s.squares() * 1000, 0, 0, 0))
+                        ? withSums(
+                                c,
+                                (cell, s) ->
+                                        new Sums(s.count() * 1000, s.sum() * 1000, s.sumOfSquares() * 1000, 0, 0, 0))
                         : c);
-        Sealed sealed = sim.history.get(0);
-        assertEquals(1, sealed.scaled());
+        SealedWindow sealed = sim.history.get(0);
+        assertEquals(1, sealed.scaledDown());
         assertTrue(sealed.sessions(Arm.CONTROL) + sealed.sessions(Arm.TREATMENT) < 300);
         assertTrue(sealed.sessions(4, Arm.CONTROL) > 0, "scaled, not left out");
     }
 
     /** Worths of a power law without a mean: the few largest decide the raw sums; cut at their quantile they don't. */
     @Test
-    void aFewPaidOrdersDecide() {
-        double most = Math.pow(0.05, -1 / 0.9);
-        int raw = 0;
+    void cappedWorthResistsOutliers() {
+        double cap = Math.pow(0.05, -1 / 0.9);
+        int rawDifferences = 0;
         int wrong = 0;
         for (int seed = 0; seed < 40; seed++) {
-            Sim sim = new Sim(Sim.experiment(0.5, 0.02, 300), seed);
+            SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.5, 0.02, 300), seed);
             double[] sums = new double[2];
             sim.run(
                     60,
@@ -222,13 +243,13 @@
                         double worth = Math.pow(1 - r.nextDouble(), -1 / 0.9);
                         boolean served = r.nextDouble() < 0.9;
                         sums[arm.ordinal()] += served ? worth : 0;
-                        return served ? Math.min(most, worth) / most : 0;
+                        return served ? Math.min(cap, worth) / cap : 0;
                     },
                     null);
-            raw += Math.max(sums[0], sums[1]) > 1.2 * Math.min(sums[0], sums[1]) ? 1 : 0;
+            rawDifferences += Math.max(sums[0], sums[1]) > 1.2 * Math.min(sums[0], sums[1]) ? 1 : 0;
             wrong += sim.state.verdict() == Verdict.CONTROL || sim.state.verdict() == Verdict.TREATMENT ? 1 : 0;
         }
-        assertTrue(raw > 12, "the raw sums differ by a fifth in " + raw);
+        assertTrue(rawDifferences > 12, "the raw sums differ by a fifth in " + rawDifferences);
         assertTrue(wrong <= 2, wrong + " of 40");
     }
 }
--- a/experiment/src/test/java/calicochute/experiment/StopperTest.java
+++ b/experiment/src/test/java/calicochute/experiment/StopperTest.java
@@ -25,10 +25,17 @@
     private static final Guard GUARD = new Guard("order-copy", 0.01);
 
     private static Map<Verdict, Long> verdicts(
-            int plays, double share, double least, int windows, int sessions, Sim.Outcome outcome, Guard... guards) {
-        Map<Verdict, Long> found = LongStream.range(0, plays)
+            int runs,
+            double share,
+            double least,
+            int windows,
+            int sessions,
+            SimulatedExperiment.Outcome outcome,
+            Guard... guards) {
+        Map<Verdict, Long> found = LongStream.range(0, runs)
                 .parallel()
-                .mapToObj(seed -> new Sim(Sim.experiment(share, least, windows, guards), seed)
+                .mapToObj(seed -> new SimulatedExperiment(
+                                SimulatedExperiment.experiment(share, least, windows, guards), seed)
                         .run(windows, sessions, outcome, null)
                         .verdict())
                 .collect(Collectors.groupingBy(v -> v, () -> new EnumMap<>(Verdict.class), Collectors.counting()));
@@ -40,7 +47,7 @@
 
     /** Looked at after each of 80 windows; 1,000 plays of fixed seeds, at most 0.05 of them false. */
     @Test
-    void falseVerdictsUnderNoDifference() {
+    void falseVerdictsStayBelowTheErrorRate() {
         Map<Verdict, Long> found = verdicts(
                 1000,
                 0.2,
@@ -58,14 +65,14 @@
     }
 
     @Test
-    void atTheSmallestDifferenceThatMatters() {
-        Map<Verdict, Long> better = verdicts(200, 0.5, 0.05, 60, 100, Sim.served(0.85, 0.9));
+    void detectsTheSmallestRelevantDifference() {
+        Map<Verdict, Long> better = verdicts(200, 0.5, 0.05, 60, 100, SimulatedExperiment.served(0.85, 0.9));
         assertTrue(
                 better.get(Verdict.TREATMENT) >= 180
                         && better.get(Verdict.CONTROL) == 0
                         && better.get(Verdict.NO_DIFFERENCE) <= 10,
                 "" + better);
-        Map<Verdict, Long> worse = verdicts(200, 0.5, 0.05, 60, 100, Sim.served(0.9, 0.85));
+        Map<Verdict, Long> worse = verdicts(200, 0.5, 0.05, 60, 100, SimulatedExperiment.served(0.9, 0.85));
         assertTrue(
                 worse.get(Verdict.CONTROL) >= 180
                         && worse.get(Verdict.TREATMENT) == 0
@@ -74,30 +81,31 @@
     }
 
     @Test
-    void aFifthOfOneClassFailing() {
-        Sim.Outcome harmful = (r, lane, arm, w) -> {
+    void guardDetectsFailuresOfOneLane() {
+        SimulatedExperiment.Outcome harmful = (r, lane, arm, w) -> {
             double y = r.nextDouble();
             return lane == 0 && y < (arm == Arm.TREATMENT ? 0.2 : 0.01) ? -1 : y < 0.06 ? 0 : 1;
         };
         for (double share : new double[] {0.1, 0.5}) {
-            double[] copies = LongStream.range(0, 200)
+            double[] sessionsUntilHarm = LongStream.range(0, 200)
                     .mapToDouble(seed -> {
-                        Sim sim = new Sim(Sim.experiment(share, 0.001, 1000, GUARD), seed);
+                        SimulatedExperiment sim = new SimulatedExperiment(
+                                SimulatedExperiment.experiment(share, 0.001, 1000, GUARD), seed);
                         assertEquals(
                                 Verdict.HARM, sim.run(1000, 20, harmful, null).verdict());
                         assertEquals(0, sim.state.share(sim.state.window() + 1));
                         return sim.history.stream()
-                                .mapToDouble(s -> s.total(0, Arm.TREATMENT).n)
+                                .mapToDouble(s -> s.total(0, Arm.TREATMENT).count)
                                 .sum();
                     })
                     .sorted()
                     .toArray();
-            assertTrue(copies[199] <= 200, "" + copies[199]);
+            assertTrue(sessionsUntilHarm[199] <= 200, "" + sessionsUntilHarm[199]);
         }
     }
 
     @Test
-    void theGuardAllowsWhatItSays() {
+    void guardToleratesTheAllowedExcess() {
         assertEquals(
                 0,
                 verdicts(
@@ -116,40 +124,42 @@
     }
 
     @Property(tries = 40)
-    void bytesTellAllAndGoOnTheSame(@ForAll long seed) throws UnreadableException {
-        Sim sim = new Sim(Sim.experiment(0.3, 0.05, 50, GUARD), seed);
-        sim.run((int) (seed & 63), 50, Sim.served(0.9, 0.8), null);
-        byte[] bytes = sim.state.bytes();
-        State read = State.of(bytes);
+    void serializedStateContinuesIdentically(@ForAll long seed) throws UnreadableException {
+        SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.3, 0.05, 50, GUARD), seed);
+        sim.run((int) (seed & 63), 50, SimulatedExperiment.served(0.9, 0.8), null);
+        byte[] bytes = sim.state.toBytes();
+        State read = State.fromBytes(bytes);
         assertEquals(sim.state, read);
-        Sealed more = sim.window(sim.state.window() + 1, 50, Sim.served(0.9, 0.8), null);
-        assertEquals(sim.stopper.next(sim.state, more), sim.stopper.next(read, more));
-        assertTrue(Arrays.equals(bytes, sim.state.bytes()), "a state handed out does not change");
+        SealedWindow nextWindow =
+                sim.drawWindow(sim.state.window() + 1, 50, SimulatedExperiment.served(0.9, 0.8), null);
+        assertEquals(sim.stopper.advance(sim.state, nextWindow), sim.stopper.advance(read, nextWindow));
+        assertTrue(Arrays.equals(bytes, sim.state.toBytes()), "a state handed out does not change");
         for (int i = 0; i < bytes.length; i += 7) {
             int length = i;
-            assertThrows(UnreadableException.class, () -> State.of(Arrays.copyOf(bytes, length)));
+            assertThrows(UnreadableException.class, () -> State.fromBytes(Arrays.copyOf(bytes, length)));
         }
     }
 
     @Property(tries = 500)
-    void anyBytesAreAStateOrATypedError(@ForAll long seed, @ForAll byte[] noise) {
-        byte[] bytes = new Sim(Sim.experiment(0.3, 0.05, 50, GUARD), seed).state.bytes();
+    void arbitraryBytesParseOrThrowUnreadable(@ForAll long seed, @ForAll byte[] noise) {
+        byte[] bytes =
+                new SimulatedExperiment(SimulatedExperiment.experiment(0.3, 0.05, 50, GUARD), seed).state.toBytes();
         for (int i = 0; i < noise.length; i++) {
             bytes[Math.floorMod((int) (seed >> i % 32) + i, bytes.length)] = noise[i];
         }
         try {
-            State.of(bytes).toString();
+            State.fromBytes(bytes).toString();
         } catch (UnreadableException e) {
             assertTrue(e.getMessage().contains("state"));
         }
     }
 
     @Test
-    void theLargestStateFits() {
-        Set<String> lanes = IntStream.range(0, ExperimentCheck.MOST_LANES)
+    void largestStateFitsItsByteLimit() {
+        Set<String> lanes = IntStream.range(0, ExperimentValidator.MAX_LANES)
                 .mapToObj(i -> "l" + i)
                 .collect(Collectors.toSet());
-        Experiment e = new Experiment(
+        Experiment experiment = new Experiment(
                 "e",
                 "",
                 null,
@@ -164,38 +174,43 @@
                 List.of(new Guard("l0", 0), new Guard("l1", 0), new Guard("l2", 0)),
                 null,
                 null);
-        int length = new Stopper(e, Sim.LENGTH, 5).begin(0).bytes().length;
+        int length = new Stopper(experiment, SimulatedExperiment.WINDOW_MICROS, 5)
+                .initialState(0)
+                .toBytes()
+                .length;
         assertTrue(length <= 900, "" + length);
     }
 
     @Test
-    void aVerdictIsFinalAndAWindowCountsOnce() {
-        Sim sim = new Sim(Sim.experiment(0.5, 0.05, 1000), 1);
-        sim.advance(100, Sim.served(0.5, 0.9), null);
-        assertSame(sim.state, sim.stopper.next(sim.state, sim.history.get(0)));
-        State decided = sim.run(1000, 100, Sim.served(0.5, 0.9), null);
+    void verdictIsFinalAndWindowCountsOnce() {
+        SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.5, 0.05, 1000), 1);
+        sim.advance(100, SimulatedExperiment.served(0.5, 0.9), null);
+        assertSame(sim.state, sim.stopper.advance(sim.state, sim.history.get(0)));
+        State decided = sim.run(1000, 100, SimulatedExperiment.served(0.5, 0.9), null);
         assertEquals(Verdict.TREATMENT, decided.verdict());
         for (int i = 0; i < 100; i++) {
-            sim.advance(100, Sim.served(0.9, 0.2), null);
+            sim.advance(100, SimulatedExperiment.served(0.9, 0.2), null);
         }
         assertEquals(Verdict.TREATMENT, sim.state.verdict());
-        assertEquals(decided.decided(), sim.state.decided());
+        assertEquals(decided.verdictWindow(), sim.state.verdictWindow());
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new Stopper(Sim.experiment(0.5, 0.06, 1000), Sim.LENGTH, 5).next(decided, sim.history.get(0)));
+                () -> new Stopper(SimulatedExperiment.experiment(0.5, 0.06, 1000), SimulatedExperiment.WINDOW_MICROS, 5)
+                        .advance(decided, sim.history.get(0)));
     }
 
     @Test
-    void theLongestDurationEndsItUndecided() {
-        State state = new Sim(Sim.experiment(0.5, 0.01, 10), 1).run(20, 20, Sim.served(0.9, 0.9), null);
+    void longestDurationEndsUndecided() {
+        State state = new SimulatedExperiment(SimulatedExperiment.experiment(0.5, 0.01, 10), 1)
+                .run(20, 20, SimulatedExperiment.served(0.9, 0.9), null);
         assertEquals(Verdict.UNDECIDED, state.verdict());
-        assertEquals(9, state.decided());
+        assertEquals(9, state.verdictWindow());
     }
 
     @Test
-    void afterAVerdictTheShareGoesUpInStepsAndBackAtHarm() {
-        Experiment plain = Sim.experiment(0.2, 0.05, 1000, GUARD);
-        Experiment e = new Experiment(
+    void rolloutRaisesShareInStepsAndRevertsOnHarm() {
+        Experiment plain = SimulatedExperiment.experiment(0.2, 0.05, 1000, GUARD);
+        Experiment experiment = new Experiment(
                 plain.name(),
                 "",
                 plain.unit(),
@@ -210,17 +225,17 @@
                 plain.guards(),
                 plain.longest(),
                 new After(List.of(0.5, 0.8), Duration.ofSeconds(20)));
-        Sim sim = new Sim(e, 3);
-        State decided = sim.run(1000, 100, Sim.served(0.5, 0.9), null);
+        SimulatedExperiment sim = new SimulatedExperiment(experiment, 3);
+        State decided = sim.run(1000, 100, SimulatedExperiment.served(0.5, 0.9), null);
         assertEquals(Verdict.TREATMENT, decided.verdict());
-        long at = decided.decided();
-        assertEquals(0.2, decided.share(at + 4));
-        assertEquals(0.5, decided.share(at + 5));
-        while (sim.state.window() < at + 15) {
-            sim.advance(100, Sim.served(0.5, 0.9), null);
+        long verdictWindow = decided.verdictWindow();
+        assertEquals(0.2, decided.share(verdictWindow + 4));
+        assertEquals(0.5, decided.share(verdictWindow + 5));
+        while (sim.state.window() < verdictWindow + 15) {
+            sim.advance(100, SimulatedExperiment.served(0.5, 0.9), null);
         }
-        assertEquals(0.5, sim.state.share(at + 19));
-        assertEquals(0.8, sim.state.share(at + 20));
+        assertEquals(0.5, sim.state.share(verdictWindow + 19));
+        assertEquals(0.8, sim.state.share(verdictWindow + 20));
         for (int i = 0; i < 60; i++) {
             sim.advance(100, (r, lane, arm, w) -> arm == Arm.TREATMENT && r.nextDouble() < 0.3 ? -1 : 1, null);
         }
@@ -230,15 +245,15 @@
     }
 
     @Test
-    void movesOfTheShareAreBounded() {
-        Sim sim = new Sim(Sim.experiment(0.2, 0.05, 1000), 1);
-        sim.advance(10, Sim.served(1, 1), null);
+    void shareChangesAreValidated() {
+        SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.2, 0.05, 1000), 1);
+        sim.advance(10, SimulatedExperiment.served(1, 1), null);
         for (double share : new double[] {0, 1, -1, Double.NaN}) {
-            assertThrows(IllegalArgumentException.class, () -> sim.stopper.move(sim.state, share, 10));
+            assertThrows(IllegalArgumentException.class, () -> sim.stopper.moveShare(sim.state, share, 10));
         }
-        assertThrows(IllegalArgumentException.class, () -> sim.stopper.move(sim.state, 0.5, 0));
-        State moved = sim.stopper.move(sim.state, 0.5, 9);
+        assertThrows(IllegalArgumentException.class, () -> sim.stopper.moveShare(sim.state, 0.5, 0));
+        State moved = sim.stopper.moveShare(sim.state, 0.5, 9);
         assertEquals(0.2, moved.share(8));
-        assertThrows(IllegalArgumentException.class, () -> sim.stopper.move(moved, 0.6, 12));
+        assertThrows(IllegalArgumentException.class, () -> sim.stopper.moveShare(moved, 0.6, 12));
     }
 }
--- a/experiment/src/test/java/calicochute/experiment/seal/ModelTest.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/ModelTest.java
@@ -20,117 +20,123 @@
  * there two values of a slot.
  */
 class ModelTest {
-    private static final long T = 1_000;
-    private static final long HOUR = 3_600_000_000L;
+    private static final long NOW_MICROS = 1_000;
+    private static final long HOUR_MICROS = 3_600_000_000L;
     private static final List<String> PEERS = List.of("a", "b", "c");
     private static final Codec CODEC = new Codec("x", 1, PEERS);
-    private static final Timing TIMING = new Timing(1_000_000, 0, 2 * HOUR, HOUR, HOUR, HOUR, HOUR);
+    private static final Timing TIMING =
+            new Timing(1_000_000, 0, 2 * HOUR_MICROS, HOUR_MICROS, HOUR_MICROS, HOUR_MICROS, HOUR_MICROS);
     private static final int CRASH = -1;
     private static final int RETRY = -2;
 
-    private record Mail(int from, int to, String bytes) {}
+    private record Datagram(int sender, int recipient, String bytes) {}
 
     /** One peer as it stands; value is null until it knows slot 1. */
-    private record Local(int me, Register node, byte[] kept, String value) {}
+    private record PeerState(int self, Register node, byte[] persisted, String value) {}
 
-    private record Step(int local, int[] sent) {}
+    private record Step(int peerState, int[] sent) {}
 
-    private record World(List<Integer> locals, int crashes, int retries, BitSet net) {}
+    private record World(List<Integer> peerStates, int crashes, int retries, BitSet sent) {}
 
-    private final List<Mail> mails = new ArrayList<>();
-    private final Map<Mail, Integer> mailIds = new HashMap<>();
-    private final List<Local> locals = new ArrayList<>();
-    private final Map<String, Integer> localIds = new HashMap<>();
+    private final List<Datagram> datagrams = new ArrayList<>();
+    private final Map<Datagram, Integer> datagramIds = new HashMap<>();
+    private final List<PeerState> peerStates = new ArrayList<>();
+    private final Map<String, Integer> peerStateIds = new HashMap<>();
     private final Map<List<Integer>, Step> steps = new HashMap<>();
-    private boolean forget;
-    private int who;
+    private boolean crashLosesState;
+    private int crashingPeer;
 
-    private static Register node(int i, long life, byte[] state) {
-        Register node = new Register("x", 1, PEERS, PEERS.get(i), life, true, state, TIMING);
-        node.turn(0);
+    private static Register node(int i, long incarnation, byte[] state) {
+        Register node = new Register("x", 1, PEERS, PEERS.get(i), incarnation, true, state, TIMING);
+        node.setRank(0);
         return node;
     }
 
-    private Step settle(int i, Register node, byte[] keptBefore) {
-        byte[] kept = keptBefore;
+    private Step runEffects(int i, Register node, byte[] previouslyPersisted) {
+        byte[] persisted = previouslyPersisted;
         List<Integer> sent = new ArrayList<>();
         List<Effect> effects;
         while (!(effects = node.effects()).isEmpty()) {
             for (Effect effect : effects) {
-                if (effect instanceof Effect.Persist p) {
-                    kept = p.state();
-                    node.persisted(p.token());
-                } else if (effect instanceof Effect.Send s && told(i, s)) {
-                    Mail mail =
-                            new Mail(i, PEERS.indexOf(s.to()), new String(s.message(), StandardCharsets.ISO_8859_1));
-                    sent.add(mailIds.computeIfAbsent(mail, m -> mails.size()));
-                    if (mailIds.size() > mails.size()) {
-                        mails.add(mail);
+                if (effect instanceof Effect.Persist persist) {
+                    persisted = persist.state();
+                    node.persisted(persist.token());
+                } else if (effect instanceof Effect.Send send && isExplored(i, send)) {
+                    Datagram datagram = new Datagram(
+                            i,
+                            PEERS.indexOf(send.recipient()),
+                            new String(send.message(), StandardCharsets.ISO_8859_1));
+                    sent.add(datagramIds.computeIfAbsent(datagram, m -> datagrams.size()));
+                    if (datagramIds.size() > datagrams.size()) {
+                        datagrams.add(datagram);
                     }
                 }
             }
         }
-        String value = node.slot() == 0 ? null : new String(node.value(), StandardCharsets.ISO_8859_1);
-        String text = i + Image.text(node) + HexFormat.of().formatHex(kept);
-        int id = localIds.computeIfAbsent(text, x -> locals.size());
-        if (id == locals.size()) {
-            locals.add(new Local(i, node, kept, value));
+        String value = node.slotNumber() == 0 ? null : new String(node.value(), StandardCharsets.ISO_8859_1);
+        String text = i + RegisterSnapshot.text(node) + HexFormat.of().formatHex(persisted);
+        int peerStateId = peerStateIds.computeIfAbsent(text, x -> peerStates.size());
+        if (peerStateId == peerStates.size()) {
+            peerStates.add(new PeerState(i, node, persisted, value));
         }
-        return new Step(id, sent.stream().mapToInt(x -> x).toArray());
+        return new Step(peerStateId, sent.stream().mapToInt(x -> x).toArray());
     }
 
     /** Who learns a decided value from others is of interest here only where that may bring a vote back. */
-    private boolean told(int from, Effect.Send s) {
+    private boolean isExplored(int sender, Effect.Send send) {
         try {
-            Message m = CODEC.read(s.message());
-            boolean learns = m instanceof Message.Known || m instanceof Message.Value || m instanceof Message.Want;
-            return !learns || (forget && (from == who || PEERS.indexOf(s.to()) == who));
-        } catch (Malformed e) {
+            Message message = CODEC.read(send.message());
+            boolean carriesDecision = message instanceof Message.DecidedNotice
+                    || message instanceof Message.DecidedValue
+                    || message instanceof Message.ValueRequest;
+            return !carriesDecision
+                    || (crashLosesState && (sender == crashingPeer || PEERS.indexOf(send.recipient()) == crashingPeer));
+        } catch (MalformedException e) {
             throw new AssertionError(e);
         }
     }
 
     private Step step(int local, int event) {
         return steps.computeIfAbsent(List.of(local, event), x -> {
-            Local before = locals.get(local);
-            int i = before.me;
+            PeerState before = peerStates.get(local);
+            int i = before.self;
             if (event == CRASH) {
-                Register node = node(i, T + 1, forget ? null : before.kept);
-                if (node.slot() == 0) {
-                    node.propose(T, node.place(), ("again" + i).getBytes(StandardCharsets.ISO_8859_1));
+                Register node = node(i, NOW_MICROS + 1, crashLosesState ? null : before.persisted);
+                if (node.slotNumber() == 0) {
+                    node.propose(NOW_MICROS, node.decidedSlot(), ("again" + i).getBytes(StandardCharsets.ISO_8859_1));
                 }
-                if (forget) {
-                    node.tick(T);
+                if (crashLosesState) {
+                    node.tick(NOW_MICROS);
                 }
-                return settle(i, node, before.kept);
+                return runEffects(i, node, before.persisted);
             }
-            Register node = Image.copy(before.node, node(i, T, null));
+            Register node = RegisterSnapshot.copy(before.node, node(i, NOW_MICROS, null));
             if (event == RETRY) {
-                node.tick(T + HOUR / 2);
+                node.tick(NOW_MICROS + HOUR_MICROS / 2);
             } else {
                 node.received(
-                        T,
-                        PEERS.get(mails.get(event).from),
-                        mails.get(event).bytes.getBytes(StandardCharsets.ISO_8859_1));
+                        NOW_MICROS,
+                        PEERS.get(datagrams.get(event).sender),
+                        datagrams.get(event).bytes.getBytes(StandardCharsets.ISO_8859_1));
             }
-            return settle(i, node, before.kept);
+            return runEffects(i, node, before.persisted);
         });
     }
 
-    private World after(World world, int i, int event) {
-        Step step = step(world.locals.get(i), event);
-        List<Integer> next = new ArrayList<>(world.locals);
-        next.set(i, step.local);
-        BitSet net = (BitSet) world.net.clone();
+    private World successor(World world, int i, int event) {
+        Step step = step(world.peerStates.get(i), event);
+        List<Integer> next = new ArrayList<>(world.peerStates);
+        next.set(i, step.peerState);
+        BitSet net = (BitSet) world.sent.clone();
         for (int mail : step.sent) {
             net.set(mail);
         }
         return new World(next, world.crashes - (event == CRASH ? 1 : 0), world.retries - (event == RETRY ? 1 : 0), net);
     }
 
-    private ModelTest crash(int peer, boolean forgets) {
-        who = peer;
-        forget = forgets;
+    private ModelTest withCrash(int peer, boolean losesState) {
+        crashingPeer = peer;
+        crashLosesState = losesState;
         return this;
     }
 
@@ -138,49 +144,50 @@
      * How many states there are; if more than {@code most}, less than 0: all histories of that many steps were gone
      * through.
      */
-    private int explore(int retries, int crashes, int most) {
-        byte[] state = CODEC.write(Memory.BLANK
-                .learn(new Place(new Epoch(9, 0, 9), 0), Memory.EMPTY)
-                .join());
-        List<Integer> begin = new ArrayList<>();
+    private int explore(int retries, int crashes, int maxWorlds) {
+        byte[] state = CODEC.write(AcceptorState.INITIAL
+                .learn(new SlotId(new Epoch(9, 0, 9), 0), AcceptorState.NO_VALUE)
+                .startVoting());
+        List<Integer> initial = new ArrayList<>();
         BitSet net = new BitSet();
         for (int i = 0; i < 3; i++) {
-            Register node = node(i, T, state);
+            Register node = node(i, NOW_MICROS, state);
             if (i < 2) {
-                node.propose(T, node.place(), ("by" + i).getBytes(StandardCharsets.ISO_8859_1));
+                node.propose(NOW_MICROS, node.decidedSlot(), ("by" + i).getBytes(StandardCharsets.ISO_8859_1));
             }
-            Step step = settle(i, node, state);
-            begin.add(step.local);
+            Step step = runEffects(i, node, state);
+            initial.add(step.peerState);
             for (int mail : step.sent) {
                 net.set(mail);
             }
         }
-        World first = new World(begin, crashes, retries, net);
-        Set<World> known = new HashSet<>(Set.of(first));
-        ArrayDeque<World> open = new ArrayDeque<>(List.of(first));
+        World initialWorld = new World(initial, crashes, retries, net);
+        Set<World> known = new HashSet<>(Set.of(initialWorld));
+        ArrayDeque<World> open = new ArrayDeque<>(List.of(initialWorld));
         Map<World, Integer> depth = new HashMap<>();
         Set<String> decided = new HashSet<>();
         while (!open.isEmpty()) {
             World world = open.poll();
             List<World> next = new ArrayList<>();
-            world.net.stream().forEach(mail -> next.add(after(world, mails.get(mail).to, mail)));
+            world.sent.stream().forEach(mail -> next.add(successor(world, datagrams.get(mail).recipient, mail)));
             if (world.crashes > 0) {
-                next.add(after(world, who, CRASH));
+                next.add(successor(world, crashingPeer, CRASH));
             }
-            boolean refused = world.net.stream()
-                    .anyMatch(m -> mails.get(m).to == 0 && mails.get(m).bytes.charAt(1) == 9);
+            boolean refused = world.sent.stream()
+                    .anyMatch(m -> datagrams.get(m).recipient == 0
+                            && datagrams.get(m).bytes.charAt(1) == 9);
             if (world.retries > 0 && refused) {
-                next.add(after(world, 0, RETRY));
+                next.add(successor(world, 0, RETRY));
             }
             for (World each : next) {
                 if (!known.add(each)) {
                     continue;
                 }
                 depth.put(each, depth.getOrDefault(world, 0) + 1);
-                check(each, decided);
+                assertAgreement(each, decided);
                 open.add(each);
             }
-            if (known.size() > most) {
+            if (known.size() > maxWorlds) {
                 return -depth.getOrDefault(world, 0);
             }
         }
@@ -188,11 +195,11 @@
         return known.size();
     }
 
-    private void check(World world, Set<String> decided) {
+    private void assertAgreement(World world, Set<String> decided) {
         Set<String> values = new HashSet<>();
-        for (int local : world.locals) {
-            if (locals.get(local).value != null) {
-                values.add(locals.get(local).value);
+        for (int local : world.peerStates) {
+            if (peerStates.get(local).value != null) {
+                values.add(peerStates.get(local).value);
             }
         }
         assertTrue(values.size() <= 1, () -> "two values of a slot: " + values);
@@ -200,31 +207,31 @@
     }
 
     @Test
-    void twoProposers() {
+    void twoProposersAgree() {
         assertTrue(explore(0, 0, 10_000) > 3_000, "all histories");
     }
 
     @Test
-    void theRefusedOneTriesAgain() {
-        deep(explore(1, 0, 300_000));
+    void rejectedProposerRetries() {
+        assertExplored(explore(1, 0, 300_000));
     }
 
     @Test
-    void voterForgets() {
-        deep(crash(2, true).explore(0, 1, 300_000));
+    void voterCrashesWithoutState() {
+        assertExplored(withCrash(2, true).explore(0, 1, 300_000));
     }
 
     @Test
-    void proposerForgets() {
-        deep(crash(0, true).explore(0, 1, 300_000));
+    void proposerCrashesWithoutState() {
+        assertExplored(withCrash(0, true).explore(0, 1, 300_000));
     }
 
     @Test
-    void proposerRemembers() {
-        deep(crash(1, false).explore(0, 1, 300_000));
+    void proposerCrashesWithState() {
+        assertExplored(withCrash(1, false).explore(0, 1, 300_000));
     }
 
-    private static void deep(int states) {
+    private static void assertExplored(int states) {
         assertTrue(states > 0 || states <= -10, "gone through to depth " + -states);
     }
 }
--- a/experiment/src/test/java/calicochute/experiment/seal/RegisterTest.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/RegisterTest.java
@@ -15,222 +15,229 @@
 
 class RegisterTest {
     @Property(tries = 600, shrinking = ShrinkingMode.OFF, seed = "5")
-    void agreesWhateverHappensAndGoesOnAfter(@ForAll @IntRange(min = 3, max = 9) int many, @ForAll long seed) {
+    void agreesUnderFaultsAndRecovers(@ForAll @IntRange(min = 3, max = 9) int peerCount, @ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Fleet fleet = new Fleet(many, random.nextLong());
-        boolean memory = random.nextBoolean();
-        boolean forgets = !memory || random.nextBoolean();
+        SimulatedFleet fleet = new SimulatedFleet(peerCount, random.nextLong());
+        boolean withState = random.nextBoolean();
+        boolean losesState = !withState || random.nextBoolean();
         for (int step = 0; step < 60; step++) {
-            int i = random.nextInt(many);
+            int i = random.nextInt(peerCount);
             switch (random.nextInt(9)) {
-                case 0 -> fleet.loss = random.nextDouble(0.5);
-                case 1 -> fleet.twice = random.nextDouble(0.5);
-                case 2 -> fleet.delay = 1 + random.nextLong(3_000 * Fleet.MILLI);
-                case 3 -> fleet.side[i] = random.nextInt(2);
+                case 0 -> fleet.lossProbability = random.nextDouble(0.5);
+                case 1 -> fleet.duplicateProbability = random.nextDouble(0.5);
+                case 2 -> fleet.maxDelayMicros = 1 + random.nextLong(3_000 * SimulatedFleet.MICROS_PER_MILLI);
+                case 3 -> fleet.partition[i] = random.nextInt(2);
                 case 4 -> fleet.stopped[i] = !fleet.stopped[i];
-                case 5 -> fleet.restart(i, memory && !(forgets && random.nextInt(3) == 0));
-                case 6 -> fleet.turns = random.nextBoolean();
-                case 7 -> Arrays.fill(fleet.side, 0);
-                default -> fleet.delay = 20 * Fleet.MILLI;
+                case 5 -> fleet.restart(i, withState && !(losesState && random.nextInt(3) == 0));
+                case 6 -> fleet.orderedRanks = random.nextBoolean();
+                case 7 -> Arrays.fill(fleet.partition, 0);
+                default -> fleet.maxDelayMicros = 20 * SimulatedFleet.MICROS_PER_MILLI;
             }
             fleet.ticks(random.nextInt(12));
         }
-        assertTrue(fleet.heals(400), () -> "not healed: " + many + " " + seed);
+        assertTrue(fleet.recovers(400), () -> "not healed: " + peerCount + " " + seed);
         for (Register node : fleet.nodes) {
-            assertEquals(Map.of(), node.refusals());
+            assertEquals(Map.of(), node.rejections());
         }
     }
 
     @Test
-    void smallerSideOfASplitDecidesNothing() {
-        Fleet fleet = new Fleet(5, 1);
-        assertTrue(fleet.heals(100));
-        fleet.side[0] = fleet.side[1] = 1;
+    void minorityPartitionDecidesNothing() {
+        SimulatedFleet fleet = new SimulatedFleet(5, 1);
+        assertTrue(fleet.recovers(100));
+        fleet.partition[0] = fleet.partition[1] = 1;
         fleet.ticks(10);
-        long cut = Math.max(fleet.nodes[0].slot(), fleet.nodes[1].slot());
-        long other = fleet.nodes[2].slot();
+        long minoritySlot = Math.max(fleet.nodes[0].slotNumber(), fleet.nodes[1].slotNumber());
+        long majoritySlot = fleet.nodes[2].slotNumber();
         fleet.ticks(300);
-        assertEquals(cut, Math.max(fleet.nodes[0].slot(), fleet.nodes[1].slot()));
-        assertTrue(fleet.nodes[2].slot() > other + 10);
-        assertTrue(fleet.heals(50));
-        assertEquals(List.of(), fleet.lost);
+        assertEquals(minoritySlot, Math.max(fleet.nodes[0].slotNumber(), fleet.nodes[1].slotNumber()));
+        assertTrue(fleet.nodes[2].slotNumber() > majoritySlot + 10);
+        assertTrue(fleet.recovers(50));
+        assertEquals(List.of(), fleet.memoryLosses);
     }
 
     @Test
-    void tenthsRestartedWithoutMemoryGoOnInTheSameEpoch() {
-        Fleet fleet = new Fleet(30, 2);
-        assertTrue(fleet.heals(200));
-        Place first = fleet.newest();
+    void rollingRestartWithoutStateKeepsTheEpoch() {
+        SimulatedFleet fleet = new SimulatedFleet(30, 2);
+        assertTrue(fleet.recovers(200));
+        SlotId first = fleet.newest();
         for (int tenth = 0; tenth < 10; tenth++) {
             for (int i = 0; i < 3; i++) {
                 fleet.restart(3 * tenth + i, false);
             }
             fleet.ticks(100);
         }
-        assertTrue(fleet.heals(100));
+        assertTrue(fleet.recovers(100));
         assertEquals(first.epoch(), fleet.newest().epoch());
-        assertEquals(List.of(), fleet.lost);
+        assertEquals(List.of(), fleet.memoryLosses);
     }
 
     @Test
-    void allRestartedWithoutMemoryBeginAnewAndOldValuesDoNotComeBack() {
-        Fleet fleet = new Fleet(5, 3);
-        assertTrue(fleet.heals(100));
+    void fullRestartWithoutStateBeginsAnEmptyEpoch() {
+        SimulatedFleet fleet = new SimulatedFleet(5, 3);
+        assertTrue(fleet.recovers(100));
         fleet.ticks(100);
-        Place old = fleet.newest();
+        SlotId old = fleet.newest();
         for (int i = 0; i < 5; i++) {
             fleet.restart(i, false);
         }
         fleet.ticks(100);
         assertTrue(fleet.newest().epoch().compareTo(old.epoch()) > 0);
-        assertTrue(fleet.heals(100));
-        assertEquals(List.of(), fleet.lost, "nobody is left that remembers");
+        assertTrue(fleet.recovers(100));
+        assertEquals(List.of(), fleet.memoryLosses, "nobody is left that remembers");
     }
 
     @Test
-    void tooManyRestartedAtOnceGoOnFromWhatTheOthersKnowAndSaySo() {
-        Fleet fleet = new Fleet(3, 4);
-        assertTrue(fleet.heals(100));
+    void majorityRestartWithoutStateContinuesFromNewestKnownSlot() {
+        SimulatedFleet fleet = new SimulatedFleet(3, 4);
+        assertTrue(fleet.recovers(100));
         fleet.ticks(20);
-        Place old = fleet.newest();
+        SlotId old = fleet.newest();
         fleet.restart(0, false);
         fleet.restart(1, false);
-        assertTrue(fleet.heals(150));
+        assertTrue(fleet.recovers(150));
         fleet.ticks(10);
         assertTrue(fleet.newest().epoch().compareTo(old.epoch()) > 0
                 && fleet.newest().slot() > old.slot());
         assertEquals(
-                1, fleet.lost.stream().map(b -> b.place().epoch()).distinct().count());
-        assertTrue(fleet.lost.get(0).place().slot() >= old.slot());
+                1,
+                fleet.memoryLosses.stream()
+                        .map(b -> b.baseSlot().epoch())
+                        .distinct()
+                        .count());
+        assertTrue(fleet.memoryLosses.get(0).baseSlot().slot() >= old.slot());
     }
 
     @Test
-    void allRestartedWithMemoryGoOnAtOnce() {
-        Fleet fleet = new Fleet(4, 5);
+    void fullRestartWithStateKeepsTheEpoch() {
+        SimulatedFleet fleet = new SimulatedFleet(4, 5);
         for (int i = 0; i < 4; i++) {
             fleet.restart(i, true);
         }
-        assertTrue(fleet.heals(100));
-        Place old = fleet.newest();
+        assertTrue(fleet.recovers(100));
+        SlotId old = fleet.newest();
         for (int i = 0; i < 4; i++) {
             fleet.restart(i, true);
         }
-        assertEquals(4, Arrays.stream(fleet.nodes).filter(Register::votes).count());
-        assertTrue(fleet.heals(20));
+        assertEquals(4, Arrays.stream(fleet.nodes).filter(Register::canVote).count());
+        assertTrue(fleet.recovers(20));
         assertEquals(old.epoch(), fleet.newest().epoch());
     }
 
     @Test
-    void promiseLeavesOnlyAfterTheStateIsKept() {
+    void promiseIsSentOnlyAfterStateIsPersisted() {
         List<String> peers = List.of("a", "b", "c");
         Codec codec = new Codec("x", 1, peers);
         Epoch epoch = new Epoch(9, 0, 9);
-        byte[] state = codec.write(
-                Memory.BLANK.learn(new Place(epoch, 0), Memory.EMPTY).join());
-        Register b = new Register("x", 1, peers, "b", 10, true, state, Timing.USUAL);
-        assertTrue(b.votes());
-        b.received(11, "a", codec.write(new Message.Prepare(new Place(epoch, 1), new Ballot(1, 0, 9))));
-        List<Effect> effects = b.effects();
+        byte[] state = codec.write(AcceptorState.INITIAL
+                .learn(new SlotId(epoch, 0), AcceptorState.NO_VALUE)
+                .startVoting());
+        Register register = new Register("x", 1, peers, "b", 10, true, state, Timing.DEFAULT);
+        assertTrue(register.canVote());
+        register.received(11, "a", codec.write(new Message.Prepare(new SlotId(epoch, 1), new Ballot(1, 0, 9))));
+        List<Effect> effects = register.effects();
         assertEquals(1, effects.size());
         Effect.Persist persist = (Effect.Persist) effects.get(0);
-        assertEquals(List.of(), b.effects());
-        Register again = new Register("x", 1, peers, "b", 12, true, persist.state(), Timing.USUAL);
-        again.received(13, "c", codec.write(new Message.Accept(new Place(epoch, 1), new Ballot(1, 0, 3), new byte[1])));
-        assertInstanceOf(Message.Refused.class, sent(codec, again.effects()));
-        b.persisted(persist.token());
-        assertInstanceOf(Message.Promise.class, sent(codec, b.effects()));
+        assertEquals(List.of(), register.effects());
+        Register restarted = new Register("x", 1, peers, "b", 12, true, persist.state(), Timing.DEFAULT);
+        restarted.received(
+                13, "c", codec.write(new Message.Accept(new SlotId(epoch, 1), new Ballot(1, 0, 3), new byte[1])));
+        assertInstanceOf(Message.Rejected.class, sent(codec, restarted.effects()));
+        register.persisted(persist.token());
+        assertInstanceOf(Message.Promise.class, sent(codec, register.effects()));
         byte[] broken = persist.state().clone();
         broken[40] ^= 1;
-        Register blank = new Register("x", 1, peers, "b", 14, true, broken, Timing.USUAL);
-        assertFalse(blank.votes());
-        assertEquals(Map.of(Refusal.CHECKSUM, 1L), blank.refusals());
+        Register blank = new Register("x", 1, peers, "b", 14, true, broken, Timing.DEFAULT);
+        assertFalse(blank.canVote());
+        assertEquals(Map.of(RejectReason.CHECKSUM, 1L), blank.rejections());
     }
 
     @Test
-    void whoForgotVotesOnlyAfterTheSlotPastAllMarks() {
+    void peerWithoutStateVotesOnlyPastTheHighestMark() {
         List<String> peers = List.of("a", "b", "c");
         Codec codec = new Codec("x", 1, peers);
         Epoch epoch = new Epoch(9, 0, 9);
-        Register b = new Register("x", 1, peers, "b", 20, false, null, Timing.USUAL);
-        b.received(21, "a", codec.write(new Message.Answer(19, 5, true, epoch, 1, new Place(epoch, 1))));
-        b.received(21, "a", codec.write(new Message.Answer(20, 5, true, epoch, 5, new Place(epoch, 4))));
-        b.received(22, "c", codec.write(new Message.Value(new Place(epoch, 7), new byte[] {7})));
-        assertFalse(b.votes(), "one voter is too few");
-        Register d = new Register("x", 1, peers, "b", 20, false, null, Timing.USUAL);
-        d.received(21, "a", codec.write(new Message.Answer(20, 5, true, epoch, 5, new Place(epoch, 4))));
-        d.received(21, "c", codec.write(new Message.Answer(20, 6, true, epoch, 4, new Place(epoch, 4))));
-        d.received(22, "c", codec.write(new Message.Value(new Place(epoch, 5), new byte[] {5})));
-        assertFalse(d.votes(), "may have voted on slot 6 before");
-        d.received(23, "c", codec.write(new Message.Value(new Place(epoch, 6), new byte[] {6})));
-        assertTrue(d.votes());
+        Register oneReply = new Register("x", 1, peers, "b", 20, false, null, Timing.DEFAULT);
+        oneReply.received(21, "a", codec.write(new Message.StatusReply(19, 5, true, epoch, 1, new SlotId(epoch, 1))));
+        oneReply.received(21, "a", codec.write(new Message.StatusReply(20, 5, true, epoch, 5, new SlotId(epoch, 4))));
+        oneReply.received(22, "c", codec.write(new Message.DecidedValue(new SlotId(epoch, 7), new byte[] {7})));
+        assertFalse(oneReply.canVote(), "one voter is too few");
+        Register twoReplies = new Register("x", 1, peers, "b", 20, false, null, Timing.DEFAULT);
+        twoReplies.received(21, "a", codec.write(new Message.StatusReply(20, 5, true, epoch, 5, new SlotId(epoch, 4))));
+        twoReplies.received(21, "c", codec.write(new Message.StatusReply(20, 6, true, epoch, 4, new SlotId(epoch, 4))));
+        twoReplies.received(22, "c", codec.write(new Message.DecidedValue(new SlotId(epoch, 5), new byte[] {5})));
+        assertFalse(twoReplies.canVote(), "may have voted on slot 6 before");
+        twoReplies.received(23, "c", codec.write(new Message.DecidedValue(new SlotId(epoch, 6), new byte[] {6})));
+        assertTrue(twoReplies.canVote());
     }
 
     private static Message sent(Codec codec, List<Effect> effects) {
         try {
             return codec.read(((Effect.Send) effects.get(0)).message());
-        } catch (Malformed e) {
+        } catch (MalformedException e) {
             throw new AssertionError(e);
         }
     }
 
     @Test
-    void badMessagesAreCountedAndNeverThrow() {
+    void invalidMessagesAreCountedAndNeverThrow() {
         List<String> peers = List.of("a", "b", "c");
         Codec codec = new Codec("x", 1, peers);
-        Place place = new Place(new Epoch(9, 0, 9), 3);
+        SlotId slotId = new SlotId(new Epoch(9, 0, 9), 3);
         Ballot ballot = new Ballot(4, 2, 8);
-        byte[] value = new byte[Codec.MOST_VALUE];
-        List<byte[]> good = new ArrayList<>();
+        byte[] value = new byte[Codec.MAX_VALUE_BYTES];
+        List<byte[]> validMessages = new ArrayList<>();
         for (Message m : List.of(
-                new Message.Ask(5),
-                new Message.Answer(10, 7, true, place.epoch(), 3, place),
-                new Message.Form(place.epoch(), 10, place),
-                new Message.Commit(place.epoch(), true),
-                new Message.Prepare(place, ballot),
-                new Message.Promise(place, ballot, ballot, value),
-                new Message.Accept(place, ballot, value),
-                new Message.Accepted(place, ballot),
-                new Message.Refused(place, ballot, ballot),
-                new Message.Known(place, ballot),
-                new Message.Want(place),
-                new Message.Value(place, value))) {
-            good.add(codec.write(m));
+                new Message.StatusRequest(5),
+                new Message.StatusReply(10, 7, true, slotId.epoch(), 3, slotId),
+                new Message.EpochProposal(slotId.epoch(), 10, slotId),
+                new Message.EpochCommit(slotId.epoch(), true),
+                new Message.Prepare(slotId, ballot),
+                new Message.Promise(slotId, ballot, ballot, value),
+                new Message.Accept(slotId, ballot, value),
+                new Message.Accepted(slotId, ballot),
+                new Message.Rejected(slotId, ballot, ballot),
+                new Message.DecidedNotice(slotId, ballot),
+                new Message.ValueRequest(slotId),
+                new Message.DecidedValue(slotId, value))) {
+            validMessages.add(codec.write(m));
         }
         SplittableRandom random = new SplittableRandom(6);
-        Register b = new Register("x", 1, peers, "b", 10, false, null, Timing.USUAL);
+        Register register = new Register("x", 1, peers, "b", 10, false, null, Timing.DEFAULT);
         long now = 10;
         for (int i = 0; i < 100_000; i++) {
-            byte[] bytes = good.get(random.nextInt(good.size())).clone();
+            byte[] bytes =
+                    validMessages.get(random.nextInt(validMessages.size())).clone();
             if (random.nextInt(4) == 0) {
                 bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length + 20));
             }
             for (int flips = random.nextInt(4); flips > 0 && bytes.length > 0; flips--) {
-                int at = random.nextInt(4) == 0
+                int position = random.nextInt(4) == 0
                         ? random.nextInt(bytes.length)
                         : Math.min(bytes.length - 1, 26 + random.nextInt(40));
-                bytes[at] ^= (byte) (1 << random.nextInt(8));
+                bytes[position] ^= (byte) (1 << random.nextInt(8));
             }
-            b.received(now += 100, random.nextInt(50) == 0 ? "z" : random.nextBoolean() ? "a" : "c", bytes);
+            register.received(now += 100, random.nextInt(50) == 0 ? "z" : random.nextBoolean() ? "a" : "c", bytes);
             if (i % 50 == 0) {
-                b.tick(now);
+                register.tick(now);
             }
-            for (Effect effect : b.effects()) {
+            for (Effect effect : register.effects()) {
                 if (effect instanceof Effect.Send s) {
-                    assertTrue(s.message().length <= Codec.MOST_BYTES);
+                    assertTrue(s.message().length <= Codec.MAX_MESSAGE_BYTES);
                 }
             }
         }
-        assertTrue(b.refusals()
+        assertTrue(register.rejections()
                 .keySet()
                 .containsAll(List.of(
-                        Refusal.SHORT,
-                        Refusal.VERSION,
-                        Refusal.KIND,
-                        Refusal.EXPERIMENT,
-                        Refusal.DEFINITION,
-                        Refusal.PEERS,
-                        Refusal.BOUNDS,
-                        Refusal.TRAILING,
-                        Refusal.SENDER)));
+                        RejectReason.TRUNCATED,
+                        RejectReason.VERSION,
+                        RejectReason.UNKNOWN_KIND,
+                        RejectReason.EXPERIMENT,
+                        RejectReason.DEFINITION,
+                        RejectReason.PEERS,
+                        RejectReason.OUT_OF_RANGE,
+                        RejectReason.TRAILING_BYTES,
+                        RejectReason.UNKNOWN_SENDER)));
     }
 }
