--- /dev/null
+++ b/experiment/src/test/java/calicochute/experiment/seal/SimulatedFleet.java
@@ -0,0 +1,168 @@
+package calicochute.experiment.seal;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+
+/** Registers on one simulated net; checks with each step that no slot has two values. */
+final class SimulatedFleet {
+    private record Datagram(long deliverAt, long sequence, int recipient, int sender, byte[] bytes) {}
+
+    static final long MICROS_PER_MILLI = 1_000;
+    final List<String> ids = new ArrayList<>();
+    final Register[] nodes;
+    final byte[][] persistedStates;
+    final boolean[] persistent;
+    final boolean[] stopped;
+    final int[] partition;
+    final List<Effect.EpochBegun> memoryLosses = new ArrayList<>();
+    private final Map<SlotId, String> valueBySlot = new HashMap<>();
+    private final PriorityQueue<Datagram> inFlight = new PriorityQueue<>((a, b) ->
+            a.deliverAt != b.deliverAt ? Long.compare(a.deliverAt, b.deliverAt) : Long.compare(a.sequence, b.sequence));
+    private final SplittableRandom random;
+    long nowMicros = 1_000_000_000;
+    double lossProbability;
+    double duplicateProbability;
+    long maxDelayMicros = 5 * MICROS_PER_MILLI;
+    boolean orderedRanks = true;
+    private long nextSequence;
+    long sentMessages;
+
+    SimulatedFleet(int many, long seed) {
+        random = new SplittableRandom(seed);
+        for (int i = 0; i < many; i++) {
+            ids.add(String.format("lb-%03d", i));
+        }
+        nodes = new Register[many];
+        persistedStates = new byte[many][];
+        persistent = new boolean[many];
+        stopped = new boolean[many];
+        partition = new int[many];
+        for (int i = 0; i < many; i++) {
+            restart(i, false);
+        }
+    }
+
+    void restart(int i, boolean withState) {
+        if (!withState) {
+            persistedStates[i] = null;
+        }
+        persistent[i] |= withState;
+        nodes[i] = new Register(
+                "checkout", 7, ids, ids.get(i), ++nowMicros, persistent[i], persistedStates[i], Timing.DEFAULT);
+    }
+
+    void runEffects(int i) {
+        List<Effect> effects;
+        while (!(effects = nodes[i].effects()).isEmpty()) {
+            for (Effect effect : effects) {
+                if (effect instanceof Effect.Persist persist) {
+                    persistedStates[i] = persist.state();
+                    nodes[i].persisted(persist.token());
+                } else if (effect instanceof Effect.Send send) {
+                    send(i, ids.indexOf(send.recipient()), send.message());
+                } else if (effect instanceof Effect.EpochBegun begun && begun.memoryLost()) {
+                    memoryLosses.add(begun);
+                }
+            }
+            assertAgreement(nodes[i]);
+        }
+    }
+
+    private void assertAgreement(Register node) {
+        if (node.slotNumber() == 0) {
+            return;
+        }
+        String value = new String(node.value());
+        String other = valueBySlot.putIfAbsent(node.decidedSlot(), value);
+        if (other != null && !other.equals(value)) {
+            throw new AssertionError(node.decidedSlot() + " is " + other + " and " + value);
+        }
+    }
+
+    private void send(int sender, int recipient, byte[] bytes) {
+        sentMessages++;
+        for (int copies = random.nextDouble() < duplicateProbability ? 2 : 1; copies > 0; copies--) {
+            if (partition[sender] == partition[recipient] && random.nextDouble() >= lossProbability) {
+                inFlight.add(new Datagram(
+                        nowMicros + 1 + random.nextLong(maxDelayMicros), nextSequence++, recipient, sender, bytes));
+            }
+        }
+    }
+
+    /** One tick of 100 ms; each node proposes what tells who it is. */
+    void tick() {
+        long end = nowMicros + 100 * MICROS_PER_MILLI;
+        while (!inFlight.isEmpty() && inFlight.peek().deliverAt <= end) {
+            Datagram datagram = inFlight.poll();
+            nowMicros = Math.max(nowMicros, datagram.deliverAt);
+            if (stopped[datagram.recipient]) {
+                if (random.nextInt(4) == 0) {
+                    inFlight.add(new Datagram(
+                            end + maxDelayMicros, nextSequence++, datagram.recipient, datagram.sender, datagram.bytes));
+                }
+                continue;
+            }
+            if (partition[datagram.sender] != partition[datagram.recipient]) {
+                continue;
+            }
+            nodes[datagram.recipient].received(nowMicros, ids.get(datagram.sender), datagram.bytes);
+            runEffects(datagram.recipient);
+        }
+        nowMicros = Math.max(nowMicros, end);
+        int[] rank = new int[2];
+        for (int i = 0; i < nodes.length; i++) {
+            if (stopped[i]) {
+                continue;
+            }
+            nodes[i].setRank(orderedRanks ? rank[partition[i]]++ : random.nextInt(3));
+            SlotId slotId = nodes[i].decidedSlot();
+            nodes[i].propose(
+                    nowMicros, slotId, (slotId.slot() + 1 + " by " + ids.get(i) + " of " + nowMicros).getBytes());
+            nodes[i].tick(nowMicros);
+            runEffects(i);
+        }
+    }
+
+    void ticks(int many) {
+        for (int i = 0; i < many; i++) {
+            tick();
+        }
+    }
+
+    SlotId newest() {
+        SlotId newest = SlotId.NONE;
+        for (Register node : nodes) {
+            if (node.decidedSlot().compareTo(newest) > 0) {
+                newest = node.decidedSlot();
+            }
+        }
+        return newest;
+    }
+
+    /** Heals everything; true if within that many ticks all know a slot that was not decided before, and all vote. */
+    boolean recovers(int maxTicks) {
+        lossProbability = 0;
+        duplicateProbability = 0;
+        maxDelayMicros = 5 * MICROS_PER_MILLI;
+        orderedRanks = true;
+        Arrays.fill(stopped, false);
+        Arrays.fill(partition, 0);
+        SlotId previous = newest();
+        for (int i = 0; i < maxTicks; i++) {
+            tick();
+            boolean all = true;
+            for (Register node : nodes) {
+                all &= node.canVote() && node.decidedSlot().compareTo(previous) > 0 && node.slotNumber() > 0;
+            }
+            if (all) {
+                return true;
+            }
+        }
+        return false;
+    }
+}
