--- a/balancer/src/main/java/calicochute/fleet/TrialText.java
+++ b/balancer/src/main/java/calicochute/fleet/TrialText.java
@@ -16,7 +16,7 @@
         }
         return "name=" + name + " verdict=" + state.verdict() + " window=" + state.window() + " share="
                 + state.share(state.window() + 1)
-                + String.format(" effect=%.4f spread=%.4f", state.effect(), state.varianceSums())
+                + String.format(" effect=%.4f spread=%.4f", state.effect(), state.standardError())
                 + " sessions=" + (long) state.sessions(Arm.CONTROL) + "/" + (long) state.sessions(Arm.TREATMENT)
                 + String.format(
                         " crossed=%.4f/%.4f cut=%.4f",
--- a/experiment/src/main/java/calicochute/experiment/Arm.java
+++ b/experiment/src/main/java/calicochute/experiment/Arm.java
@@ -1,6 +1,6 @@
 package calicochute.experiment;
 
-/** The two sides of an experiment. */
+/** The two groups of units that an experiment compares. */
 public enum Arm {
     CONTROL,
     TREATMENT
--- a/experiment/src/main/java/calicochute/experiment/Complaint.java
+++ b/experiment/src/main/java/calicochute/experiment/Complaint.java
@@ -1,13 +1,14 @@
 package calicochute.experiment;
 
 /**
- * Why an experiment can't be run as written.
+ * A reason why an experiment cannot run as configured.
  *
- * @param where the experiment's name and the part of it
- * @param seen what was found there
- * @param todo what an operator can do
+ * @param where name of the experiment and the field in question
+ * @param seen the value found there
+ * @param todo how an operator can correct it
  */
 public record Complaint(Code code, String where, String seen, String todo) {
+    /** The kind of the problem. */
     public enum Code {
         NAME_MISSING,
         NAME_TWICE,
--- a/experiment/src/main/java/calicochute/experiment/Counts.java
+++ b/experiment/src/main/java/calicochute/experiment/Counts.java
@@ -8,13 +8,15 @@
 import java.util.TreeMap;
 
 /**
- * One window at one balancer, whole: repeating it is harmless.
+ * The complete counts of one window at one balancer. A receiver may get the same counts several times without effect.
  *
- * @param share with which its sessions were assigned
- * @param cells by arm and place of the lane (alphabetically among the experiment's)
- * @param parts for each arm four parts of its servers, by hash of the id: sessions, sum in ths, in turn
- * @param asked worth asked for, before the cut
- * @param cut of which was cut off
+ * @param window number of the window
+ * @param share share of the treatment with which the window's sessions were assigned
+ * @param byArmLane sums for each arm and lane
+ * @param serverBuckets for each arm, its servers divided into {@link #BUCKETS} buckets by the hash of the server id:
+ *     alternating the number of sessions and the sum of the measure in units of 1 / {@link Sums#SCALE}
+ * @param worthAsked total worth of the sessions, before the cap of {@code measure.most}
+ * @param worthCut the part of {@code worthAsked} above the cap
  */
 public record Counts(
         long window,
@@ -23,7 +25,11 @@
         List<Long> serverBuckets,
         double worthAsked,
         double worthCut) {
-    /** Arm and lane. */
+    /**
+     * An arm and a lane of it.
+     *
+     * @param lane index of the lane in the experiment's lanes, sorted by name
+     */
     public record ArmLane(Arm arm, int lane) implements Comparable<ArmLane> {
         @Override
         public int compareTo(ArmLane other) {
@@ -31,9 +37,11 @@
         }
     }
 
+    /** Number of server buckets of an arm. */
     static final int BUCKETS = 4;
+    /** Version of the serialized form. */
     private static final byte VERSION = 1;
-    /** What 16 cells and the parts can take at most. */
+    /** Largest serialized size in bytes: 16 pairs of arm and lane, and the server buckets. */
     static final int MAX_BYTES = 1000;
 
     public Counts {
@@ -41,10 +49,12 @@
         serverBuckets = List.copyOf(serverBuckets);
     }
 
+    /** Number of sessions (or tenants) counted in all arms and lanes. */
     long sessions() {
         return byArmLane.values().stream().mapToLong(Sums::count).sum();
     }
 
+    /** Serializes the counts to at most {@link #MAX_BYTES} bytes. */
     public byte[] toBytes() {
         ByteBuffer output = ByteBuffer.allocate(MAX_BYTES);
         output.put(VERSION);
@@ -65,15 +75,20 @@
         return bytes;
     }
 
+    /**
+     * Parses the output of {@link #toBytes}.
+     *
+     * @throws UnreadableException if the bytes have another version or length, or hold values that no counting can give
+     */
     public static Counts fromBytes(byte[] bytes) throws UnreadableException {
         if (bytes.length > MAX_BYTES) {
-            throw new UnreadableException("counts of " + bytes.length + " bytes");
+            throw new UnreadableException("counts have " + bytes.length + " bytes, more than allowed");
         }
         ByteBuffer input = ByteBuffer.wrap(bytes);
         try {
             byte version = input.get();
             if (version != VERSION) {
-                throw new UnreadableException("counts of version " + version);
+                throw new UnreadableException("counts have unknown version " + version);
             }
             long window = readVarint(input);
             double share = input.getDouble();
@@ -88,12 +103,14 @@
                             && worthAsked < 1e18
                             && worthCut >= 0
                             && worthCut <= worthAsked,
-                    "window, share or worth");
-            check(cellCount >= 0 && cellCount <= 2 * ExperimentValidator.MAX_LANES, "number of cells");
+                    "window, share or worth out of range");
+            check(
+                    cellCount >= 0 && cellCount <= 2 * ExperimentValidator.MAX_LANES,
+                    "number of arm and lane pairs out of range");
             Map<ArmLane, Sums> byArmLane = new TreeMap<>();
             for (int i = 0; i < cellCount; i++) {
                 int armLaneIndex = input.get();
-                check(armLaneIndex >= 0 && armLaneIndex < 2 * ExperimentValidator.MAX_LANES, "lane");
+                check(armLaneIndex >= 0 && armLaneIndex < 2 * ExperimentValidator.MAX_LANES, "lane out of range");
                 Sums sums = new Sums(
                         readVarint(input),
                         readVarint(input),
@@ -101,10 +118,10 @@
                         readVarint(input),
                         readVarint(input),
                         readVarint(input));
-                check(sums.isConsistent(), "sums");
+                check(sums.isConsistent(), "inconsistent sums");
                 check(
                         byArmLane.put(new ArmLane(Arm.values()[armLaneIndex & 1], armLaneIndex >> 1), sums) == null,
-                        "cell twice");
+                        "duplicate arm and lane");
             }
             List<Long> serverBuckets = new ArrayList<>();
             for (int i = 0; i < 4 * BUCKETS; i++) {
@@ -116,22 +133,22 @@
                                 && serverBuckets.get(i) < 1L << 32
                                 && serverBuckets.get(i + 1) >= 0
                                 && serverBuckets.get(i + 1) <= serverBuckets.get(i) * Sums.SCALE,
-                        "parts");
+                        "server buckets out of range");
             }
-            check(!input.hasRemaining(), "length");
+            check(!input.hasRemaining(), "trailing bytes");
             return new Counts(window, share, byArmLane, serverBuckets, worthAsked, worthCut);
         } catch (BufferUnderflowException e) {
-            throw new UnreadableException("counts cut short at " + bytes.length + " bytes");
+            throw new UnreadableException("counts truncated at " + bytes.length + " bytes");
         }
     }
 
-    private static void check(boolean valid, String what) throws UnreadableException {
+    private static void check(boolean valid, String problem) throws UnreadableException {
         if (!valid) {
-            throw new UnreadableException("counts of an impossible " + what);
+            throw new UnreadableException("invalid counts: " + problem);
         }
     }
 
-    /** Seven bits a byte, the lowest first. */
+    /** Writes seven bits per byte, least significant first; the top bit marks that more bytes follow. */
     private static void writeVarint(ByteBuffer output, long value) {
         long rest = value;
         while ((rest & ~0x7FL) != 0) {
@@ -150,6 +167,6 @@
                 return value;
             }
         }
-        throw new UnreadableException("counts of a number too long");
+        throw new UnreadableException("counts have a number of more than 63 bits");
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/EvidenceUpdater.java
+++ b/experiment/src/main/java/calicochute/experiment/EvidenceUpdater.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * Adds a sealed window to a state: evidence and sums, and then what the tests foresee of the next window, learned from
- * all before it.
+ * Adds a sealed window to a state: first the evidence and the sums, then the predictors that the tests use for the next
+ * window. Predictors depend on earlier windows only, as the tests require.
  */
 final class EvidenceUpdater {
-    /** A predictor forgets beyond this many sessions, to follow the load. */
+    /** Largest weight of a predictor, in sessions; older sessions are discounted so that it follows the load. */
     private static final float MAX_PREDICTOR_SESSIONS = 1000;
 
     private final Experiment experiment;
@@ -22,7 +22,7 @@
         least = experiment.least();
     }
 
-    /** What is foreseen before anything was seen. */
+    /** Sets the predictors to their values before the first window. */
     static void initializePredictors(State state) {
         for (int i = 0; i < state.lanePredictors.length; i += 2) {
             state.lanePredictors[i] = 0.5f;
@@ -36,6 +36,11 @@
         state.varianceSums[1] = 20;
     }
 
+    /**
+     * Adds a window to the evidence of harm.
+     *
+     * @param p share of the treatment in the window
+     */
     void updateGuards(State state, SealedWindow sealed, double p) {
         for (int i = 0; i < experiment.guards().size(); i++) {
             Guard guard = experiment.guards().get(i);
@@ -59,6 +64,11 @@
         }
     }
 
+    /**
+     * Adds a window to the evidence on the effect and to the sums. The symbols are those of {@link EffectEvidence}.
+     *
+     * @param p share of the treatment in the window
+     */
     void updateEffect(State state, SealedWindow sealed, double p) {
         double h = p * (1 - p);
         double variance = state.varianceSums[0] / state.varianceSums[1];
@@ -106,7 +116,10 @@
         halveAbove(state.serverBuckets, 1e6f);
     }
 
-    /** A float beyond some millions would no longer grow by ones. */
+    /**
+     * Halves all sums once one exceeds the limit: a float above 2^24 cannot represent an increment of 1. Only ratios of
+     * the sums are used.
+     */
     private static void halveAbove(float[] sums, float limit) {
         for (float sum : sums) {
             if (sum > limit) {
@@ -118,6 +131,7 @@
         }
     }
 
+    /** Updates a running mean and its weight, at {@code index} and the position after it. */
     private static void updatePredictor(float[] predictors, int index, double sum, double count) {
         if (count > 0) {
             double weight = Math.min(predictors[index + 1], MAX_PREDICTOR_SESSIONS);
--- a/experiment/src/main/java/calicochute/experiment/Experiment.java
+++ b/experiment/src/main/java/calicochute/experiment/Experiment.java
@@ -8,16 +8,23 @@
 import java.util.TreeSet;
 
 /**
- * An experiment as the operator wrote it. What is left out is null or 0 in what a reader binds and gets its default
- * here; whether it makes sense is {@link ExperimentCheck}'s matter.
+ * An experiment as configured by the operator. Fields that the configuration omits arrive as null or 0 and get their
+ * defaults here; {@link ExperimentValidator} checks the values.
  *
- * @param salt drawn into the assignment: the same experiment run again under another salt splits the units anew
- * @param share of the units that go to the treatment, at first
- * @param lanes the classes in it
- * @param tenants in it; none named: all
+ * @param name unique name, part of the assignment hash
+ * @param salt part of the assignment hash: repeating an experiment with another salt assigns the units anew
+ * @param unit what is assigned as a whole
+ * @param control servers of the control arm
+ * @param treatment servers of the treatment arm
+ * @param share initial share of the units that go to the treatment, in (0, 1)
+ * @param lanes the request classes that take part
+ * @param tenants the tenants that take part; empty for all
+ * @param measure the measure that is compared
  * @param least the smallest difference of the measure that matters, in (0, 1)
- * @param error of all verdicts, at most this part are false
- * @param longest after which it ends undecided
+ * @param error bound on the probability of a false verdict, in (0, 0.5)
+ * @param guards limits on additional failures in the treatment
+ * @param longest duration after which the experiment ends undecided
+ * @param after what follows a verdict for the treatment
  */
 public record Experiment(
         String name,
@@ -34,14 +41,15 @@
         List<Guard> guards,
         Duration longest,
         After after) {
-    /** What is assigned as a whole: each call (with its retries), or each tenant. */
+    /** The unit of assignment: a call together with its retries, or a tenant. */
     public enum Unit {
         SESSION,
         TENANT
     }
 
     /**
-     * Servers by what the list says of them; an empty part takes all. In `id`, `*` stands for any run of characters.
+     * Selects servers by their properties in the discovery list. An empty component matches every server. In `id`, `*`
+     * matches any number of characters.
      */
     public record Selector(String kind, String cell, String zone, String id) {
         public Selector {
@@ -51,6 +59,7 @@
             id = id == null ? "" : id;
         }
 
+        /** Whether all components match the server. */
         public boolean selects(Server server) {
             return (kind.isEmpty() || kind.equals(server.kind()))
                     && (cell.isEmpty() || cell.equals(server.cell()))
@@ -58,7 +67,10 @@
                     && (id.isEmpty() || matches(id, server.id()));
         }
 
-        /** Linear but for the last star's retries: no pattern can make it run away. */
+        /**
+         * Matches with backtracking to the last star only, so that the time is at most the product of both lengths for
+         * any pattern.
+         */
         private static boolean matches(String pattern, String text) {
             int patternIndex = 0;
             int textIndex = 0;
@@ -85,17 +97,17 @@
         }
     }
 
-    /** A server as discovery lists it. */
+    /** A server as listed by discovery. */
     public record Server(String id, String kind, String cell, String zone, double weight) {}
 
     /**
-     * Worth served within the aim, of the worth asked for.
+     * The measure of an experiment: the share of the requested worth that was served within the objective.
      *
-     * @param most a session counts by its worth, and as no more than this; 0: all sessions count alike
-     * @param quantile of the worths seen before, at which `most` was taken: only told with the verdict
+     * @param most cap on the worth of a session, which is its weight; 0 to weight all sessions equally
+     * @param quantile the quantile of earlier worths from which `most` was taken; informational
      */
     public record Measure(double most, double quantile) {
-        /** From worths seen before the experiment. */
+        /** Returns a measure whose cap is a quantile of the worths seen before the experiment. */
         public static Measure atQuantile(double quantile, Collection<Double> worths) {
             List<Double> sorted = new ArrayList<>(worths);
             sorted.sort(null);
@@ -105,11 +117,19 @@
         }
     }
 
-    /** Failures of a lane may be at most `worse` (0.01: one point) more often in the treatment. */
+    /**
+     * A limit on failures of one lane.
+     *
+     * @param worse largest allowed difference of the failure rates, treatment minus control; 0.01 is one percentage
+     *     point
+     */
     public record Guard(String lane, double worse) {}
 
     /**
-     * What follows a verdict for the treatment: nothing (no steps), or the shares to go through, each held for a time.
+     * The rollout that follows a verdict for the treatment.
+     *
+     * @param steps increasing shares of the treatment; empty for no rollout
+     * @param each for how long each step is held at least
      */
     public record After(List<Double> steps, Duration each) {
         public After {
@@ -130,12 +150,12 @@
         after = after == null ? new After(null, null) : after;
     }
 
-    /** In the order in which counts and states hold them, the same everywhere. */
+    /** The lanes sorted by name, the order of lane indexes in counts and states. */
     List<String> sortedLanes() {
         return List.copyOf(new TreeSet<>(lanes));
     }
 
-    /** Whether a session is in it at all. */
+    /** Whether sessions of the lane and tenant take part. */
     public boolean includes(String lane, String tenant) {
         return lanes.contains(lane) && (tenants.isEmpty() || tenants.contains(tenant));
     }
--- a/experiment/src/main/java/calicochute/experiment/ExperimentValidator.java
+++ b/experiment/src/main/java/calicochute/experiment/ExperimentValidator.java
@@ -13,21 +13,29 @@
 import java.util.Map;
 import java.util.Set;
 
-/** All that is wrong with the experiments of a file, against the list and the settings; empty if they can be run. */
+/** Validates the configured experiments against the discovery list and the settings. */
 public final class ExperimentValidator {
-    /** A state of this many lanes and guards keeps under its 900 bytes. */
+    /**
+     * Largest number of lanes; a state of this many lanes and {@link #MAX_GUARDS} guards stays within
+     * {@link StateBytes#MAX_BYTES}.
+     */
     public static final int MAX_LANES = 8;
 
+    /** Largest number of guards. */
     public static final int MAX_GUARDS = 3;
+    /** Largest number of rollout steps. */
     private static final int MAX_STEPS = 8;
-    /** Below this a window has too few sessions of the smaller arm to tell anything. */
+    /** Smallest share of either arm; below it a window has too few sessions of the smaller arm to be informative. */
     static final double MIN_SHARE = 0.01;
 
     /**
-     * @param servers as listed now; empty: not known yet, and nothing is said of servers
-     * @param lanes the classes of the settings
-     * @param tenants of the settings
-     * @param busy the part of the capacity that is needed at the busiest time, (0, 1]
+     * What experiments are validated against.
+     *
+     * @param servers servers in the discovery list; empty if the list is not known yet, which skips the checks of
+     *     servers
+     * @param lanes request classes of the settings
+     * @param tenants tenants of the settings
+     * @param peakUtilization share of the capacity that is needed at peak load, in (0, 1]
      */
     public record Context(List<Server> servers, Set<String> lanes, Set<String> tenants, double peakUtilization) {}
 
@@ -38,18 +46,19 @@
         this.context = context;
     }
 
+    /** Returns all problems of the experiments; empty if they can run. */
     public static List<Complaint> validate(List<Experiment> experiments, Context context) {
         ExperimentValidator validator = new ExperimentValidator(context);
         Set<String> names = new HashSet<>();
         for (Experiment experiment : experiments) {
             if (experiment.name().isBlank()) {
-                validator.add(Code.NAME_MISSING, "experiments", "one without a name", "give it one");
+                validator.add(Code.NAME_MISSING, "experiments", "an experiment without a name", "set `name`");
             } else if (!names.add(experiment.name())) {
                 validator.add(
                         Code.NAME_TWICE,
                         experiment.name(),
                         "two experiments of this name",
-                        "name one of them otherwise: the name draws the arms");
+                        "rename one of them: the name determines the assignment to arms");
             }
             validator.validateNumbers(experiment);
             validator.validateLanes(experiment);
@@ -61,8 +70,8 @@
     }
 
     /**
-     * Units until a verdict at an effect of `least`, at the median, with the widest spread a measure in [0, 1] can
-     * have: from the growth of the stopper's evidence, least squared / (2 variance / (share (1 - share))) a unit.
+     * Median number of units until a verdict for an effect of `least` and the largest variance (0.25) of a measure in
+     * [0, 1]. The evidence grows by least squared / (2 variance / (share (1 - share))) per unit.
      */
     public static long unitsNeeded(Experiment experiment) {
         double variance = 0.25 / (experiment.share() * (1 - experiment.share()));
@@ -83,14 +92,14 @@
                     Code.ERROR_OUT_OF_RANGE,
                     prefix + "error",
                     "" + experiment.error(),
-                    "above 0 and below 0.5, as 0.05: without any error no verdict is ever reached");
+                    "a number above 0 and below 0.5, such as 0.05; an error of 0 never allows a verdict");
         }
         if (!(experiment.least() > 0 && experiment.least() < 1)) {
             add(
                     Code.LEAST_OUT_OF_RANGE,
                     prefix + "least",
                     "" + experiment.least(),
-                    "above 0 and below 1, as 0.02 for two points of the worth asked for");
+                    "a number above 0 and below 1, such as 0.02 for two percentage points of the requested worth");
         }
         if (!isShareInRange(experiment.share())) {
             add(
@@ -101,14 +110,14 @@
         }
         if (experiment.longest().compareTo(Duration.ofMinutes(1)) < 0
                 || experiment.longest().compareTo(Duration.ofDays(90)) > 0) {
-            add(Code.LONGEST_OUT_OF_RANGE, prefix + "longest", "" + experiment.longest(), "from a minute to 90 days");
+            add(Code.LONGEST_OUT_OF_RANGE, prefix + "longest", "" + experiment.longest(), "from 1 minute to 90 days");
         }
         if (!(experiment.measure().most() >= 0 && experiment.measure().most() < 1e12)) {
             add(
                     Code.MEASURE_BAD,
                     prefix + "measure.most",
                     "" + experiment.measure().most(),
-                    "0 (all sessions alike) or the worth at which a session is cut off");
+                    "0 (equal weights) or the cap on the worth of a session");
         }
         List<Double> steps = experiment.after().steps();
         double previous = experiment.share();
@@ -123,7 +132,7 @@
                     prefix + "after.steps",
                     steps + ", each " + experiment.after().each(),
                     "at most " + MAX_STEPS
-                            + " shares, each above the one before and the first above `share`, the last at most 1; each held a minute or more");
+                            + " increasing shares, the first above `share` and the last at most 1, each held for at least 1 minute");
         }
     }
 
@@ -134,7 +143,7 @@
     private void validateLanes(Experiment experiment) {
         String prefix = experiment.name() + ".";
         if (experiment.lanes().isEmpty()) {
-            add(Code.LANES_MISSING, prefix + "lanes", "none", "name the classes in it");
+            add(Code.LANES_MISSING, prefix + "lanes", "none", "list the request classes that take part");
         }
         if (experiment.lanes().size() > MAX_LANES) {
             add(Code.LANES_TOO_MANY, prefix + "lanes", experiment.lanes().size() + " classes", "at most " + MAX_LANES);
@@ -158,16 +167,16 @@
                         Code.GUARD_UNKNOWN_LANE,
                         prefix + "guards",
                         "" + guard.lane(),
-                        "a class of the settings that is in `lanes` too");
+                        "a request class of the settings that is also in `lanes`");
             } else if (!guarded.add(guard.lane())) {
-                add(Code.GUARD_TWICE, prefix + "guards", guard.lane() + " twice", "one guard a class");
+                add(Code.GUARD_TWICE, prefix + "guards", guard.lane() + " twice", "one guard per class");
             }
             if (!(guard.worse() >= 0 && guard.worse() < 1)) {
                 add(
                         Code.GUARD_OUT_OF_RANGE,
                         prefix + "guards",
                         guard.lane() + ": " + guard.worse(),
-                        "from 0 to below 1, as 0.01 for one point");
+                        "from 0 to below 1, such as 0.01 for one percentage point");
             }
         }
     }
@@ -191,8 +200,8 @@
                 add(
                         Code.UNITS_TOO_FEW,
                         experiment.name() + ".unit",
-                        units + " tenants; a difference of " + experiment.least() + " can take " + needed,
-                        "unit: session, or a larger `least`: each tenant is one draw, however many sessions it has; this would never reach a verdict");
+                        units + " tenants; a difference of " + experiment.least() + " can need " + needed,
+                        "use `unit: session` or a larger `least`: a tenant is one observation regardless of its sessions, so that no verdict could be reached");
             }
         }
     }
@@ -221,7 +230,7 @@
                     Code.ARMS_OVERLAP,
                     experiment.name(),
                     abbreviate(inBothArms) + " in both arms",
-                    "select by something in which the arms differ");
+                    "select by a property in which the arms differ");
             return;
         }
         if (controlWeight > 0 && treatmentWeight > 0) {
@@ -245,8 +254,8 @@
             add(
                     Code.ARM_EMPTY,
                     where,
-                    "no listed server (of any weight) is " + selector,
-                    "compare with kind, cell, zone and id of the list");
+                    "no listed server of positive weight matches " + selector,
+                    "compare with kind, cell, zone and id in the discovery list");
         }
         return sum;
     }
@@ -257,10 +266,10 @@
                     Code.SHARE_OVER_CAPACITY,
                     where,
                     String.format(
-                            "%.3f of the sessions for the %s, which has %.3f of the arms' weight, at %.2f busy",
+                            "%.3f of the sessions go to the %s, which has %.3f of the weight of both arms, at a peak utilization of %.2f",
                             share, arm, weightShare, context.peakUtilization()),
                     "a share of at most " + Math.floor(weightShare / context.peakUtilization() * 100) / 100
-                            + " for that arm, or more servers in it");
+                            + " for this arm, or more servers in it");
         }
     }
 
@@ -280,8 +289,8 @@
                     add(
                             Code.SERVER_IN_TWO,
                             experiment.name(),
-                            server.id() + " is in " + other + " too",
-                            "run one after the other, or on different servers");
+                            server.id() + " is also in " + other,
+                            "run the experiments one after the other or on different servers");
                 }
             }
         }
--- a/experiment/src/main/java/calicochute/experiment/GatheredCounts.java
+++ b/experiment/src/main/java/calicochute/experiment/GatheredCounts.java
@@ -5,12 +5,19 @@
 import java.util.TreeMap;
 
 /**
- * Counts of several balancers, by origin and window. Joining is a map union; of two different ones under one key the
- * greater by its bytes is kept: any order, loss and repetition gives the same. Immutable.
+ * Counts of several balancers, by origin and window. Immutable. Merging is a map union that keeps, of two different
+ * counts under one key, the one with the greater serialized form; the result does not depend on order or repetition.
  *
- * @param clashes keys under which two different ones were seen: a balancer that counts wrongly or a name in use twice
+ * @param counts the counts by origin and window
+ * @param conflicts number of times that two different counts met under one key, which means that a balancer counts
+ *     wrongly or that two balancers use one name
  */
 public record GatheredCounts(Map<Key, Counts> counts, long conflicts) {
+    /**
+     * Identifies the counts of one balancer for one window.
+     *
+     * @param origin name of the balancer
+     */
     public record Key(String origin, long window) implements Comparable<Key> {
         @Override
         public int compareTo(Key other) {
@@ -24,10 +31,12 @@
         counts = java.util.Collections.unmodifiableMap(new TreeMap<>(counts));
     }
 
+    /** Returns these counts with one more. */
     public GatheredCounts with(String origin, Counts received) {
         return merge(new GatheredCounts(Map.of(new Key(origin, received.window()), received), 0));
     }
 
+    /** Returns the union of both; associative, commutative and idempotent in the counts. */
     public GatheredCounts merge(GatheredCounts other) {
         Map<Key, Counts> merged = new TreeMap<>(counts);
         long conflicting = Math.max(conflicts, other.conflicts);
@@ -45,7 +54,7 @@
         return new GatheredCounts(merged, conflicting);
     }
 
-    /** What was counted in one window, by origin. */
+    /** Returns the counts of one window, by origin. */
     public Map<String, Counts> ofWindow(long window) {
         Map<String, Counts> found = new TreeMap<>();
         counts.forEach((key, value) -> {
@@ -56,7 +65,7 @@
         return found;
     }
 
-    /** Without windows up to and with this one, which are sealed. */
+    /** Returns the counts of the windows after the given one. */
     public GatheredCounts afterWindow(long window) {
         Map<Key, Counts> remaining = new TreeMap<>(counts);
         remaining.keySet().removeIf(key -> key.window() <= window);
--- a/experiment/src/main/java/calicochute/experiment/HarmEvidence.java
+++ b/experiment/src/main/java/calicochute/experiment/HarmEvidence.java
@@ -3,24 +3,36 @@
 import calicochute.experiment.SealedWindow.Total;
 
 /**
- * Evidence that the treatment fails more often than a guard allows, valid whenever it is looked at.
+ * Sequential evidence that the treatment fails more often than a guard allows. It is valid at any stopping time.
  *
- * <p>z = h (X - worse) as in {@link EffectTest}, with failed or not in place of Y. A session is one of four kinds (arm,
- * failed), so that a window's counts tell each session's z exactly and a bet can be settled session by session: the
- * product of (1 + l z) is a supermartingale under "at most `worse` more" for any l fixed by the past with l z above -1,
- * and needs no bound on the square as empirical Bernstein does: a few failures are enough. Several l are mixed. A
- * tenant that failed in part counts in part for either kind: the logarithm is concave, so that this gives less evidence
+ * <p>Let z = h (X - worse) as in {@link EffectEvidence}, with Y = 1 for a failed session and 0 otherwise. A session is
+ * one of four kinds (arm, failed or not), so that the counts of a window determine the z of each session. For any bet l
+ * that depends on the past only, with l z above -1, the product of (1 + l z) over sessions is a supermartingale under
+ * the hypothesis that the failure rate is at most `worse` higher. Unlike the empirical Bernstein bound of
+ * {@link EffectEvidence} it needs no squares, so that few failures are enough for a verdict. Several bets are mixed. A
+ * tenant that failed in part counts in part for either kind; because the logarithm is concave, this gives less evidence
  * than its own z would.
  */
 final class HarmEvidence {
-    /** Of the largest l that can't go below nothing. */
+    /** Bets as shares of the largest one for which the wealth cannot become negative. */
     private static final double[] BET_SHARES = {0.1, 0.3, 0.6, 0.9};
 
+    /** Logarithm of the weight of each bet in the mixture. */
     private static final double LOG_BET_WEIGHT = StrictMath.log(1.0 / BET_SHARES.length);
+    /** Number of bets in the mixture. */
     static final int BETS = BET_SHARES.length;
 
     private HarmEvidence() {}
 
+    /**
+     * Adds a window's sessions of a guard's lane to the evidence.
+     *
+     * @param logWealth logarithms of the wealth by guard and bet, updated in place
+     * @param p share of the treatment in the window
+     * @param bT predicted failure rate of the treatment
+     * @param bC predicted failure rate of the control
+     * @param allowedExcess largest allowed difference of the failure rates, {@link Experiment.Guard#worse()}
+     */
     static void add(
             float[] logWealth,
             int guard,
@@ -46,6 +58,7 @@
         }
     }
 
+    /** Logarithm of the evidence that a guard's limit is exceeded. */
     static double logEvidence(float[] logWealth, int guard) {
         double[] logs = new double[BETS];
         for (int k = 0; k < BETS; k++) {
--- a/experiment/src/main/java/calicochute/experiment/NoteRules.java
+++ b/experiment/src/main/java/calicochute/experiment/NoteRules.java
@@ -2,19 +2,25 @@
 
 import calicochute.experiment.Verdict.Note;
 
-/** What a state has to say of itself beside the verdict: what withholds one, or is to be known with it. */
+/** Sets the notes of a state: conditions that withhold a verdict or qualify it. */
 final class NoteRules {
+    /** Smallest number of balancer groups for which the evidence is checked without each of them. */
     private static final int MIN_GROUPS = 3;
+    /** Share of an arm's sessions served outside the arm above which the arm lacks capacity. */
     private static final double MAX_CROSSOVER_SHARE = 0.05;
+    /** Share of the requested worth above the cap that is worth a note. */
     private static final double MAX_CUT_SHARE = 0.05;
-    /** The split's own error rate: it ends an experiment undecided, and is no verdict on the arms. */
+    /**
+     * Log evidence at which the split counts as uneven. Its error rate of 1/1000 is separate from the experiment's,
+     * because it ends the experiment undecided and is not a verdict on the arms.
+     */
     private static final double LOG_SPLIT_THRESHOLD = StrictMath.log(1000);
-    /** Sessions at which the split's test is sharpest, over 4. */
+    /** Variance of the mixture; the split test is most powerful at four times this number of sessions. */
     private static final double SPLIT_MIXTURE_VARIANCE = 500;
 
     private NoteRules() {}
 
-    /** Before a verdict is looked for. */
+    /** Sets the notes that a verdict depends on. */
     static void beforeVerdict(State state) {
         setNote(
                 state,
@@ -26,7 +32,7 @@
         state.notes.remove(Note.CARRIED_BY_FEW);
     }
 
-    /** With a verdict. */
+    /** Sets the notes that qualify a verdict. */
     static void onVerdict(State state) {
         boolean harmOrArm =
                 state.verdict == Verdict.CONTROL || state.verdict == Verdict.TREATMENT || state.verdict == Verdict.HARM;
@@ -41,7 +47,7 @@
         }
     }
 
-    /** Robbins' normal mixture for sums of values within a range of 1 (variance at most 1/4). */
+    /** Tests the split by Robbins' normal mixture for sums of values within a range of 1 (variance at most 1/4). */
     private static boolean isSplitUneven(State state) {
         double variance = state.totals[1] / 4;
         return state.totals[0] * state.totals[0] / (2 * (variance + SPLIT_MIXTURE_VARIANCE))
@@ -57,7 +63,7 @@
         return count;
     }
 
-    /** Whether one quarter of the worse arm's servers makes more than half of its arrears. */
+    /** Whether one bucket of the worse arm's servers causes more than half of the difference between the arms. */
     private static boolean isOneBucketDominant(State state) {
         int worse = mean(state, 0, -1) < mean(state, 1, -1) ? 0 : 1;
         double better = mean(state, 1 - worse, -1);
@@ -70,6 +76,7 @@
         return false;
     }
 
+    /** Mean measure of an arm without one of its server buckets; -1 to exclude none. */
     private static double mean(State state, int arm, int excludedBucket) {
         double count = 0;
         double sum = 0;
--- a/experiment/src/main/java/calicochute/experiment/SealedWindow.java
+++ b/experiment/src/main/java/calicochute/experiment/SealedWindow.java
@@ -9,27 +9,31 @@
 import java.util.TreeSet;
 
 /**
- * The counts of one sealed window added up, in five groups of balancers: what one balancer counts lies in one group, so
- * that a verdict can be asked for that stands without any one of them. Sums are of values in [0, 1].
+ * The aggregated counts of one window, in five groups of balancers. All counts of a balancer are in one group, so that
+ * a verdict can be required to hold without any single group. Sums are of values in [0, 1].
  *
- * <p>What is left out: counts of an unknown balancer, and those assigned with another share than the window's (a
- * balancer that had not heard of a move). One balancer's part is at most {@link #MOST_MEDIANS} times the median: beyond
- * it all its sums are scaled down alike, which depends on its number of sessions only, not on arms or outcomes, and so
- * keeps the evidence valid (E exp(f x) is at most (E exp x)^f for f up to 1).
+ * <p>Counts are left out if they come from an unknown balancer or were assigned with a share other than the window's,
+ * by a balancer that had not yet received a change of the share. A balancer may contribute at most {@link #MAX_MEDIANS}
+ * times the median number of sessions; above it all its sums are scaled down by one factor f. The factor depends on its
+ * number of sessions only and not on arms or outcomes, which keeps the evidence valid: E exp(f x) is at most (E exp
+ * x)^f for f up to 1.
  */
 public final class SealedWindow {
+    /** Number of balancer groups. */
     static final int GROUPS = 5;
+    /** Largest contribution of a balancer as a multiple of the median number of sessions. */
     static final double MAX_MEDIANS = 3;
+    /** Number of sessions up to which a balancer is never scaled down. */
     private static final int MIN_SESSION_LIMIT = 10;
 
-    /** Of one group, arm and lane. */
+    /** The sums of one group, arm and lane. */
     static final class Total {
         double count;
         double sum;
         double sumOfSquares;
         double failures;
 
-        /** Sum of (value - b) squared. */
+        /** Sum of (value - center) squared. */
         double squaredDeviations(double center) {
             return Math.max(0, sumOfSquares - 2 * center * sum + count * center * center);
         }
@@ -56,9 +60,11 @@
     }
 
     /**
-     * @param share with which the window's sessions were to be assigned, {@link State#share(long)}
-     * @param counts of the window, by origin
-     * @param peers all configured balancers: their places give the groups
+     * Aggregates the counts of a window.
+     *
+     * @param share share of the treatment in the window, {@link State#share(long)}
+     * @param countsByOrigin counts of the window by the name of the balancer
+     * @param peers names of all configured balancers; the position in sorted order determines the group
      */
     public static SealedWindow of(
             Experiment experiment,
@@ -119,12 +125,12 @@
         return window;
     }
 
-    /** Balancers whose counts were left out. */
+    /** Number of balancers whose counts were left out. */
     public int leftOut() {
         return leftOut;
     }
 
-    /** Balancers whose part was scaled down. */
+    /** Number of balancers whose counts were scaled down. */
     public int scaledDown() {
         return scaledDown;
     }
@@ -145,7 +151,7 @@
         return sum;
     }
 
-    /** Over all groups. */
+    /** Sums of an arm and lane over all groups. */
     Total total(int lane, Arm arm) {
         Total combined = new Total();
         for (Total[][] group : totals) {
--- a/experiment/src/main/java/calicochute/experiment/SessionCounter.java
+++ b/experiment/src/main/java/calicochute/experiment/SessionCounter.java
@@ -13,22 +13,31 @@
 import java.util.function.LongToDoubleFunction;
 
 /**
- * One balancer's counting for one experiment: a session is assigned as it begins and counted, for the arm assigned, as
- * it ends; a window is closed once all its sessions have ended or passed their deadline (then they count as failed).
- * Used on one thread.
+ * Assigns and counts the sessions of one experiment at one balancer. A session is assigned when it begins and counted
+ * for the assigned arm when it ends. A window is closed once all its sessions have ended or passed their deadline; the
+ * latter count as failed. Not thread-safe.
  *
- * <p>A unit is counted once. Of sessions, retries (marked ones, and those of a call seen here lately) are in the same
- * arm and not counted. A tenant is one draw however many sessions it has, so that a sequence of windows would count the
- * same draw again and again: each tenant has one window, drawn by hash over the longest duration, and one balancer at
- * which its sessions of that window are counted, as one figure, their mean.
+ * <p>A unit is counted once. Retries of a call, which are marked as such or repeat a call seen recently at this
+ * balancer, are assigned to the same arm and not counted. A tenant is one observation regardless of its number of
+ * sessions, and counting it in each window would repeat this observation. Each tenant is therefore counted in one
+ * window, chosen by hash over the longest duration, and at one balancer, as the mean of its sessions there.
  */
 public final class SessionCounter {
+    /** Number of calls remembered to recognize retries. */
     private static final int MAX_RECENT_CALLS = 8192;
+    /** Number of windows held open at a time, and closed in one call. */
     private static final int MAX_OPEN_WINDOWS = 512;
-    /** Microseconds: deadlines are kept this exactly, so that a window holds few of them. */
+    /** Resolution of deadlines in microseconds; it bounds the number of deadlines that a window stores. */
     private static final long DEADLINE_STEP_MICROS = 100_000;
 
-    /** A session in the experiment; `counted` is false where only its arm matters. */
+    /**
+     * A session that takes part in the experiment.
+     *
+     * @param laneIndex index of the lane in {@link Experiment#sortedLanes()}
+     * @param unit the call or the tenant
+     * @param deadlineMicros deadline in microseconds of the wall clock
+     * @param counted whether the session is counted; if not, only its arm matters
+     */
     public record Enrollment(Arm arm, long window, int laneIndex, String unit, long deadlineMicros, boolean counted) {}
 
     private static final class OpenWindow {
@@ -39,7 +48,7 @@
         final long[] serverBuckets = new long[4 * Counts.BUCKETS];
         double worthAsked;
         double worthCut;
-        /** Sessions not ended, by deadline in steps, rounded up. */
+        /** Number of unfinished sessions by deadline in units of DEADLINE_STEP_MICROS, rounded up. */
         final TreeMap<Long, Long> unfinishedByDeadline = new TreeMap<>();
 
         OpenWindow(double share) {
@@ -67,11 +76,14 @@
     private long uncountedSessions;
 
     /**
-     * @param me this balancer's place among the configured peers, in order of their names
-     * @param first the first window that counts
-     * @param from the first that this process tells: one that has just begun saw nothing of those before
-     * @param length of a window, microseconds
-     * @param share of a window, {@link State#share(long)} of the newest sealed state
+     * Creates the counter of one experiment.
+     *
+     * @param selfIndex index of this balancer among the configured peers, sorted by name
+     * @param peerCount number of configured peers
+     * @param firstWindow the first window of the experiment whose sessions count
+     * @param fromWindow the first window that this process reports; it has not seen the windows before its start
+     * @param windowMicros length of a window in microseconds
+     * @param shareOfWindow share of the treatment in a window, {@link State#share(long)} of the newest sealed state
      */
     public SessionCounter(
             Experiment experiment,
@@ -97,11 +109,13 @@
     }
 
     /**
-     * @param now microseconds of the wall clock
-     * @param deadline of the session, the same clock
-     * @param call what the caller's retries of one call have in common
-     * @param retry whether the caller marked it as one
-     * @return null: not in the experiment
+     * Assigns a session that begins.
+     *
+     * @param nowMicros microseconds of the wall clock
+     * @param deadlineMicros deadline of the session, by the same clock
+     * @param call identifies a call; its retries have the same value
+     * @param retry whether the caller marked the request as a retry
+     * @return null if the session does not take part
      */
     public Enrollment begin(
             long nowMicros, long deadlineMicros, String call, String lane, String tenant, boolean retry) {
@@ -121,7 +135,7 @@
                     deadlineMicros,
                     false);
         }
-        // The first session fixes the window's share: a state heard within the window must not split it in two.
+        // The first session fixes the window's share, because a state received during the window must not change it.
         OpenWindow openWindow =
                 openWindows.computeIfAbsent(window, any -> new OpenWindow(shareOfWindow.applyAsDouble(window)));
         Arm arm = Assignment.of(experiment, unit, openWindow.share);
@@ -148,12 +162,14 @@
         return -Math.floorDiv(-deadlineMicros, DEADLINE_STEP_MICROS);
     }
 
+    /** Whether this balancer counts the tenant's sessions of this window. */
     private boolean isTenantCounted(String tenant, long window) {
         return Math.floorMod(window - firstWindow, windowCount)
                         == (long) (Assignment.position(experiment, tenant, "turn") * windowCount)
                 && (int) (Assignment.position(experiment, tenant, "place") * peerCount) == selfIndex;
     }
 
+    /** Remembers the call; true if it was already among the recent ones. */
     private boolean isRepeatedCall(String call) {
         boolean repeated = !recentCalls.add(call);
         if (recentCalls.size() > MAX_RECENT_CALLS) {
@@ -165,12 +181,13 @@
     }
 
     /**
-     * The session ended.
+     * Counts a session that has ended.
      *
-     * @param asked worth asked for, the class's worth or the order's
-     * @param served of it, within the aim
-     * @param crossed the assigned arm had no room: another server took it, or it was denied for that
-     * @param server that answered; "": none
+     * @param worthAsked requested worth of the session
+     * @param worthServed the part of it that was served within the objective
+     * @param crossover whether the assigned arm had no capacity, so that another server served the session or it was
+     *     denied
+     * @param server id of the server that answered; empty for none
      */
     public void end(
             Enrollment enrollment,
@@ -210,7 +227,10 @@
         }
     }
 
-    /** Windows of which all sessions ended or passed their deadline, in order, empty ones too. */
+    /**
+     * Closes the windows whose sessions have all ended or passed their deadline, and returns their counts in order,
+     * including windows without sessions.
+     */
     public List<Counts> closeWindows(long nowMicros) {
         List<Counts> closed = new ArrayList<>();
         while ((nextToClose + 1) * windowMicros <= nowMicros && closed.size() < MAX_OPEN_WINDOWS) {
@@ -252,17 +272,20 @@
                 window, openWindow.share, byArmLane, serverBuckets, openWindow.worthAsked, openWindow.worthCut);
     }
 
-    /** Those past their deadline have failed. */
+    /** Counts the unfinished sessions, which have passed their deadline, as failed. */
     private static Sums settle(RunningSums running) {
         return running.sums.plus(new Sums(running.unfinished, 0, 0, running.unfinished * Sums.SCALE, 0, 0));
     }
 
-    /** Sessions that ended after their window was closed: counted as failed there. */
+    /** Number of sessions that ended after their window was closed, which counted them as failed. */
     public long lateSessions() {
         return lateSessions;
     }
 
-    /** Sessions of a window closed before (a clock set back) or beyond those held open: assigned, not counted. */
+    /**
+     * Number of sessions assigned but not counted, because their window was already closed (the clock was set back) or
+     * too many windows were open.
+     */
     public long uncountedSessions() {
         return uncountedSessions;
     }
--- a/experiment/src/main/java/calicochute/experiment/State.java
+++ b/experiment/src/main/java/calicochute/experiment/State.java
@@ -6,12 +6,13 @@
 import java.util.Set;
 
 /**
- * All a stopper knows after a sealed window; of the size of a datagram, whatever the number of balancers, servers and
- * sessions. Not changed once handed out ({@link Stopper} works on a copy). Figures are kept as floats where they are,
- * and counted on from the floats: a state read from bytes goes on exactly as the one written.
+ * The state of an experiment after a sealed window. Its size does not depend on the number of balancers, servers and
+ * sessions, and it fits a datagram. It does not change once it is handed out, because {@link Stopper} works on a copy.
+ * Evidence and predictors are stored and updated as floats, so that a deserialized state continues exactly as the
+ * original.
  */
 public final class State {
-    /** Floats of a predictor: mean and weight of the treatment, then of the control. */
+    /** Number of floats of a predictor: mean and weight of the treatment, then of the control. */
     static final int PREDICTOR_FLOATS = 4;
 
     final int definition;
@@ -26,22 +27,24 @@
     int rolloutStep;
     EnumSet<Note> notes = EnumSet.noneOf(Note.class);
     long leftOut;
-    /** Evidence on the effect, {@link EffectTest}. */
+    /** Log wealth of {@link EffectEvidence}, by hypothesis, bet and group. */
     final float[] effectLogWealth;
-    /** Evidence of harm, {@link HarmTest}. */
+    /** Log wealth of {@link HarmEvidence}, by guard and bet. */
     final float[] harmLogWealth;
 
+    /** Predicted means of the measure, {@link #PREDICTOR_FLOATS} for each lane. */
     final float[] lanePredictors;
+    /** Predicted failure rates, {@link #PREDICTOR_FLOATS} for each guard. */
     final float[] guardPredictors;
-    /** Squares of residuals over h, and sessions. */
+    /** Sum of squared residuals divided by h, and number of sessions; the ratio predicts the variance of X times h. */
     final float[] varianceSums;
-    /** For each group: sum of z, of h, and of squared residuals. */
+    /** For each group of balancers: sum of z, of h, and of squared residuals. */
     final float[] groupSums;
-    /** For each arm four parts of its servers: sessions and sum, in turn. */
+    /** For each arm and server bucket: number of sessions and sum of the measure. */
     final float[] serverBuckets;
     /**
-     * Treatment's sessions beyond the drawn ones, sessions; of control and treatment: sessions, crossed; worth asked
-     * for, cut.
+     * In this order: treatment sessions in excess of the expected number; sessions; sessions of the control; sessions
+     * of the treatment; crossovers of the control; crossovers of the treatment; requested worth; worth above the cap.
      */
     final double[] totals;
 
@@ -90,7 +93,7 @@
         };
     }
 
-    /** The newest window sealed. */
+    /** The newest sealed window. */
     public long window() {
         return window;
     }
@@ -104,7 +107,7 @@
         return firstWindow;
     }
 
-    /** True once nothing more is to be sealed: there is a verdict, and no steps whose guards have to be watched. */
+    /** Whether no more windows need to be sealed: there is a verdict and no rollout whose guards must be evaluated. */
     public boolean isFinished(Experiment experiment) {
         return verdict != Verdict.NONE
                 && (verdict != Verdict.TREATMENT
@@ -112,52 +115,57 @@
                         || notes.contains(Note.TURNED_BACK));
     }
 
-    /** The window at which the verdict fell; -1: none yet. */
+    /** The window that led to the verdict; -1 if there is none yet. */
     public long verdictWindow() {
         return verdictWindow;
     }
 
-    /** Of a HARM: the place of the guard that tripped; -1: none. */
+    /** Index of the guard whose limit was exceeded; -1 for none. */
     public int trippedGuard() {
         return trippedGuard;
     }
 
+    /** A copy of the notes. */
     public Set<Note> notes() {
         return EnumSet.copyOf(notes);
     }
 
-    /** Of a window's units, how many go to the treatment; none at all once it has done harm. */
+    /** The share of a window's units that go to the treatment; 0 after the verdict HARM or a reverted rollout. */
     public double share(long atWindow) {
         return verdict == Verdict.HARM || notes.contains(Note.TURNED_BACK)
                 ? 0
                 : atWindow < nextShareWindow ? share : nextShare;
     }
 
-    /** What the treatment serves more, of the worth asked for; NaN: no sessions yet. */
+    /** Estimated mean measure of the treatment minus that of the control; NaN without sessions. */
     public double effect() {
         return groupSum(0) / groupSum(1);
     }
 
-    /** Of {@link #effect()}: one standard deviation, as if looked at once; for reading, not for deciding. */
-    public double varianceSums() {
+    /**
+     * Standard error of {@link #effect()}. It ignores repeated looks at the data and is informational; verdicts do not
+     * use it.
+     */
+    public double standardError() {
         return Math.sqrt(groupSum(2)) / groupSum(1);
     }
 
+    /** Number of sessions counted for an arm. */
     public double sessions(Arm arm) {
         return totals[arm == Arm.CONTROL ? 2 : 3];
     }
 
-    /** Part of an arm's sessions for which it had no room. */
+    /** Share of an arm's sessions for which the arm had no capacity. */
     public double crossoverShare(Arm arm) {
         return totals[arm == Arm.CONTROL ? 4 : 5] / Math.max(1, sessions(arm));
     }
 
-    /** Part of the worth asked for that was cut off. */
+    /** Share of the requested worth above the cap. */
     public double cutShare() {
         return totals[7] / Math.max(Double.MIN_NORMAL, totals[6]);
     }
 
-    /** Counts of a balancer and a window left out so far. */
+    /** Number of counts left out so far, see {@link SealedWindow#leftOut()}. */
     public long leftOut() {
         return leftOut;
     }
@@ -170,10 +178,16 @@
         return sum;
     }
 
+    /** Serializes the state. */
     public byte[] toBytes() {
         return StateBytes.write(this);
     }
 
+    /**
+     * Parses the output of {@link #toBytes}.
+     *
+     * @throws UnreadableException if the bytes are not a valid state of the supported version
+     */
     public static State fromBytes(byte[] bytes) throws UnreadableException {
         return StateBytes.read(bytes);
     }
@@ -190,6 +204,6 @@
 
     @Override
     public String toString() {
-        return verdict + " at " + window + " effect " + effect() + " +- " + varianceSums() + " notes " + notes;
+        return verdict + " at " + window + " effect " + effect() + " +- " + standardError() + " notes " + notes;
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/StateBytes.java
+++ b/experiment/src/main/java/calicochute/experiment/StateBytes.java
@@ -4,9 +4,11 @@
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 
-/** A state as bytes, at most {@link #MOST}; the first says the version. */
+/** Serialized form of a state, at most {@link #MAX_BYTES} long; the first byte is the version. */
 final class StateBytes {
+    /** Largest serialized size in bytes. */
     static final int MAX_BYTES = 900;
+
     private static final byte VERSION = 1;
 
     private StateBytes() {}
@@ -47,7 +49,7 @@
     static State read(byte[] bytes) throws UnreadableException {
         ByteBuffer input = ByteBuffer.wrap(bytes);
         try {
-            check(bytes.length <= MAX_BYTES && input.get() == VERSION, "version or length");
+            check(bytes.length <= MAX_BYTES && input.get() == VERSION, "unknown version or excessive length");
             int lanes = input.get();
             int guards = input.get();
             check(
@@ -55,7 +57,7 @@
                             && lanes <= ExperimentValidator.MAX_LANES
                             && guards >= 0
                             && guards <= ExperimentValidator.MAX_GUARDS,
-                    "lanes or guards");
+                    "number of lanes or guards out of range");
             State state = new State(input.getInt(), input.getLong(), lanes, guards);
             state.window = input.getLong();
             state.share = input.getDouble();
@@ -67,16 +69,18 @@
                             && state.nextShare >= 0
                             && state.nextShare <= 1
                             && state.window >= state.firstWindow - 1,
-                    "share or window");
+                    "share or window out of range");
             int verdict = input.get();
-            check(verdict >= 0 && verdict < Verdict.values().length, "verdict");
+            check(verdict >= 0 && verdict < Verdict.values().length, "unknown verdict");
             state.verdict = Verdict.values()[verdict];
             state.verdictWindow = input.getLong();
             state.trippedGuard = input.get();
             state.rolloutStep = input.get();
-            check(state.trippedGuard >= -1 && state.trippedGuard < guards && state.rolloutStep >= 0, "guard or step");
+            check(
+                    state.trippedGuard >= -1 && state.trippedGuard < guards && state.rolloutStep >= 0,
+                    "guard or rollout step out of range");
             int notes = input.get();
-            check(notes >= 0 && notes < 1 << Note.values().length, "notes");
+            check(notes >= 0 && notes < 1 << Note.values().length, "unknown notes");
             for (Note note : Note.values()) {
                 if ((notes >> note.ordinal() & 1) == 1) {
                     state.notes.add(note);
@@ -86,23 +90,23 @@
             for (float[] floats : state.floats()) {
                 for (int i = 0; i < floats.length; i++) {
                     floats[i] = input.getFloat();
-                    check(Float.isFinite(floats[i]), "figure");
+                    check(Float.isFinite(floats[i]), "non-finite float");
                 }
             }
             for (int i = 0; i < state.totals.length; i++) {
                 state.totals[i] = input.getDouble();
-                check(Double.isFinite(state.totals[i]), "total");
+                check(Double.isFinite(state.totals[i]), "non-finite total");
             }
-            check(!input.hasRemaining(), "length");
+            check(!input.hasRemaining(), "trailing bytes");
             return state;
         } catch (BufferUnderflowException e) {
-            throw new UnreadableException("a state cut short at " + bytes.length + " bytes");
+            throw new UnreadableException("state truncated at " + bytes.length + " bytes");
         }
     }
 
-    private static void check(boolean valid, String what) throws UnreadableException {
+    private static void check(boolean valid, String problem) throws UnreadableException {
         if (!valid) {
-            throw new UnreadableException("a state of an impossible " + what);
+            throw new UnreadableException("invalid state: " + problem);
         }
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/Stopper.java
+++ b/experiment/src/main/java/calicochute/experiment/Stopper.java
@@ -7,14 +7,17 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Decides an experiment on the ordered sequence of sealed windows: pure, the same at every balancer, valid at whichever
- * window it is looked at. Of the error rate a fifth goes to the guards (if any), the rest half and half to a verdict
- * for either arm; "no difference" takes the same part again, which is never spent together with the other arm's under
- * one truth. Whatever withholds a verdict (notes) can only make false ones rarer.
+ * The stopping rule of an experiment: derives the next state and the verdict from the sequence of sealed windows. It is
+ * a pure function, equal at every balancer, and its verdicts are valid at any window.
+ *
+ * <p>A fifth of the error rate goes to the guards, if there are any, and half of the rest to a verdict for either arm.
+ * NO_DIFFERENCE uses the error rate of one arm again: whatever the true effect is, a false NO_DIFFERENCE and a false
+ * verdict for the other arm are not both possible. Notes only withhold verdicts and can only make false ones rarer.
  */
 public final class Stopper {
+    /** Share of the error rate that goes to the guards. */
     private static final double GUARD_ERROR_SHARE = 0.2;
-    /** Of the evidence asked for, how much (as logarithm) must stand without any one group of balancers. */
+    /** Share of the required log evidence that must remain without any single group of balancers. */
     static final double LEAVE_ONE_OUT_SHARE = 0.5;
 
     private final Experiment experiment;
@@ -28,9 +31,11 @@
     private final EvidenceUpdater ledger;
 
     /**
-     * @param windowLength microseconds
-     * @param lead windows from the one sealed to the first with a moved share: more than sealing takes, so that all
-     *     have heard
+     * Creates the stopping rule of an experiment.
+     *
+     * @param windowMicros length of a window in microseconds
+     * @param leadWindows number of windows from the newest sealed one to the first with a changed share; must exceed
+     *     the time that sealing takes, so that all balancers know the change in time
      */
     public Stopper(Experiment experiment, long windowMicros, int leadWindows) {
         this.experiment = experiment;
@@ -46,12 +51,12 @@
         ledger = new EvidenceUpdater(experiment, lanes);
     }
 
-    /** The error rate of a verdict for one arm. */
+    /** Error rate of a verdict for one arm. */
     static double armErrorRate(Experiment experiment) {
         return experiment.error() * (experiment.guards().isEmpty() ? 1 : 1 - GUARD_ERROR_SHARE) / 2;
     }
 
-    /** All that evidence rests on; the share and what follows a verdict may change under way. */
+    /** Hashes all fields that the evidence depends on; the share and the rollout may change during the experiment. */
     private static int definitionHash(Experiment experiment) {
         String text = String.join(
                 "\n",
@@ -71,12 +76,16 @@
         return MurmurHash3.hash32x86(bytes, 0, bytes.length, 0);
     }
 
-    /** A hash of all that evidence rests on. */
+    /** Hash of all fields of the experiment that the evidence depends on. */
     public int definition() {
         return definition;
     }
 
-    /** @param first the first window that counts */
+    /**
+     * Returns the state before the first window.
+     *
+     * @param firstWindow the first window whose sessions count
+     */
     public State initialState(long firstWindow) {
         State state = new State(
                 definition, firstWindow, lanes.size(), experiment.guards().size());
@@ -86,7 +95,7 @@
         return state;
     }
 
-    /** Whether a state is of this definition, not of one since changed. */
+    /** Whether a state belongs to this definition of the experiment. */
     public boolean matchesDefinition(State state) {
         return state.definition == definition
                 && state.lanePredictors.length == lanes.size() * State.PREDICTOR_FLOATS
@@ -94,15 +103,16 @@
     }
 
     /**
-     * The operator moves the share, from a window on that no balancer has begun.
+     * Changes the share of the treatment from a window that no balancer has begun.
      *
-     * @throws IllegalArgumentException the share is out of range, the window already sealed, or an earlier move not yet
+     * @throws IllegalArgumentException if the share is out of range, the window is already sealed, or an earlier change
+     *     is not sealed yet
      */
     public State moveShare(State state, double share, long fromWindow) {
         boolean pending = state.nextShareWindow != Long.MAX_VALUE && state.nextShareWindow > state.window + 1;
         if (!ExperimentValidator.isShareInRange(share) || fromWindow <= state.window || pending) {
-            throw new IllegalArgumentException("a share of " + share + " from window " + fromWindow
-                    + (pending ? " before the last move is sealed" : ""));
+            throw new IllegalArgumentException("invalid change to share " + share + " from window " + fromWindow
+                    + (pending ? " before the previous change is sealed" : ""));
         }
         State next = state.copy();
         if (state.verdict == Verdict.NONE) {
@@ -117,10 +127,10 @@
         state.nextShareWindow = fromWindow;
     }
 
-    /** After one more sealed window; one already in it changes nothing. */
+    /** Returns the state after one more sealed window; a window that the state already includes changes nothing. */
     public State advance(State state, SealedWindow sealed) {
         if (!matchesDefinition(state)) {
-            throw new IllegalArgumentException("a state of another definition");
+            throw new IllegalArgumentException("the state belongs to another definition of the experiment");
         }
         if (sealed.window <= state.window) {
             return state;
@@ -171,6 +181,7 @@
         }
     }
 
+    /** Whether the evidence rejects a hypothesis, both in total and without any single group of balancers. */
     private boolean isRejected(State state, int hypothesis) {
         if (EffectEvidence.logEvidence(state.effectLogWealth, hypothesis, -1) < armLogThreshold) {
             return false;
@@ -187,6 +198,7 @@
         return true;
     }
 
+    /** Sets the verdict and schedules the share that follows from it. */
     private void conclude(State state, Verdict verdict) {
         state.verdict = verdict;
         state.verdictWindow = state.window;
@@ -200,6 +212,7 @@
         }
     }
 
+    /** Evaluates the guards after a verdict for the treatment, and schedules the next share once the step was held. */
     private void advanceRollout(State state) {
         for (int i = 0; i < experiment.guards().size(); i++) {
             if (HarmEvidence.logEvidence(state.harmLogWealth, i) >= guardLogThreshold) {
--- a/experiment/src/main/java/calicochute/experiment/Sums.java
+++ b/experiment/src/main/java/calicochute/experiment/Sums.java
@@ -1,21 +1,26 @@
 package calicochute.experiment;
 
 /**
- * Of the sessions of one arm and lane, by the arm they were assigned (intention to treat). Whole numbers, so that sums
- * are the same in any order.
+ * Sums over the sessions of one arm and lane, by the arm they were assigned to (intention to treat). Values are
+ * fixed-point integers, so that the sums do not depend on the order of addition.
  *
- * @param n sessions counted
- * @param sum of the measure, in {@link #PARTS ths}
- * @param squares of the measure's squares, in ths of ths
- * @param failures in ths (a tenant's can be a part)
- * @param crossed for which the arm had no room or no server: served by another one, or denied
- * @param repeats retries of a unit counted before: not in n
+ * @param count number of sessions
+ * @param sum sum of the measure, in units of 1 / {@link #SCALE}
+ * @param sumOfSquares sum of the squared measure, in units of 1 / SCALE squared
+ * @param failures number of failures, in units of 1 / SCALE; a tenant can fail in part
+ * @param crossovers number of sessions that another arm's server served, or that were denied, because the assigned arm
+ *     had no capacity or no server
+ * @param retries number of retries of units counted before; not included in {@code count}
  */
 public record Sums(long count, long sum, long sumOfSquares, long failures, long crossovers, long retries) {
+    /** Fixed-point units per 1.0. */
     public static final long SCALE = 1024;
+
     static final Sums ZERO = new Sums(0, 0, 0, 0, 0, 0);
+    /** Exclusive bound on counts. */
     private static final long MAX_COUNT = 1L << 32;
 
+    /** Returns the sum of both, component by component. */
     public Sums plus(Sums other) {
         return new Sums(
                 count + other.count,
@@ -27,7 +32,8 @@
     }
 
     /**
-     * What n values in [0, 1] can give: the sum at most n, the squares at most the sum, and at least its square over n.
+     * Whether values in [0, 1] can give these sums: the sum is at most the count, the sum of squares is at most the
+     * sum, and the squared sum is at most the count times the sum of squares.
      */
     boolean isConsistent() {
         return count >= 0
--- a/experiment/src/main/java/calicochute/experiment/UnreadableException.java
+++ b/experiment/src/main/java/calicochute/experiment/UnreadableException.java
@@ -1,9 +1,10 @@
 package calicochute.experiment;
 
-/** Bytes that are no counts or no state: cut short, too long, of another version, or of figures that can't be. */
+/** Thrown for bytes that are not valid counts or not a valid state, by length, version or values. */
 public final class UnreadableException extends Exception {
     private static final long serialVersionUID = 1L;
 
+    /** Creates an exception that names the problem. */
     public UnreadableException(String message) {
         super(message);
     }
--- a/experiment/src/main/java/calicochute/experiment/Verdict.java
+++ b/experiment/src/main/java/calicochute/experiment/Verdict.java
@@ -1,44 +1,47 @@
 package calicochute.experiment;
 
-/** What an experiment came to; all but NONE are final. */
+/** The result of an experiment; all but NONE are final. */
 public enum Verdict {
+    /** There is no verdict yet. */
     NONE,
-    /** The treatment serves more. */
+    /** The mean measure of the treatment is higher. */
     TREATMENT,
-    /** The control serves more. */
+    /** The mean measure of the control is higher. */
     CONTROL,
-    /** A guard tripped: the treatment fails more than the guard allows. */
+    /** The treatment fails more often than a guard allows. */
     HARM,
-    /** A difference of `least` or more is ruled out, either way. */
+    /** A difference of `least` or more is ruled out in both directions. */
     NO_DIFFERENCE,
-    /** The longest duration is over, or the sessions did not split as drawn ({@link Note#SPLIT}). */
+    /** The longest duration has passed, or the sessions did not split by the share ({@link Note#SPLIT}). */
     UNDECIDED;
 
-    /** What must be known to read a verdict, or why there is none yet. */
+    /** A condition that qualifies a verdict or withholds it. */
     public enum Note {
         /**
-         * An arm had no room for over 5% of its sessions: the arms are compared with their capacity, no verdict but
-         * HARM.
+         * An arm had no capacity for more than 5% of its sessions, so that the comparison would measure its capacity.
+         * Withholds all verdicts but HARM and UNDECIDED.
          */
         STARVED,
         /**
-         * Without one fifth of the balancers the evidence falls short: one of them may count wrongly, no verdict yet.
+         * Without one of the five groups of balancers the evidence is insufficient, so that a single balancer that
+         * counts wrongly could cause the verdict. Withholds the verdict.
          */
         CARRIED_BY_FEW,
-        /** Fewer than three groups of balancers count: one that counts wrongly would not be noticed. */
+        /** Fewer than three groups of balancers have counts, so that one that counts wrongly cannot be detected. */
         FEW_WITNESSES,
         /**
-         * Most of the difference comes from a quarter of one arm's servers: maybe those machines, not what the arm
-         * runs.
+         * Most of the difference comes from one of the four server buckets of an arm; the cause may be those machines
+         * and not the release on them.
          */
         ONE_PART,
         /**
-         * More sessions of one arm than drawn: retries counted, sessions lost; nothing can be read from the figures.
+         * The number of sessions of the arms does not fit the share, for example because retries are counted or
+         * sessions are lost; the measured effect is not meaningful.
          */
         SPLIT,
-        /** Over 5% of the worth asked for was cut off at `measure.most`. */
+        /** More than 5% of the requested worth is above the cap `measure.most`. */
         CUT_MUCH,
-        /** After a verdict for the treatment a guard tripped on the way up: the share went back to 0. */
+        /** A guard's limit was exceeded during the rollout after a verdict for the treatment; the share is 0 again. */
         TURNED_BACK
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/seal/Acceptor.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Acceptor.java
@@ -1,10 +1,21 @@
 package calicochute.experiment.seal;
 
-import calicochute.experiment.seal.Message.*;
+import calicochute.experiment.seal.Message.Accept;
+import calicochute.experiment.seal.Message.Accepted;
+import calicochute.experiment.seal.Message.DecidedNotice;
+import calicochute.experiment.seal.Message.DecidedValue;
+import calicochute.experiment.seal.Message.EpochCommit;
+import calicochute.experiment.seal.Message.EpochProposal;
+import calicochute.experiment.seal.Message.Prepare;
+import calicochute.experiment.seal.Message.Promise;
+import calicochute.experiment.seal.Message.Rejected;
+import calicochute.experiment.seal.Message.StatusReply;
+import calicochute.experiment.seal.Message.StatusRequest;
+import calicochute.experiment.seal.Message.ValueRequest;
 
 /**
- * What a peer knows and how it votes: each message changes the memory, or is answered from it. With it work the
- * proposer and the comeback.
+ * The Paxos acceptor and learner of a peer. It owns the state, dispatches messages, and passes those of the other roles
+ * to the proposer and to the vote recovery.
  */
 final class Acceptor {
     private final Outbox outbox;
@@ -14,7 +25,7 @@
     private AcceptorState state;
     private long requestedAt = Long.MIN_VALUE;
 
-    /** @param life when the process began (microseconds) */
+    /** Creates an acceptor; {@code incarnation} is the start time of the process in microseconds. */
     Acceptor(AcceptorState state, Outbox outbox, Timing timing, int peerCount, int selfIndex, long incarnation) {
         this.state = state;
         this.outbox = outbox;
@@ -41,6 +52,7 @@
         return state;
     }
 
+    /** Replaces the state and withholds messages until it is persisted. */
     private void update(AcceptorState next) {
         if (next == state) {
             return;
@@ -83,8 +95,8 @@
     }
 
     /**
-     * Whether this peer may vote on the place now: a voter that knows the value of the slot before. So that is not lost
-     * with the proposer.
+     * Whether this peer may vote on the slot: it must be a voter and know the value of the previous slot, so that the
+     * value is not lost with the proposer.
      */
     private boolean mayVoteOn(long time, int sender, SlotId slotId) {
         update(state.observeEpoch(slotId.epoch()));
@@ -146,6 +158,7 @@
         }
     }
 
+    /** Asks a peer for a newer value, at a limited rate. */
     void requestValue(long time, int sender) {
         if (time < requestedAt + timing.retryMicros() / 3 && time >= requestedAt) {
             return;
@@ -154,6 +167,7 @@
         outbox.send(sender, new ValueRequest(state.decidedSlot()));
     }
 
+    /** Learns a decided value. */
     void learn(long time, SlotId slotId, byte[] value) {
         SlotId previousSlot = state.decidedSlot();
         if (slotId.compareTo(previousSlot) <= 0) {
@@ -182,13 +196,13 @@
         }
     }
 
-    /** Votes again in the epoch seen, after the newest place known. */
+    /** Votes again in the newest epoch, from the slot after the newest decided one. */
     void startVoting() {
         update(state.startVoting());
         voteRecovery.votingStarted();
     }
 
-    /** Enough came along: the new epoch goes on after the newest place. */
+    /** Begins a new epoch that enough peers committed to; it continues after the newest decided slot. */
     void beginEpoch(long time, Epoch epoch) {
         SlotId previousSlot = state.decidedSlot();
         SlotId baseSlot = new SlotId(epoch, previousSlot.slot());
--- a/experiment/src/main/java/calicochute/experiment/seal/Ballot.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Ballot.java
@@ -1,16 +1,19 @@
 package calicochute.experiment.seal;
 
 /**
- * A round of voting on one slot. Holds the start of the proposer's process: a proposer that forgot its ballots cannot
- * use one twice.
+ * A Paxos ballot for one slot. It includes the proposer's incarnation, so that a proposer that restarts without its
+ * state cannot reuse a ballot.
  *
- * @param round counts up from 1
- * @param index of the proposer in the sorted list of peers
- * @param life when the proposer's process began (microseconds)
+ * @param round round number, from 1
+ * @param proposerIndex index of the proposer in the sorted list of peers
+ * @param incarnation start time of the proposer's process in microseconds
  */
 record Ballot(int round, int proposerIndex, long incarnation) implements Comparable<Ballot> {
+    /** Lower than any ballot of a proposer. */
     static final Ballot NONE = new Ballot(0, 0, 0);
+    /** Serialized size in bytes. */
     static final int BYTES = 14;
+    /** Largest round number. */
     static final int MAX_ROUNDS = 1 << 30;
 
     @Override
--- a/experiment/src/main/java/calicochute/experiment/seal/Codec.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Codec.java
@@ -1,6 +1,17 @@
 package calicochute.experiment.seal;
 
-import calicochute.experiment.seal.Message.*;
+import calicochute.experiment.seal.Message.Accept;
+import calicochute.experiment.seal.Message.Accepted;
+import calicochute.experiment.seal.Message.DecidedNotice;
+import calicochute.experiment.seal.Message.DecidedValue;
+import calicochute.experiment.seal.Message.EpochCommit;
+import calicochute.experiment.seal.Message.EpochProposal;
+import calicochute.experiment.seal.Message.Prepare;
+import calicochute.experiment.seal.Message.Promise;
+import calicochute.experiment.seal.Message.Rejected;
+import calicochute.experiment.seal.Message.StatusReply;
+import calicochute.experiment.seal.Message.StatusRequest;
+import calicochute.experiment.seal.Message.ValueRequest;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -8,16 +19,23 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Messages and kept state as bytes. All numbers big endian; a header tells version, kind, experiment, definition and
- * list of peers.
+ * Serializes messages and the persisted state. All numbers are big-endian. A header holds the version, the kind and
+ * hashes of the experiment's name, its definition and the list of peers.
  */
 final class Codec {
+    /** Largest size of a value in bytes. */
     static final int MAX_VALUE_BYTES = 900;
+    /** Largest size of a serialized message in bytes. */
     static final int MAX_MESSAGE_BYTES = 1_100;
+    /** Version of the serialized form. */
     private static final byte VERSION = 1;
+    /** Kind of the persisted state; messages have the kinds 1 to 12. */
     private static final int STATE_KIND = 100;
+    /** Size of the header in bytes. */
     private static final int HEADER_BYTES = 26;
+    /** Largest valid number. */
     private static final long MAX_NUMBER = 1L << 62;
+
     private final long nameHash;
     private final long definition;
     private final long peerListHash;
--- a/experiment/src/main/java/calicochute/experiment/seal/Effect.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Effect.java
@@ -1,26 +1,32 @@
 package calicochute.experiment.seal;
 
-/** What the host is to do, in this order. */
+/** An action that the host has to perform. */
 public sealed interface Effect {
     /**
-     * Keep these bytes for the next start, then call {@link Register#persisted}: sends that rest on it wait until then.
+     * Persist the state for the next start, then call {@link Register#persisted}. Messages that depend on the state are
+     * withheld until then.
+     *
+     * @param token to be passed to {@link Register#persisted}
      */
     record Persist(long token, byte[] state) implements Effect {}
 
-    /** Send to a peer; may be lost, repeated, late. */
+    /** Send a message to a peer. The network may lose, duplicate or delay it. */
     record Send(String recipient, byte[] message) implements Effect {}
 
-    /** The newest decided slot is this one; slots between may have been jumped over. */
+    /** A newer slot is decided. Slots between two events may be skipped. */
     record Decided(SlotId slotId, byte[] value) implements Effect {}
 
     /**
-     * The register goes on in a new epoch, after this place (slot 0: from nothing). Decided follows if there is a
-     * value.
+     * The register continues in a new epoch. {@link Decided} follows if there is a value.
      *
-     * @param before where this peer stood: {@link Place#NONE} if it had no memory
+     * @param baseSlot the slot after which the epoch continues; slot 0 if no value is known
+     * @param previousSlot newest decided slot that this peer knew before, {@link SlotId#NONE} if none
      */
     record EpochBegun(SlotId baseSlot, SlotId previousSlot) implements Effect {
-        /** Most of the peers lost their memory: of the epoch before nothing later than this place counts. */
+        /**
+         * Whether the previous epoch ended because too many peers had lost their state. Values of that epoch later than
+         * the base slot are discarded.
+         */
         public boolean memoryLost() {
             return !previousSlot.equals(SlotId.NONE);
         }
--- a/experiment/src/main/java/calicochute/experiment/seal/Epoch.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Epoch.java
@@ -1,17 +1,17 @@
 package calicochute.experiment.seal;
 
 /**
- * One life of a register. A new one is begun where so many peers have lost their memory that the old one can never go
- * on.
+ * An epoch of a register. A new epoch begins when so many peers have lost their state that the old one cannot continue.
  *
- * @param number wall clock of the peer that began it (microseconds), above every number it knew of
- * @param index that peer, by place in the sorted list of peers
- * @param life when that peer's process began (microseconds), so that no two epochs are the same
+ * @param number wall clock of the creating peer in microseconds, raised above every epoch number that it knew
+ * @param creatorIndex index of the creating peer in the sorted list of peers
+ * @param incarnation start time of the creating peer's process in microseconds, which makes epochs unique
  */
 public record Epoch(long number, int creatorIndex, long incarnation) implements Comparable<Epoch> {
-    /** Known to a peer without memory. */
+    /** The epoch of a peer without state, lower than all others. */
     public static final Epoch NONE = new Epoch(0, 0, 0);
 
+    /** Serialized size in bytes. */
     static final int BYTES = 18;
 
     @Override
--- a/experiment/src/main/java/calicochute/experiment/seal/MalformedException.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/MalformedException.java
@@ -1,6 +1,6 @@
 package calicochute.experiment.seal;
 
-/** Bytes that are no message or state of this register. */
+/** Thrown for bytes that are not a message or state of this register. */
 final class MalformedException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/experiment/src/main/java/calicochute/experiment/seal/Message.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Message.java
@@ -1,15 +1,16 @@
 package calicochute.experiment.seal;
 
-/** What peers say to each other. Lives are starts of processes in microseconds. */
+/** Messages between peers. An incarnation is the start time of a process in microseconds. */
 sealed interface Message {
-    /** From a peer that does not vote: who are you, how far have you voted? */
+    /** Asks for the voting status of a peer; sent by peers that abstain. */
     record StatusRequest(long incarnation) implements Message {}
 
     /**
-     * To an ask of the process that began at {@code toLife}.
+     * Answers a {@link StatusRequest}.
      *
-     * @param mark highest slot of {@code seen} that this voter accepted in or knows decided; 0 from one that does not
-     *     vote
+     * @param toIncarnation incarnation of the request
+     * @param incarnation incarnation of the sender
+     * @param highWaterMark {@link AcceptorState#highWaterMark()} of a voter; 0 from a peer that abstains
      */
     record StatusReply(
             long toIncarnation,
@@ -21,34 +22,45 @@
             implements Message {}
 
     /**
-     * Will you come along into this new epoch, that goes on after base? Only to the process that began at
-     * {@code toLife}.
+     * Proposes a new epoch.
+     *
+     * @param toIncarnation the only incarnation of the recipient that may commit to it
+     * @param baseSlot the slot after which the epoch continues
      */
     record EpochProposal(Epoch epoch, long toIncarnation, SlotId baseSlot) implements Message {}
 
-    /** Yes; {@code voter}: I could still vote in the old one. */
+    /**
+     * Commits the sender to a proposed epoch.
+     *
+     * @param canVote whether the sender was still a voter of the old epoch
+     */
     record EpochCommit(Epoch epoch, boolean canVote) implements Message {}
 
-    /** Phase 1 of slot {@code place}; the sender knows the slot before. */
+    /** Paxos phase 1a; the sender knows the value of the previous slot. */
     record Prepare(SlotId slotId, Ballot ballot) implements Message {}
 
-    /** No lower ballot any more; what was accepted so far ({@link Ballot#NONE}: nothing). */
+    /** Paxos phase 1b, with the value accepted so far; {@link Ballot#NONE} if there is none. */
     record Promise(SlotId slotId, Ballot ballot, Ballot acceptedBallot, byte[] acceptedValue) implements Message {}
 
-    /** Phase 2. */
+    /** Paxos phase 2a. */
     record Accept(SlotId slotId, Ballot ballot, byte[] value) implements Message {}
 
+    /** Paxos phase 2b. */
     record Accepted(SlotId slotId, Ballot ballot) implements Message {}
 
-    /** A higher ballot was promised. */
+    /** Rejects a ballot because a higher one was promised. */
     record Rejected(SlotId slotId, Ballot ballot, Ballot promisedBallot) implements Message {}
 
-    /** This place is decided; by this ballot where it is told. Who accepted in it knows the value. */
+    /**
+     * Tells that a slot is decided.
+     *
+     * @param ballot the deciding ballot, whose acceptors know the value, or {@link Ballot#NONE}
+     */
     record DecidedNotice(SlotId slotId, Ballot ballot) implements Message {}
 
-    /** I stand here; send what is newer. */
+    /** Asks for the newest value if the recipient knows a slot later than {@code decidedSlot}. */
     record ValueRequest(SlotId decidedSlot) implements Message {}
 
-    /** The decided value of a place. */
+    /** Carries the decided value of a slot. */
     record DecidedValue(SlotId slotId, byte[] value) implements Message {}
 }
--- a/experiment/src/main/java/calicochute/experiment/seal/Outbox.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Outbox.java
@@ -5,9 +5,11 @@
 import java.util.List;
 
 /**
- * Messages on their way out. One that rests on a memory not kept yet waits until it is; one to this peer comes back in.
+ * Queues outgoing messages. A message that depends on state that is not persisted yet waits until it is. A message to
+ * this peer itself is looped back.
  */
 final class Outbox {
+    /** A message that may leave once the given number of state changes is persisted. */
     private record QueuedMessage(int recipient, Message message, long requiredChange) {}
 
     private final Codec codec;
@@ -18,11 +20,16 @@
     private final ArrayDeque<QueuedMessage> queue = new ArrayDeque<>();
     private final ArrayDeque<Message> loopback = new ArrayDeque<>();
     private List<Effect> ready = new ArrayList<>();
-    /** How often the memory changed, up to which change it was handed out and kept. */
+    /** Number of state changes so far. */
     private long changes;
 
+    /** Number of state changes included in the newest {@link Effect.Persist}. */
     private long handedOut;
+
+    /** Number of state changes that are persisted. */
     private long persisted;
+
+    /** Number of messages dropped because the queue was full. */
     private long dropped;
 
     Outbox(Codec codec, List<String> peers, int selfIndex, boolean persistent) {
@@ -33,6 +40,7 @@
         this.maxQueued = 16 * peers.size() + 256;
     }
 
+    /** Notes that messages from here on depend on a changed state. */
     void stateChanged() {
         changes++;
         if (!persistent) {
@@ -40,6 +48,7 @@
         }
     }
 
+    /** Queues a message; drops the oldest one if the queue is full. */
     void send(int recipient, Message message) {
         if (queue.size() >= maxQueued) {
             queue.poll();
@@ -48,6 +57,7 @@
         queue.add(new QueuedMessage(recipient, message, changes));
     }
 
+    /** Queues a message to all peers, including this one. */
     void broadcast(Message message) {
         for (int i = 0; i < peers.size(); i++) {
             send(i, message);
@@ -58,11 +68,12 @@
         ready.add(effect);
     }
 
+    /** Notes that the state of a token, and all before it, is persisted. */
     void persisted(long token) {
         persisted = Math.max(persisted, Math.min(token, handedOut));
     }
 
-    /** What may leave, leaves; true if a message to this peer is there now. */
+    /** Releases the messages that no longer wait for the state; true if there are looped-back messages to handle. */
     boolean release(AcceptorState state) {
         if (changes > handedOut && persistent) {
             ready.add(new Effect.Persist(changes, codec.write(state)));
--- a/experiment/src/main/java/calicochute/experiment/seal/Proposer.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Proposer.java
@@ -1,16 +1,24 @@
 package calicochute.experiment.seal;
 
-import calicochute.experiment.seal.Message.*;
+import calicochute.experiment.seal.Message.Accept;
+import calicochute.experiment.seal.Message.Accepted;
+import calicochute.experiment.seal.Message.DecidedNotice;
+import calicochute.experiment.seal.Message.Prepare;
+import calicochute.experiment.seal.Message.Promise;
+import calicochute.experiment.seal.Message.Rejected;
 import java.util.BitSet;
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Puts this peer's value, or one that may have been decided already, into the slot after the newest. Keeps nothing over
- * a restart.
+ * The Paxos proposer: proposes this peer's value, or one that may already be decided, for the slot after the newest
+ * decided one. It has no persistent state.
  */
 final class Proposer {
+    /** Largest rank; higher ranks wait as long as this one. */
     private static final int MAX_RANK = 20;
+    /** Largest number of times that a delay is doubled. */
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
+
     private final Acceptor acceptor;
     private final Outbox outbox;
     private final Timing timing;
@@ -45,6 +53,7 @@
         this.slotChangedAt = incarnation;
     }
 
+    /** Sets the value to propose. */
     void propose(long now, byte[] bytes) {
         if (nextValue == null) {
             proposedAt = now;
@@ -53,11 +62,12 @@
         tick(now);
     }
 
+    /** Sets this peer's position in the order of proposers; 0 proposes at once. */
     void setRank(int newRank) {
         rank = Math.max(0, Math.min(newRank, MAX_RANK));
     }
 
-    /** The newest place is another: what was proposed after the old one is void. */
+    /** Discards the proposal after a newer slot was decided. */
     void slotChanged(long now) {
         nextValue = null;
         slotId = null;
@@ -104,6 +114,7 @@
         outbox.broadcast(message);
     }
 
+    /** Sends the current request again to the peers that have not replied. */
     private void resend(long now) {
         retries = Math.min(retries + 1, MAX_BACKOFF_DOUBLINGS);
         retryAt = now + (timing.retryMicros() << retries);
@@ -113,10 +124,12 @@
         }
     }
 
+    /** Whether a reply belongs to the current slot and ballot. */
     private boolean isCurrent(SlotId messageSlot, Ballot messageBallot) {
         return slotId != null && messageBallot.equals(ballot) && messageSlot.equals(slotId);
     }
 
+    /** Records a reply; true once a majority has replied. */
     private boolean hasMajorityWith(int sender) {
         repliedPeers.set(sender);
         return repliedPeers.cardinality() > peerCount / 2;
@@ -147,7 +160,7 @@
         outbox.broadcast(new DecidedNotice(decidedSlot, decidingBallot));
     }
 
-    /** Another proposer is at work: leave it time, the longer the more often it comes to this. */
+    /** Backs off, because another proposer is active; the delay doubles with each rejection and has random jitter. */
     void onRejected(long now, Rejected message) {
         if (!isCurrent(message.slotId(), message.ballot())) {
             return;
--- a/experiment/src/main/java/calicochute/experiment/seal/Register.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Register.java
@@ -9,14 +9,19 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * A sequence of values, each decided once by a majority of the configured peers; one of them. The value of a slot
- * stands for all before it, so that a peer needs the newest only and may jump over others. No I/O, one thread; times in
- * microseconds. After each call the host takes {@link #effects}. What holds and why: see the package.
+ * One peer of a replicated register, a sequence of values each of which is decided by a majority of the configured
+ * peers. A value supersedes all earlier ones, so that a peer needs only the newest and may skip others. The class does
+ * no I/O and is not thread-safe; times are in microseconds. After each call the host performs {@link #effects}. The
+ * package documentation states the guarantees and their proof.
  */
 public final class Register {
+    /** Largest size of a value in bytes. */
     public static final int MAX_VALUE_BYTES = Codec.MAX_VALUE_BYTES;
+    /** Largest number of peers. */
     public static final int MAX_PEERS = 400;
+    /** Number of peers that are told the newest decided slot per interval. */
     private static final int ANNOUNCEMENT_FANOUT = 2;
+
     private final Codec codec;
     private final List<String> peers;
     private final int selfIndex;
@@ -30,12 +35,17 @@
     private int announcements;
 
     /**
-     * @param definition hash of what the experiment is: one that was changed is another register
-     * @param configured ids of all peers, by the operator's file; must be the same everywhere
-     * @param start when this process began (microseconds); no two starts of a peer may be the same, and the process
-     *     before must have ended
-     * @param remembers the host keeps the state; false: it is gone with the process
-     * @param state as last kept, null if there is none; one that cannot be read is refused, counted, and as none
+     * Creates a peer of a register.
+     *
+     * @param name name of the experiment
+     * @param definition hash of the experiment's definition; a changed definition is another register
+     * @param configuredPeers ids of all peers; must be equal at all of them
+     * @param self id of this peer
+     * @param incarnation start time of this process in microseconds; two processes of a peer must have different start
+     *     times, and the earlier one must have ended
+     * @param persistent whether the host persists the state
+     * @param state the state last persisted, null if there is none; an unreadable one is counted as rejected and
+     *     ignored
      */
     public Register(
             String name,
@@ -48,15 +58,15 @@
             Timing timing) {
         SortedSet<String> sorted = new TreeSet<>(configuredPeers);
         if (sorted.isEmpty() || sorted.size() > MAX_PEERS || sorted.size() != configuredPeers.size()) {
-            throw new IllegalArgumentException("1 to 400 different peers");
+            throw new IllegalArgumentException("the list of peers must have 1 to 400 distinct ids");
         }
         this.peers = List.copyOf(sorted);
         this.selfIndex = peers.indexOf(self);
         if (this.selfIndex < 0) {
-            throw new IllegalArgumentException("not a peer: " + self);
+            throw new IllegalArgumentException("this peer is not in the list of peers: " + self);
         }
         if (incarnation <= 0) {
-            throw new IllegalArgumentException("start " + incarnation);
+            throw new IllegalArgumentException("the start time must be positive: " + incarnation);
         }
         this.incarnation = incarnation;
         this.now = incarnation;
@@ -79,8 +89,9 @@
     }
 
     /**
-     * What this peer would put into the slot after {@code after}; may be said again. False if that is not the newest
-     * place, or too long.
+     * Proposes a value for the slot after {@code after}. A repeated call replaces the value.
+     *
+     * @return false if {@code after} is not the newest decided slot known, or the value is too long
      */
     public boolean propose(long time, SlotId after, byte[] next) {
         now = time;
@@ -93,12 +104,12 @@
         return true;
     }
 
-    /** This peer's turn to propose, among the live: 0 at once, the others each a while later if nothing is decided. */
+    /** Sets this peer's rank among the live peers: 0 proposes at once, each higher rank later if nothing is decided. */
     public void setRank(int rank) {
         acceptor.setRank(rank);
     }
 
-    /** Every 50 to 250 ms. */
+    /** Advances the timers; to be called every 50 to 250 ms. */
     public void tick(long time) {
         now = time;
         acceptor.tick(time);
@@ -117,7 +128,7 @@
         }
     }
 
-    /** A message from a peer. One that is none of this register is counted. */
+    /** Handles a message from a peer. Invalid messages are counted and ignored. */
     public void received(long time, String sender, byte[] message) {
         now = time;
         int senderIndex = peers.indexOf(sender);
@@ -132,12 +143,12 @@
         }
     }
 
-    /** The host has kept the state of this token, and so all before it. */
+    /** Notes that the host has persisted the state of a token, and thereby all earlier ones. */
     public void persisted(long token) {
         outbox.persisted(token);
     }
 
-    /** To be done in this order; call again after {@link #persisted}. */
+    /** Returns the actions to perform in this order; to be called again after {@link #persisted}. */
     public List<Effect> effects() {
         while (outbox.release(acceptor.state())) {
             Message loopback;
@@ -148,26 +159,27 @@
         return outbox.drain();
     }
 
-    /** Newest decided slot known. */
+    /** The newest decided slot known. */
     public SlotId decidedSlot() {
         return acceptor.state().decidedSlot();
     }
 
+    /** Number of the newest decided slot known. */
     public long slotNumber() {
         return acceptor.state().decidedSlot().slot();
     }
 
-    /** Its value; empty in slot 0. */
+    /** Value of the newest decided slot known; empty for slot 0. */
     public byte[] value() {
         return acceptor.state().decidedValue().clone();
     }
 
-    /** False while this peer abstains because it has, or may have, forgotten its votes. */
+    /** Whether this peer votes; false while it abstains because it may have lost the record of its votes. */
     public boolean canVote() {
         return acceptor.state().canVote();
     }
 
-    /** What was not taken, by cause. */
+    /** Number of rejected messages and states, by reason. */
     public Map<RejectReason, Long> rejections() {
         Map<RejectReason, Long> all = new EnumMap<>(rejections);
         if (outbox.dropped() > 0) {
--- a/experiment/src/main/java/calicochute/experiment/seal/RejectReason.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/RejectReason.java
@@ -1,27 +1,27 @@
 package calicochute.experiment.seal;
 
-/** Why a message or a kept state was not taken. */
+/** Why a message or a persisted state was rejected. */
 public enum RejectReason {
-    /** Ends too early. */
+    /** The bytes end too early. */
     TRUNCATED,
-    /** Of another version. */
+    /** The version is not supported. */
     VERSION,
-    /** No such kind of message. */
+    /** The kind of message is unknown. */
     UNKNOWN_KIND,
-    /** Of another experiment. */
+    /** It belongs to another experiment. */
     EXPERIMENT,
-    /** The experiment is defined otherwise there. */
+    /** The sender has another definition of the experiment. */
     DEFINITION,
-    /** The list of peers is another there. */
+    /** The sender has another list of peers. */
     PEERS,
-    /** A number out of bounds. */
+    /** A number is out of range. */
     OUT_OF_RANGE,
-    /** Goes on after its end. */
+    /** There are bytes after the end. */
     TRAILING_BYTES,
-    /** Checksum of a kept state is wrong. */
+    /** The checksum of a persisted state is wrong. */
     CHECKSUM,
-    /** Sent by none of the peers. */
+    /** The sender is not a configured peer. */
     UNKNOWN_SENDER,
-    /** Too many messages wait for the state to be kept: the oldest were dropped. */
+    /** The oldest outgoing messages were dropped, because too many waited for the state to be persisted. */
     QUEUE_FULL
 }
--- a/experiment/src/main/java/calicochute/experiment/seal/SlotId.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/SlotId.java
@@ -1,12 +1,15 @@
 package calicochute.experiment.seal;
 
 /**
- * A slot of an epoch: slot 1 holds the first value, 0 is before it. Later epochs come after all slots of earlier ones.
+ * Identifies a slot of an epoch. Slots are ordered by epoch first.
+ *
+ * @param slot number of the slot; 1 holds the first value, 0 is the position before it
  */
 public record SlotId(Epoch epoch, long slot) implements Comparable<SlotId> {
-    /** Where a peer without memory stands. */
+    /** The newest decided slot of a peer without state. */
     public static final SlotId NONE = new SlotId(Epoch.NONE, 0);
 
+    /** Serialized size in bytes. */
     static final int BYTES = Epoch.BYTES + 8;
 
     SlotId next() {
--- a/experiment/src/main/java/calicochute/experiment/seal/Timing.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Timing.java
@@ -1,15 +1,16 @@
 package calicochute.experiment.seal;
 
 /**
- * Times in microseconds. None of them matters to agreement.
+ * Timing of the protocol in microseconds. Agreement within an epoch does not depend on it.
  *
- * @param retry until what was not answered is sent again, first time
- * @param takeover until the next in turn proposes, for each place in turn
- * @param spread between two tellings of the newest place to a few peers
- * @param ask between two asks of a peer that does not vote, first time; doubles up to eight times that
- * @param settle for so long a new epoch must look needed before it is begun
- * @param window commits to a new epoch count for so long
- * @param hold who committed keeps out of the old epoch for so long; far above window
+ * @param retryMicros delay until an unanswered message is sent again for the first time
+ * @param takeoverMicros time that a proposer waits for each rank before its own
+ * @param announceMicros interval at which the newest decided slot is told to a few peers
+ * @param statusRequestMicros initial interval of status requests of an abstaining peer; doubles up to eight times this
+ * @param settleMicros for how long a new epoch must seem necessary before it is formed
+ * @param commitWindowMicros for how long commits to a new epoch are counted
+ * @param holdMicros for how long a peer that committed stays out of the old epoch; must be far above
+ *     {@code commitWindowMicros}
  */
 public record Timing(
         long retryMicros,
@@ -19,10 +20,11 @@
         long settleMicros,
         long commitWindowMicros,
         long holdMicros) {
+    /** The timing used in production. */
     public static final Timing DEFAULT =
             new Timing(300_000, 2_000_000, 1_000_000, 250_000, 1_000_000, 1_000_000, 3_000_000);
 
-    /** How old an answer may be that speaks for a new epoch. */
+    /** Largest age of a status reply that counts for the formation of an epoch. */
     long maxReplyAgeMicros() {
         return 12 * statusRequestMicros;
     }
--- a/experiment/src/main/java/calicochute/experiment/seal/VoteRecovery.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/VoteRecovery.java
@@ -1,17 +1,25 @@
 package calicochute.experiment.seal;
 
-import calicochute.experiment.seal.Message.*;
+import calicochute.experiment.seal.Message.DecidedNotice;
+import calicochute.experiment.seal.Message.EpochCommit;
+import calicochute.experiment.seal.Message.EpochProposal;
+import calicochute.experiment.seal.Message.StatusReply;
+import calicochute.experiment.seal.Message.StatusRequest;
 import java.util.Arrays;
 import java.util.BitSet;
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * How a peer without a vote gets one: it reads how far the others voted and waits until that is past, or begins a new
- * epoch with them.
+ * Lets a peer that abstains vote again. The peer learns from a read quorum up to which slot votes may exist and waits
+ * until a later slot is decided. If too many peers abstain for that, it forms a new epoch with them. The package
+ * documentation has the proof.
  */
 final class VoteRecovery {
+    /** Largest rank that delays the formation of an epoch. */
     private static final int MAX_RANK = 20;
+    /** Largest interval between status requests as a multiple of the configured one. */
     private static final int MAX_REQUEST_BACKOFF = 8;
+
     private final Acceptor acceptor;
     private final Outbox outbox;
     private final Timing timing;
@@ -19,29 +27,40 @@
     private final int selfIndex;
     private final long incarnation;
     private final int majority;
-    /** So many share a peer with each majority. */
+    /** Number of peers that intersects every majority. */
     private final int readQuorum;
 
+    /** Newest reply of each peer, null if there is none. */
     private final StatusReply[] replies;
+
     private final long[] repliedAt;
     private long nextRequestAt = Long.MIN_VALUE;
     private int requestBackoff = 1;
     private int rank;
-    /** Of {@code readIn}: votes again once this slot is known. */
+    /** Epoch in which the read quorum was complete. */
     private Epoch readEpoch = Epoch.NONE;
 
+    /** First slot of {@code readEpoch} whose decision allows this peer to vote again. */
     private long voteFromSlot;
 
+    /** Newest epoch that this peer committed to and has not joined yet. */
     private Epoch committedEpoch = Epoch.NONE;
+
     private long holdUntil = Long.MIN_VALUE;
 
+    /** Whether the replies show that the current epoch cannot continue. */
     private boolean stuck;
+
     private long stuckSince;
     private long nextFormationAt = Long.MIN_VALUE;
+    /** Epoch that this peer is forming, or null. */
     private Epoch formingEpoch;
+
     private long formationStartedAt;
     private long nextProposalAt;
+    /** Incarnation of each peer that the forming epoch is proposed to; -1 for none. */
     private final long[] proposedTo;
+
     private final BitSet recordCommit = new BitSet();
     private final BitSet committedNonVoters = new BitSet();
 
@@ -60,20 +79,25 @@
         this.proposedTo = new long[peerCount];
     }
 
+    /** Sets this peer's position in the order of proposers. */
     void setRank(int newRank) {
         rank = newRank;
     }
 
-    /** Committed to a new epoch, so neither votes in the old one nor comes back to it. */
+    /** Whether a commit to a new epoch keeps this peer from voting in the old one. */
     boolean isHeld(long now) {
         return now < holdUntil;
     }
 
-    /** Takes part in an epoch from its beginning: committed to it in this life, was in it in none before. */
+    /**
+     * Whether this peer may vote in the epoch from its first slot: it committed to the epoch in this incarnation, and
+     * no earlier incarnation can have voted in it.
+     */
     boolean isFoundingMember(Epoch epoch) {
         return epoch.equals(committedEpoch);
     }
 
+    /** Resets the recovery after this peer has become a voter. */
     void votingStarted() {
         committedEpoch = Epoch.NONE;
         holdUntil = Long.MIN_VALUE;
@@ -85,6 +109,7 @@
         Arrays.fill(replies, null);
     }
 
+    /** Sends status requests and tries both ways to vote again, while this peer abstains. */
     void tick(long now) {
         if (acceptor.state().canVote()) {
             return;
@@ -129,7 +154,10 @@
         tryRecover(now);
     }
 
-    /** The rule of abstention, see the package: the mark is read once an epoch, from voters that answered this life. */
+    /**
+     * Applies the abstention rule of the package documentation. The highest mark is read once per epoch, from voters
+     * that replied to this incarnation.
+     */
     void tryRecover(long now) {
         AcceptorState state = acceptor.state();
         if (state.canVote() || state.newestEpoch().equals(Epoch.NONE)) {
@@ -159,8 +187,8 @@
     }
 
     /**
-     * Where so many have no vote that the others are no majority, a new epoch goes on from the newest place anyone here
-     * knows.
+     * Forms a new epoch if so many peers abstain that the voters are no majority. The epoch continues after the newest
+     * decided slot that any of the participants knows.
      */
     private void tryFormEpoch(long now) {
         if (formingEpoch != null) {
@@ -219,6 +247,7 @@
         recordCommit(now, selfIndex, false);
     }
 
+    /** Proposes the forming epoch to the peers that have not committed to it. */
     private void sendEpochProposals(long now) {
         nextProposalAt = now + timing.retryMicros();
         for (int i = 0; i < peerCount; i++) {
@@ -258,6 +287,7 @@
         }
     }
 
+    /** Records a commit and begins the epoch once a majority, with a read quorum of non-voters, has committed. */
     private void recordCommit(long now, int sender, boolean canVote) {
         recordCommit.set(sender);
         if (!canVote) {
