--- a/experiment/src/main/java/calicochute/experiment/EvidenceUpdater.java
+++ b/experiment/src/main/java/calicochute/experiment/EvidenceUpdater.java
@@ -22,7 +22,10 @@
         least = experiment.least();
     }
 
-    /** Sets the predictors to their values before the first window. */
+    /**
+     * Sets the predictors to their values before the first window: a mean of 0.5 with the weight of 2 sessions, a
+     * failure rate of 0.02 with the weight of 10, and a variance of 0.1 with the weight of 20.
+     */
     static void initializePredictors(State state) {
         for (int i = 0; i < state.lanePredictors.length; i += 2) {
             state.lanePredictors[i] = 0.5f;
--- a/experiment/src/main/java/calicochute/experiment/StateBytes.java
+++ b/experiment/src/main/java/calicochute/experiment/StateBytes.java
@@ -9,6 +9,7 @@
     /** Largest serialized size in bytes. */
     static final int MAX_BYTES = 900;
 
+    /** Version of the serialized form. */
     private static final byte VERSION = 1;
 
     private StateBytes() {}
--- a/experiment/src/main/java/calicochute/experiment/Stopper.java
+++ b/experiment/src/main/java/calicochute/experiment/Stopper.java
@@ -156,6 +156,7 @@
         return next;
     }
 
+    /** Sets the verdict if the evidence allows one. */
     private void decide(State state) {
         for (int i = 0; i < experiment.guards().size(); i++) {
             if (HarmEvidence.logEvidence(state.harmLogWealth, i) >= guardLogThreshold) {
--- a/experiment/src/main/java/calicochute/experiment/seal/Acceptor.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Acceptor.java
@@ -23,6 +23,7 @@
     private final Proposer proposer;
     private final VoteRecovery voteRecovery;
     private AcceptorState state;
+    /** When this peer last asked for a value, in microseconds. */
     private long requestedAt = Long.MIN_VALUE;
 
     /** Creates an acceptor; {@code incarnation} is the start time of the process in microseconds. */
--- a/experiment/src/main/java/calicochute/experiment/seal/Outbox.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Outbox.java
@@ -40,7 +40,7 @@
         this.maxQueued = 16 * peers.size() + 256;
     }
 
-    /** Notes that messages from here on depend on a changed state. */
+    /** Records a change of the state; messages sent after it depend on the changed state. */
     void stateChanged() {
         changes++;
         if (!persistent) {
@@ -68,12 +68,12 @@
         ready.add(effect);
     }
 
-    /** Notes that the state of a token, and all before it, is persisted. */
+    /** Records that the state of a token, and all earlier ones, are persisted. */
     void persisted(long token) {
         persisted = Math.max(persisted, Math.min(token, handedOut));
     }
 
-    /** Releases the messages that no longer wait for the state; true if there are looped-back messages to handle. */
+    /** Releases the messages whose state is persisted; true if there are looped-back messages to handle. */
     boolean release(AcceptorState state) {
         if (changes > handedOut && persistent) {
             ready.add(new Effect.Persist(changes, codec.write(state)));
@@ -97,10 +97,12 @@
         return !loopback.isEmpty();
     }
 
+    /** Removes the oldest message to this peer itself; null if there is none. */
     Message loopback() {
         return loopback.poll();
     }
 
+    /** Returns and removes the effects that are ready. */
     List<Effect> drain() {
         List<Effect> drained = ready;
         ready = new ArrayList<>();
--- a/experiment/src/main/java/calicochute/experiment/seal/Register.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Register.java
@@ -143,7 +143,7 @@
         }
     }
 
-    /** Notes that the host has persisted the state of a token, and thereby all earlier ones. */
+    /** Records that the host has persisted the state of a token, and thereby all earlier ones. */
     public void persisted(long token) {
         outbox.persisted(token);
     }
--- a/experiment/src/main/java/calicochute/experiment/seal/VoteRecovery.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/VoteRecovery.java
@@ -15,7 +15,7 @@
  * documentation has the proof.
  */
 final class VoteRecovery {
-    /** Largest rank that delays the formation of an epoch. */
+    /** Largest rank; higher ranks wait as long as this one before they form an epoch. */
     private static final int MAX_RANK = 20;
     /** Largest interval between status requests as a multiple of the configured one. */
     private static final int MAX_REQUEST_BACKOFF = 8;
@@ -61,7 +61,9 @@
     /** Incarnation of each peer that the forming epoch is proposed to; -1 for none. */
     private final long[] proposedTo;
 
-    private final BitSet recordCommit = new BitSet();
+    /** Peers that have committed to the forming epoch. */
+    private final BitSet committedPeers = new BitSet();
+    /** Those of them that abstain in the old epoch. */
     private final BitSet committedNonVoters = new BitSet();
 
     VoteRecovery(Acceptor acceptor, Outbox outbox, Timing timing, int peerCount, int selfIndex, long incarnation) {
@@ -239,7 +241,7 @@
                     ? -1
                     : replies[i].incarnation();
         }
-        recordCommit.clear();
+        committedPeers.clear();
         committedNonVoters.clear();
         committedEpoch = formingEpoch;
         holdUntil = now + timing.holdMicros();
@@ -251,7 +253,7 @@
     private void sendEpochProposals(long now) {
         nextProposalAt = now + timing.retryMicros();
         for (int i = 0; i < peerCount; i++) {
-            if (i != selfIndex && proposedTo[i] >= 0 && !recordCommit.get(i)) {
+            if (i != selfIndex && proposedTo[i] >= 0 && !committedPeers.get(i)) {
                 outbox.send(
                         i,
                         new EpochProposal(
@@ -289,11 +291,11 @@
 
     /** Records a commit and begins the epoch once a majority, with a read quorum of non-voters, has committed. */
     private void recordCommit(long now, int sender, boolean canVote) {
-        recordCommit.set(sender);
+        committedPeers.set(sender);
         if (!canVote) {
             committedNonVoters.set(sender);
         }
-        if (recordCommit.cardinality() < majority
+        if (committedPeers.cardinality() < majority
                 || committedNonVoters.cardinality() < readQuorum
                 || formingEpoch.compareTo(acceptor.state().newestEpoch()) <= 0) {
             return;
--- a/experiment/src/test/java/calicochute/experiment/AssignmentTest.java
+++ b/experiment/src/test/java/calicochute/experiment/AssignmentTest.java
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Balancers of two versions must agree: the hash itself is part of what travels. */
+    /** Guards against a change of the hash, after which balancers of two versions would assign units differently. */
     @Test
     void positionsAreStable() {
         assertEquals(0.2634077944721702, Assignment.position(experiment("trial", ""), "call-1", ""));
@@ -43,7 +43,7 @@
                     armIndex * 2
                             + Assignment.of(experiment("a", "2"), "u" + i, 0.3).ordinal()]++;
         }
-        // Six standard deviations of 100,000 draws are under 950.
+        // Six standard deviations of 100,000 draws are 870 for a share of 0.3, 677 for 0.15 and 543 for 0.09.
         assertTrue(Math.abs(both[2] + both[3] - 30_000) < 900, "share");
         assertTrue(Math.abs(both[3] - 15_000) < 700 && Math.abs(salted[3] - 9_000) < 600, "independent");
     }
--- a/experiment/src/test/java/calicochute/experiment/Comparison.java
+++ b/experiment/src/test/java/calicochute/experiment/Comparison.java
@@ -13,21 +13,23 @@
 import org.apache.commons.math3.distribution.NormalDistribution;
 
 /**
- * Stoppers on the same drawn histories; a main outside CI: `java -cp … calicochute.experiment.Comparison [plays
- * [part]]`. Prints tables as in docs/measurements/experiments.md.
+ * Compares stopping rules on the same simulated histories. Not part of the test run; started by `java -cp …
+ * calicochute.experiment.Comparison [runs [part]]`. Prints its results as Markdown tables. In formulas, p is the share
+ * of the treatment, bT and bC are the predicted means of the arms, and z, a and l are those of {@link EffectEvidence}.
  */
 public final class Comparison {
     private static final NormalDistribution NORMAL = new NormalDistribution();
+    /** Error rate of all rules. */
     private static final double ERROR = 0.05;
-    /** Sessions a window, over ten balancers. */
+    /** Sessions per window at all ten balancers together. */
     private static final int SESSIONS_PER_WINDOW = 100;
 
-    /** A competitor sees windows and says 1 (treatment), -1 (control) or 0. */
+    /** A stopping rule that returns 1 for the treatment, -1 for the control or 0 for no decision. */
     interface Rule {
         int observe(SealedWindow window, double p, double bT, double bC);
     }
 
-    /** Empirical Bernstein with a grid fixed ahead in units of z, not following the variance; error/2 a side. */
+    /** Empirical Bernstein with fixed bets that do not adapt to the variance, and half the error rate per side. */
     static Rule fixedGrid() {
         double[] grid = {0.03, 0.06, 0.12, 0.25, 0.5, 1, 1.5, 1.8};
         double[][] logWealth = new double[2][grid.length];
@@ -48,24 +50,28 @@
         };
     }
 
-    /** Normal mixture (mSPRT) with the variance estimated from the same sums; mixing deviation `least`. */
+    /**
+     * Mixture sequential probability ratio test (mSPRT): a normal mixture with standard deviation `least`, and the
+     * variance estimated from the same sums.
+     */
     static Rule msprt(double least) {
         double[] totals = new double[2];
         return (window, p, bT, bC) -> {
             double[] sums = sums(window, p, bT, bC);
             totals[0] += sums[0];
             totals[1] += sums[1];
-            // S drifts by effect * h / (squares a session) for each unit of squares: rho is one over that drift's
-            // variance.
-            double n = Math.max(1, sums[2]);
-            double rho = Math.pow(sums[1] / n / (p * (1 - p) * least), 2) + 1e-9;
+            // Per unit of squares the sum drifts by effect * h / (squares per session); rho is the inverse of the
+            // variance of this drift.
+            double sessions = Math.max(1, sums[2]);
+            double rho = Math.pow(sums[1] / sessions / (p * (1 - p) * least), 2) + 1e-9;
             double logRatio = totals[0] * totals[0] / (2 * (totals[1] + rho)) + 0.5 * Math.log(rho / (totals[1] + rho));
             return logRatio < Math.log(1 / ERROR) ? 0 : totals[0] > 0 ? 1 : -1;
         };
     }
 
     /**
-     * Bets on z settled by the sum alone: a value between 0 and 1 as a part of each end (exact where all are 0 or 1).
+     * Bets on z as in {@link HarmEvidence}, from the sums alone: a value between 0 and 1 counts in part as a 0 and in
+     * part as a 1, which is exact if all values are 0 or 1.
      */
     static Rule betting() {
         double[] betShares = {0.02, 0.05, 0.1, 0.2, 0.4, 0.8};
@@ -76,13 +82,16 @@
                 Total control = window.total(lane, Arm.CONTROL);
                 double shift = p * (1 - p) * (bT - bC);
                 double[] z = {(1 - p) * (1 - bT) + shift, -(1 - p) * bT + shift, -p * (1 - bC) + shift, p * bC + shift};
-                double[] n = {treatment.sum, treatment.count - treatment.sum, control.sum, control.count - control.sum};
+                double[] counts = {
+                    treatment.sum, treatment.count - treatment.sum, control.sum, control.count - control.sum
+                };
                 for (int side = 0; side < 2; side++) {
                     double sign = side == 0 ? 1 : -1;
                     double maxLoss = Arrays.stream(z).map(x -> -sign * x).max().orElseThrow();
-                    for (int k = 0; k < betShares.length; k++) {
+                    for (int bet = 0; bet < betShares.length; bet++) {
                         for (int kind = 0; kind < 4; kind++) {
-                            logWealth[side][k] += n[kind] * Math.log1p(betShares[k] / maxLoss * sign * z[kind]);
+                            logWealth[side][bet] +=
+                                    counts[kind] * Math.log1p(betShares[bet] / maxLoss * sign * z[kind]);
                         }
                     }
                 }
@@ -94,10 +103,10 @@
         };
     }
 
-    /** A z-test of pooled means, at one look (0: at each). */
+    /** A z-test of pooled means after {@code lookAt} sessions; 0 to test after each window. */
     static Rule zTest(long lookAt) {
         double[] sums = new double[6];
-        double z = NORMAL.inverseCumulativeProbability(1 - ERROR / 2);
+        double critical = NORMAL.inverseCumulativeProbability(1 - ERROR / 2);
         return (window, p, bT, bC) -> {
             for (int lane = 0; lane < 2; lane++) {
                 for (Arm arm : Arm.values()) {
@@ -107,37 +116,40 @@
                     sums[arm.ordinal() * 3 + 2] += total.sumOfSquares;
                 }
             }
-            double n = sums[0] + sums[3];
-            if (lookAt > 0 && (n < lookAt || n - SESSIONS_PER_WINDOW >= lookAt) || sums[0] == 0 || sums[3] == 0) {
+            double sessions = sums[0] + sums[3];
+            if (lookAt > 0 && (sessions < lookAt || sessions - SESSIONS_PER_WINDOW >= lookAt)
+                    || sums[0] == 0
+                    || sums[3] == 0) {
                 return 0;
             }
             double controlMean = sums[1] / sums[0];
             double treatmentMean = sums[4] / sums[3];
             double standardError = Math.sqrt((sums[2] / sums[0] - controlMean * controlMean) / sums[0]
                     + (sums[5] / sums[3] - treatmentMean * treatmentMean) / sums[3]);
-            return Math.abs(treatmentMean - controlMean) <= z * standardError || standardError == 0
+            return Math.abs(treatmentMean - controlMean) <= critical * standardError || standardError == 0
                     ? 0
                     : treatmentMean > controlMean ? 1 : -1;
         };
     }
 
+    /** Sum of z, sum of squared residuals, and number of sessions of a window. */
     private static double[] sums(SealedWindow window, double p, double bT, double bC) {
         double z = 0;
-        double v = 0;
-        double n = 0;
+        double squares = 0;
+        double sessions = 0;
         for (int lane = 0; lane < 2; lane++) {
             Total treatment = window.total(lane, Arm.TREATMENT);
             Total control = window.total(lane, Arm.CONTROL);
             z += p * (1 - p) * (treatment.count + control.count) * (bT - bC)
                     + (1 - p) * (treatment.sum - treatment.count * bT)
                     - p * (control.sum - control.count * bC);
-            v += EffectEvidence.squaredResiduals(treatment, control, p, bT, bC);
-            n += treatment.count + control.count;
+            squares += EffectEvidence.squaredResiduals(treatment, control, p, bT, bC);
+            sessions += treatment.count + control.count;
         }
-        return new double[] {z, v, n};
+        return new double[] {z, squares, sessions};
     }
 
-    /** For each rule (the stopper first): its word, and the sessions it took (the horizon if none). */
+    /** For each rule, {@link Stopper} first: its decision and the number of sessions until it, or the horizon. */
     static long[][] simulate(
             long seed, double share, double least, int windows, SimulatedExperiment.Outcome outcome, long[] looks) {
         SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(share, least, windows), seed);
@@ -150,12 +162,12 @@
             rules[4 + i] = zTest(looks[i]);
         }
         long[][] result = new long[rules.length + 1][];
-        // The stopper may end; the history goes on for the others.
-        for (int w = 0; w < windows; w++) {
+        // The simulation continues for the other rules after the stopper's verdict.
+        for (int windowIndex = 0; windowIndex < windows; windowIndex++) {
             State previousState = sim.state;
-            SealedWindow window = sim.drawWindow(w, SESSIONS_PER_WINDOW, outcome, null);
+            SealedWindow window = sim.drawWindow(windowIndex, SESSIONS_PER_WINDOW, outcome, null);
             State nextState = sim.stopper.advance(previousState, window);
-            long sessions = (w + 1L) * SESSIONS_PER_WINDOW;
+            long sessions = (windowIndex + 1L) * SESSIONS_PER_WINDOW;
             if (nextState.verdict() != Verdict.NONE && result[0] == null) {
                 result[0] = new long[] {decisionCode(nextState.verdict()), sessions};
             }
@@ -260,8 +272,8 @@
     }
 
     /**
-     * A fifth of order-copy fails in the treatment: the arm's sessions (of both lanes) until HARM, and the guard's
-     * error under none.
+     * Prints the number of treatment sessions of the lane order-copy until the verdict HARM, for failure rates of 0.01
+     * (no harm), 0.02 (the guard's limit) and 0.2 in the treatment.
      */
     private static void harm(int runs, double share, int sessions) {
         Guard guard = new Guard("order-copy", 0.01);
@@ -272,14 +284,16 @@
                         SimulatedExperiment sim = new SimulatedExperiment(
                                 SimulatedExperiment.experiment(share, 0.02, 100_000, guard), seed);
                         SplittableRandom random = new SplittableRandom(~seed);
-                        SimulatedExperiment.Outcome outcome = (r, lane, arm, w) ->
+                        SimulatedExperiment.Outcome outcome = (sessionRandom, lane, arm, window) ->
                                 lane == 0 && random.nextDouble() < (arm == Arm.TREATMENT ? rate : 0.01)
                                         ? -1
-                                        : r.nextDouble() < 0.95 ? 1 : 0;
+                                        : sessionRandom.nextDouble() < 0.95 ? 1 : 0;
                         long treatmentSessions = 0;
-                        for (int w = 0; w < 20_000 / sessions && sim.state.verdict() == Verdict.NONE; w++) {
+                        for (int window = 0;
+                                window < 20_000 / sessions && sim.state.verdict() == Verdict.NONE;
+                                window++) {
                             sim.advance(sessions, outcome, null);
-                            treatmentSessions += (long) sim.history.get(w).total(0, Arm.TREATMENT).count;
+                            treatmentSessions += (long) sim.history.get(window).total(0, Arm.TREATMENT).count;
                         }
                         return sim.state.verdict() == Verdict.HARM ? treatmentSessions : Long.MAX_VALUE;
                     })
@@ -300,7 +314,7 @@
         }
     }
 
-    /** One of ten balancers counts all of the treatment's sessions as unserved; and what a window costs. */
+    /** Prints verdicts when one of ten balancers counts all treatment sessions as unserved, and the time per window. */
     private static void wrongCounts(int runs) {
         long[] runsWithArmVerdict = LongStream.range(0, runs)
                 .parallel()
@@ -311,7 +325,7 @@
                                     400,
                                     SESSIONS_PER_WINDOW,
                                     SimulatedExperiment.served(0.9, 0.9),
-                                    (b, c) -> b != 4 ? c : withoutTreatmentSuccess(c))
+                                    (balancer, counts) -> balancer != 4 ? counts : withoutTreatmentSuccess(counts))
                             .verdict();
                     return verdict == Verdict.CONTROL || verdict == Verdict.TREATMENT ? 1 : 0;
                 })
@@ -344,8 +358,8 @@
     private static Counts withoutTreatmentSuccess(Counts counts) {
         Map<Counts.ArmLane, Sums> byArmLane = new TreeMap<>();
         counts.byArmLane()
-                .forEach((armLane, s) -> byArmLane.put(
-                        armLane, armLane.arm() == Arm.TREATMENT ? new Sums(s.count(), 0, 0, 0, 0, 0) : s));
+                .forEach((armLane, sums) -> byArmLane.put(
+                        armLane, armLane.arm() == Arm.TREATMENT ? new Sums(sums.count(), 0, 0, 0, 0, 0) : sums));
         return new Counts(
                 counts.window(),
                 counts.share(),
@@ -362,7 +376,7 @@
     public static void main(String[] args) {
         int runs = args.length > 0 ? Integer.parseInt(args[0]) : 10_000;
         String selectedPart = args.length > 1 ? args[1] : "all";
-        // Worths spread by a power law with the exponent 1.2, cut at their 0.95 quantile (12.1 of the smallest).
+        // Worths follow a power law with the exponent 1.2, capped at the 0.95 quantile, 12.1 times the smallest worth.
         double cap = Math.pow(0.05, -1 / 1.2);
         Map<String, Runnable> parts = new LinkedHashMap<>();
         parts.put(
@@ -373,7 +387,7 @@
                         0.5,
                         0.02,
                         0.09,
-                        times -> SimulatedExperiment.served(0.9, 0.9 + 0.02 * times)));
+                        multiple -> SimulatedExperiment.served(0.9, 0.9 + 0.02 * multiple)));
         parts.put(
                 "tenth",
                 () -> table(
@@ -382,7 +396,7 @@
                         0.1,
                         0.04,
                         0.09,
-                        times -> SimulatedExperiment.served(0.9, 0.9 + 0.04 * times)));
+                        multiple -> SimulatedExperiment.served(0.9, 0.9 + 0.04 * multiple)));
         parts.put(
                 "few",
                 () -> table(
@@ -391,7 +405,7 @@
                         0.05,
                         0.04,
                         0.0196,
-                        times -> SimulatedExperiment.served(0.98, 0.98 - 0.04 * times)));
+                        multiple -> SimulatedExperiment.served(0.98, 0.98 - 0.04 * multiple)));
         parts.put(
                 "spread",
                 () -> table(
@@ -400,9 +414,9 @@
                         0.5,
                         0.01,
                         0.0553,
-                        times -> (r, lane, arm, w) -> {
-                            double worth = Math.min(cap, Math.pow(1 - r.nextDouble(), -1 / 1.2)) / cap;
-                            return r.nextDouble() < 0.9 + (arm == Arm.TREATMENT ? 0.01 * times / 0.2446 : 0)
+                        multiple -> (random, lane, arm, window) -> {
+                            double worth = Math.min(cap, Math.pow(1 - random.nextDouble(), -1 / 1.2)) / cap;
+                            return random.nextDouble() < 0.9 + (arm == Arm.TREATMENT ? 0.01 * multiple / 0.2446 : 0)
                                     ? worth
                                     : 0;
                         }));
--- a/experiment/src/test/java/calicochute/experiment/HardCasesTest.java
+++ b/experiment/src/test/java/calicochute/experiment/HardCasesTest.java
@@ -14,9 +14,9 @@
 import java.util.function.BiFunction;
 import org.junit.jupiter.api.Test;
 
-/** Each with what the simpler rule would say beside it. */
+/** Situations in which a simpler rule, such as a test of pooled means, gives a wrong verdict. */
 class HardCasesTest {
-    /** Difference of the pooled means over its standard deviation. */
+    /** Difference of the pooled means (treatment minus control) divided by its standard error. */
     private static double pooledZ(List<SealedWindow> history) {
         double[][] sums = new double[2][3];
         for (SealedWindow sealed : history) {
@@ -29,12 +29,12 @@
                 }
             }
         }
-        double[] mean = {sums[0][1] / sums[0][0], sums[1][1] / sums[1][0]};
+        double[] means = {sums[0][1] / sums[0][0], sums[1][1] / sums[1][0]};
         double variance = 0;
         for (int arm = 0; arm < 2; arm++) {
-            variance += (sums[arm][2] / sums[arm][0] - mean[arm] * mean[arm]) / sums[arm][0];
+            variance += (sums[arm][2] / sums[arm][0] - means[arm] * means[arm]) / sums[arm][0];
         }
-        return (mean[1] - mean[0]) / Math.sqrt(variance);
+        return (means[1] - means[0]) / Math.sqrt(variance);
     }
 
     private static Counts withSums(Counts counts, BiFunction<ArmLane, Sums, Sums> change) {
@@ -49,24 +49,30 @@
                 counts.worthCut());
     }
 
-    /** At 10% all is well; the load jumps as the share goes to 50%: the treatment has its sessions in the bad time. */
+    /**
+     * The load increases at the moment at which the share goes from 10% to 50%. Most treatment sessions then fall into
+     * the time of high load, which biases the pooled means.
+     */
     @Test
     void loadJumpDuringShareChangeGivesNoVerdict() {
         int wrong = 0;
         for (int seed = 0; seed < 40; seed++) {
             SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.1, 0.05, 200), seed);
             sim.state = sim.stopper.moveShare(sim.state, 0.5, 20);
-            for (int w = 0; w < 120; w++) {
-                sim.advance(100, (r, lane, arm, window) -> r.nextDouble() < (window < 20 ? 0.97 : 0.7) ? 1 : 0, null);
+            for (int step = 0; step < 120; step++) {
+                sim.advance(
+                        100,
+                        (random, lane, arm, window) -> random.nextDouble() < (window < 20 ? 0.97 : 0.7) ? 1 : 0,
+                        null);
             }
             assertEquals(0.5, sim.state.share(20));
-            assertTrue(pooledZ(sim.history.subList(0, 40)) < -5, "pooled means name the control");
+            assertTrue(pooledZ(sim.history.subList(0, 40)) < -5, "pooled means favor the control");
             wrong += sim.state.verdict() == Verdict.CONTROL || sim.state.verdict() == Verdict.TREATMENT ? 1 : 0;
         }
         assertTrue(wrong <= 2, wrong + " of 40");
     }
 
-    /** A balancer that has not heard of the move assigns by the old share: its counts are left out, and told so. */
+    /** A balancer that does not know a change of the share yet assigns by the old one; its counts are left out. */
     @Test
     void countsUnderTheOldShareAreLeftOut() {
         SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.1, 0.05, 200), 1);
@@ -75,13 +81,15 @@
         sim.advance(
                 100,
                 SimulatedExperiment.served(1, 1),
-                (b, c) -> b == 3 ? new Counts(c.window(), 0.1, c.byArmLane(), c.serverBuckets(), 0, 0) : c);
+                (balancer, counts) -> balancer == 3
+                        ? new Counts(counts.window(), 0.1, counts.byArmLane(), counts.serverBuckets(), 0, 0)
+                        : counts);
         assertEquals(1, sim.state.leftOut());
     }
 
     /**
-     * A quarter of the treatment's machines slow down, whatever they run. Callers fare worse there: that is the
-     * verdict; its note says where.
+     * A quarter of the treatment's servers slows down for a reason other than the release. The verdict is for the
+     * control, because callers are served worse, and a note tells that one server bucket causes it.
      */
     @Test
     void slowServerBucketIsNoted() {
@@ -90,10 +98,10 @@
             State state = sim.run(
                     1000,
                     100,
-                    (r, lane, arm, w) -> {
+                    (random, lane, arm, window) -> {
                         double penalty =
                                 arm == Arm.CONTROL ? 0 : !oneBucketOnly ? 0.1 : sim.serverBucket == 1 ? 0.4 : 0;
-                        return r.nextDouble() < 0.95 - penalty ? 1 : 0;
+                        return random.nextDouble() < 0.95 - penalty ? 1 : 0;
                     },
                     null);
             assertEquals(Verdict.CONTROL, state.verdict());
@@ -102,7 +110,8 @@
     }
 
     /**
-     * Room for two thirds of the treatment's sessions, the rest is denied: the arm is too small, the release as good.
+     * The treatment has capacity for two thirds of its sessions and the rest is denied. The arm is too small, but the
+     * release is as good as the control.
      */
     @Test
     void armWithoutCapacityEndsUndecided() {
@@ -111,14 +120,14 @@
                 100,
                 100,
                 SimulatedExperiment.served(0.95, 0.65),
-                (b, c) -> withSums(
-                        c,
-                        (cell, s) -> new Sums(
-                                s.count(),
-                                s.sum(),
-                                s.sumOfSquares(),
-                                s.failures(),
-                                cell.arm() == Arm.TREATMENT ? s.count() / 2 : 0,
+                (balancer, counts) -> withSums(
+                        counts,
+                        (armLane, sums) -> new Sums(
+                                sums.count(),
+                                sums.sum(),
+                                sums.sumOfSquares(),
+                                sums.failures(),
+                                armLane.arm() == Arm.TREATMENT ? sums.count() / 2 : 0,
                                 0)));
         assertTrue(pooledZ(sim.history) < -5);
         assertEquals(Verdict.UNDECIDED, state.verdict());
@@ -126,7 +135,7 @@
         assertTrue(state.crossoverShare(Arm.TREATMENT) > 0.1 && state.crossoverShare(Arm.CONTROL) == 0);
     }
 
-    /** A call that fails on the treatment comes back to it, three times, and fails again: one call, one observation. */
+    /** A call that fails in the treatment is retried there three times and fails again; it is one observation. */
     @Test
     void retriesOnOneArmDoNotBiasTheVerdict() {
         Experiment experiment = SimulatedExperiment.experiment(0.5, 0.05, 2000);
@@ -157,11 +166,11 @@
                         state, SealedWindow.of(experiment, counts.window(), 0.5, Map.of("b", counts), List.of("b")));
             }
         }
-        assertTrue(sums[1][1] / sums[1][0] < sums[0][1] / sums[0][0] - 0.1, "all tries together name the control");
+        assertTrue(sums[1][1] / sums[1][0] < sums[0][1] / sums[0][0] - 0.1, "all attempts together favor the control");
         assertTrue(state.verdict() == Verdict.NONE || state.verdict() == Verdict.NO_DIFFERENCE, "" + state);
     }
 
-    /** Sessions of one arm counted half as often again: nothing can be read from such figures. */
+    /** One arm's sessions are overcounted by half, so that the measured effect is not meaningful. */
     @Test
     void unevenSplitEndsUndecided() {
         SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.5, 0.02, 2000), 4);
@@ -169,22 +178,22 @@
                 2000,
                 100,
                 SimulatedExperiment.served(0.9, 0.9),
-                (b, c) -> withSums(c, (cell, s) -> {
-                    long more = cell.arm() == Arm.TREATMENT ? s.count() / 2 : 0;
+                (balancer, counts) -> withSums(counts, (armLane, sums) -> {
+                    long duplicates = armLane.arm() == Arm.TREATMENT ? sums.count() / 2 : 0;
                     return new Sums(
-                            s.count() + more,
-                            s.sum() + more * Sums.SCALE,
-                            s.sumOfSquares() + more * Sums.SCALE * Sums.SCALE,
+                            sums.count() + duplicates,
+                            sums.sum() + duplicates * Sums.SCALE,
+                            sums.sumOfSquares() + duplicates * Sums.SCALE * Sums.SCALE,
                             0,
                             0,
                             0);
                 }));
-        assertTrue(pooledZ(sim.history) > 2, "pooled means name the treatment");
+        assertTrue(pooledZ(sim.history) > 2, "pooled means favor the treatment");
         assertEquals(Verdict.UNDECIDED, state.verdict());
         assertTrue(state.notes().contains(Note.SPLIT));
     }
 
-    /** One of ten counts all of the treatment's sessions as unserved: within all bounds. */
+    /** One of ten balancers counts all treatment sessions as unserved, which no plausibility check can detect. */
     @Test
     void oneMiscountingBalancerRarelyDecides() {
         int wrong = 0;
@@ -194,18 +203,20 @@
                     60,
                     100,
                     SimulatedExperiment.served(0.9, 0.9),
-                    (b, c) -> b == 4
+                    (balancer, counts) -> balancer == 4
                             ? withSums(
-                                    c,
-                                    (cell, s) -> cell.arm() == Arm.TREATMENT ? new Sums(s.count(), 0, 0, 0, 0, 0) : s)
-                            : c);
+                                    counts,
+                                    (armLane, sums) -> armLane.arm() == Arm.TREATMENT
+                                            ? new Sums(sums.count(), 0, 0, 0, 0, 0)
+                                            : sums)
+                            : counts);
             assertTrue(
                     EffectEvidence.logEvidence(sim.state.effectLogWealth, 1, -1) >= -Math.log(0.025),
-                    "without the rule a verdict");
+                    "the total evidence alone would give a verdict");
             wrong += sim.state.verdict() == Verdict.CONTROL ? 1 : 0;
             assertFalse(sim.state.verdict() == Verdict.TREATMENT);
         }
-        // Square root of 0.025 is 0.16: what the rule promises while one lies.
+        // The leave-one-out rule bounds the probability by the square root of 0.025, which is 0.16, or 8 of 50 runs.
         assertTrue(wrong <= 12, wrong + " of 50");
     }
 
@@ -215,19 +226,19 @@
         sim.advance(
                 200,
                 SimulatedExperiment.served(0.9, 0.9),
-                (b, c) -> b == 4
+                (balancer, counts) -> balancer == 4
                         ? withSums(
-                                c,
-                                (cell, s) ->
-                                        new Sums(s.count() * 1000, s.sum() * 1000, s.sumOfSquares() * 1000, 0, 0, 0))
-                        : c);
+                                counts,
+                                (armLane, sums) -> new Sums(
+                                        sums.count() * 1000, sums.sum() * 1000, sums.sumOfSquares() * 1000, 0, 0, 0))
+                        : counts);
         SealedWindow sealed = sim.history.get(0);
         assertEquals(1, sealed.scaledDown());
         assertTrue(sealed.sessions(Arm.CONTROL) + sealed.sessions(Arm.TREATMENT) < 300);
-        assertTrue(sealed.sessions(4, Arm.CONTROL) > 0, "scaled, not left out");
+        assertTrue(sealed.sessions(4, Arm.CONTROL) > 0, "scaled down, not left out");
     }
 
-    /** Worths of a power law without a mean: the few largest decide the raw sums; cut at their quantile they don't. */
+    /** Worths follow a power law without a finite mean: few outliers dominate the raw sums, but not the capped ones. */
     @Test
     void cappedWorthResistsOutliers() {
         double cap = Math.pow(0.05, -1 / 0.9);
@@ -239,9 +250,9 @@
             sim.run(
                     60,
                     100,
-                    (r, lane, arm, w) -> {
-                        double worth = Math.pow(1 - r.nextDouble(), -1 / 0.9);
-                        boolean served = r.nextDouble() < 0.9;
+                    (random, lane, arm, window) -> {
+                        double worth = Math.pow(1 - random.nextDouble(), -1 / 0.9);
+                        boolean served = random.nextDouble() < 0.9;
                         sums[arm.ordinal()] += served ? worth : 0;
                         return served ? Math.min(cap, worth) / cap : 0;
                     },
@@ -249,7 +260,7 @@
             rawDifferences += Math.max(sums[0], sums[1]) > 1.2 * Math.min(sums[0], sums[1]) ? 1 : 0;
             wrong += sim.state.verdict() == Verdict.CONTROL || sim.state.verdict() == Verdict.TREATMENT ? 1 : 0;
         }
-        assertTrue(rawDifferences > 12, "the raw sums differ by a fifth in " + rawDifferences);
+        assertTrue(rawDifferences > 12, "runs in which the raw sums differ by more than a fifth: " + rawDifferences);
         assertTrue(wrong <= 2, wrong + " of 40");
     }
 }
--- a/experiment/src/test/java/calicochute/experiment/SessionCounterTest.java
+++ b/experiment/src/test/java/calicochute/experiment/SessionCounterTest.java
@@ -61,7 +61,9 @@
         assertEquals(1, counter.uncountedSessions());
     }
 
-    /** A share heard of within a window would split it in two that no one share fits. */
+    /**
+     * A share that changed within a window would assign its sessions by two shares, and neither would fit the counts.
+     */
     @Test
     void shareChangesOnlyBetweenWindows() {
         SessionCounter counter = counter(Unit.SESSION, 0, 0);
@@ -138,7 +140,7 @@
                 Measure.atQuantile(0.9, List.of(3.0, 1.0, 2.0, 4.0, 5.0, 6.0, 7.0, 8.0, 9.0, 1000.0)));
     }
 
-    /** One draw is one observation, however many sessions and windows. */
+    /** A tenant is one observation, regardless of its number of sessions and windows. */
     @Test
     void tenantIsCountedOnceAcrossWindowsAndBalancers() {
         Set<Long> windows = new HashSet<>();
@@ -172,6 +174,6 @@
             }
         }
         assertEquals(40, tenants);
-        assertTrue(windows.size() > 20, "spread over the windows: " + windows.size());
+        assertTrue(windows.size() > 20, "tenants are spread over the windows: " + windows.size());
     }
 }
--- a/experiment/src/test/java/calicochute/experiment/SimulatedExperiment.java
+++ b/experiment/src/test/java/calicochute/experiment/SimulatedExperiment.java
@@ -15,20 +15,20 @@
 import java.util.TreeMap;
 import java.util.stream.IntStream;
 
-/** Drawn histories of an experiment, window by window, at ten balancers. */
+/** Simulates the windows of an experiment at ten balancers. */
 final class SimulatedExperiment {
-    /** Windows of 2 s. */
+    /** Length of a window in microseconds. */
     static final long WINDOW_MICROS = 2_000_000;
 
     static final List<String> PEERS =
             IntStream.range(0, 10).mapToObj(i -> "b" + i).toList();
 
-    /** What a session comes to: the measure, or below 0 where it failed. */
+    /** Draws the outcome of a session: the measure, or a negative number if the session failed. */
     interface Outcome {
         double draw(SplittableRandom random, int lane, Arm arm, long window);
     }
 
-    /** May change what a balancer reports. */
+    /** Changes the counts that a balancer reports. */
     interface ReportFilter {
         Counts apply(int balancer, Counts counts);
     }
@@ -37,7 +37,7 @@
     final Stopper stopper;
     final SplittableRandom random;
     State state;
-    /** Of the four parts of the arm's servers, that of the session being drawn. */
+    /** Server bucket of the session whose outcome is being drawn. */
     int serverBucket;
 
     final List<SealedWindow> history = new ArrayList<>();
@@ -49,7 +49,7 @@
         state = stopper.initialState(0);
     }
 
-    /** Two lanes, order-copy (0) and shelf-read (1). */
+    /** An experiment with the lanes order-copy (0) and shelf-read (1). */
     static Experiment experiment(double share, double least, long windows, Guard... guards) {
         return new Experiment(
                 "trial",
@@ -68,10 +68,12 @@
                 null);
     }
 
+    /** Sessions that are served with the given probability in each arm. */
     static Outcome served(double control, double treatment) {
         return (random, lane, arm, window) -> random.nextDouble() < (arm == Arm.CONTROL ? control : treatment) ? 1 : 0;
     }
 
+    /** Draws a window; {@code filter} may be null. */
     SealedWindow drawWindow(long window, int sessions, Outcome outcome, ReportFilter filter) {
         double share = state.share(window);
         long[][][] sums = new long[PEERS.size()][4][4];
@@ -93,24 +95,30 @@
             serverBuckets[balancer][bucket + 1] += scaledValue;
         }
         Map<String, Counts> countsByOrigin = new TreeMap<>();
-        for (int b = 0; b < PEERS.size(); b++) {
+        for (int balancerIndex = 0; balancerIndex < PEERS.size(); balancerIndex++) {
             Map<ArmLane, Sums> byArmLane = new TreeMap<>();
-            for (int c = 0; c < 4; c++) {
+            for (int cellIndex = 0; cellIndex < 4; cellIndex++) {
                 byArmLane.put(
-                        new ArmLane(Arm.values()[c % 2], c / 2),
-                        new Sums(sums[b][c][0], sums[b][c][1], sums[b][c][2], sums[b][c][3], 0, 0));
+                        new ArmLane(Arm.values()[cellIndex % 2], cellIndex / 2),
+                        new Sums(
+                                sums[balancerIndex][cellIndex][0],
+                                sums[balancerIndex][cellIndex][1],
+                                sums[balancerIndex][cellIndex][2],
+                                sums[balancerIndex][cellIndex][3],
+                                0,
+                                0));
             }
             List<Long> boxed = new ArrayList<>(Collections.nCopies(16, 0L));
             for (int i = 0; i < 16; i++) {
-                boxed.set(i, serverBuckets[b][i]);
+                boxed.set(i, serverBuckets[balancerIndex][i]);
             }
             Counts counts = new Counts(window, share, byArmLane, boxed, 0, 0);
-            countsByOrigin.put(PEERS.get(b), filter == null ? counts : filter.apply(b, counts));
+            countsByOrigin.put(PEERS.get(balancerIndex), filter == null ? counts : filter.apply(balancerIndex, counts));
         }
         return SealedWindow.of(experiment, window, share, countsByOrigin, PEERS);
     }
 
-    /** Until a verdict, at most so many windows. */
+    /** Advances until there is a verdict or the given number of windows has passed. */
     State run(int windows, int sessions, Outcome outcome, ReportFilter filter) {
         for (int i = 0; i < windows && state.verdict() == Verdict.NONE; i++) {
             advance(sessions, outcome, filter);
--- a/experiment/src/test/java/calicochute/experiment/StopperTest.java
+++ b/experiment/src/test/java/calicochute/experiment/StopperTest.java
@@ -45,7 +45,10 @@
         return found;
     }
 
-    /** Looked at after each of 80 windows; 1,000 plays of fixed seeds, at most 0.05 of them false. */
+    /**
+     * Evaluates each of 80 windows in 1,000 runs with fixed seeds; at most 0.05 of the runs may end with a false
+     * verdict.
+     */
     @Test
     void falseVerdictsStayBelowTheErrorRate() {
         Map<Verdict, Long> found = verdicts(
@@ -54,9 +57,9 @@
                 0.05,
                 80,
                 100,
-                (r, lane, arm, w) -> {
-                    double y = r.nextDouble();
-                    return lane == 0 && y < 0.03 ? -1 : y < 0.12 ? 0 : 1;
+                (random, lane, arm, window) -> {
+                    double draw = random.nextDouble();
+                    return lane == 0 && draw < 0.03 ? -1 : draw < 0.12 ? 0 : 1;
                 },
                 GUARD);
         assertTrue(
@@ -82,9 +85,9 @@
 
     @Test
     void guardDetectsFailuresOfOneLane() {
-        SimulatedExperiment.Outcome harmful = (r, lane, arm, w) -> {
-            double y = r.nextDouble();
-            return lane == 0 && y < (arm == Arm.TREATMENT ? 0.2 : 0.01) ? -1 : y < 0.06 ? 0 : 1;
+        SimulatedExperiment.Outcome harmful = (random, lane, arm, window) -> {
+            double draw = random.nextDouble();
+            return lane == 0 && draw < (arm == Arm.TREATMENT ? 0.2 : 0.01) ? -1 : draw < 0.06 ? 0 : 1;
         };
         for (double share : new double[] {0.1, 0.5}) {
             double[] sessionsUntilHarm = LongStream.range(0, 200)
@@ -114,8 +117,8 @@
                                         0.3,
                                         60,
                                         100,
-                                        (r, lane, arm, w) ->
-                                                lane == 0 && r.nextDouble() < (arm == Arm.TREATMENT ? 0.02 : 0.01)
+                                        (random, lane, arm, window) ->
+                                                lane == 0 && random.nextDouble() < (arm == Arm.TREATMENT ? 0.02 : 0.01)
                                                         ? -1
                                                         : 1,
                                         GUARD)
@@ -133,7 +136,7 @@
         SealedWindow nextWindow =
                 sim.drawWindow(sim.state.window() + 1, 50, SimulatedExperiment.served(0.9, 0.8), null);
         assertEquals(sim.stopper.advance(sim.state, nextWindow), sim.stopper.advance(read, nextWindow));
-        assertTrue(Arrays.equals(bytes, sim.state.toBytes()), "a state handed out does not change");
+        assertTrue(Arrays.equals(bytes, sim.state.toBytes()), "a state does not change after it was returned");
         for (int i = 0; i < bytes.length; i += 7) {
             int length = i;
             assertThrows(UnreadableException.class, () -> State.fromBytes(Arrays.copyOf(bytes, length)));
@@ -237,7 +240,10 @@
         assertEquals(0.5, sim.state.share(verdictWindow + 19));
         assertEquals(0.8, sim.state.share(verdictWindow + 20));
         for (int i = 0; i < 60; i++) {
-            sim.advance(100, (r, lane, arm, w) -> arm == Arm.TREATMENT && r.nextDouble() < 0.3 ? -1 : 1, null);
+            sim.advance(
+                    100,
+                    (random, lane, arm, window) -> arm == Arm.TREATMENT && random.nextDouble() < 0.3 ? -1 : 1,
+                    null);
         }
         assertTrue(sim.state.notes().contains(Note.TURNED_BACK));
         assertEquals(0, sim.state.share(sim.state.window() + 1));
--- a/experiment/src/test/java/calicochute/experiment/seal/ModelTest.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/ModelTest.java
@@ -1,6 +1,6 @@
 package calicochute.experiment.seal;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Histories of three peers, two of which propose, breadth first over the real machine, all or to a depth: what was once
- * sent may come at any time, often, or never; one peer crashes at any time, with or without memory. In no state are
- * there two values of a slot.
+ * Explores the histories of three peers breadth first, completely or to a depth, with the production classes. Two of
+ * the peers propose. A message that was sent may arrive at any time, several times or never, and one peer may crash at
+ * any time, with or without its state. No reachable state may have two values of a slot.
  */
 class ModelTest {
     private static final long NOW_MICROS = 1_000;
@@ -26,17 +26,21 @@
     private static final Codec CODEC = new Codec("x", 1, PEERS);
     private static final Timing TIMING =
             new Timing(1_000_000, 0, 2 * HOUR_MICROS, HOUR_MICROS, HOUR_MICROS, HOUR_MICROS, HOUR_MICROS);
+    /** Event numbers; other events are the ids of arriving datagrams. */
     private static final int CRASH = -1;
+
     private static final int RETRY = -2;
 
     private record Datagram(int sender, int recipient, String bytes) {}
 
-    /** One peer as it stands; value is null until it knows slot 1. */
+    /** State of a peer; {@code value} is null until it knows slot 1. */
     private record PeerState(int self, Register node, byte[] persisted, String value) {}
 
-    private record Step(int peerState, int[] sent) {}
+    /** The state of a peer after an event and the datagrams it sent, by id. */
+    private record Step(int peerStateId, int[] sentIds) {}
 
-    private record World(List<Integer> peerStates, int crashes, int retries, BitSet sent) {}
+    /** State of all peers, the remaining events of each kind, and all datagrams sent so far. */
+    private record World(List<Integer> peerStateIds, int crashes, int retries, BitSet sentIds) {}
 
     private final List<Datagram> datagrams = new ArrayList<>();
     private final Map<Datagram, Integer> datagramIds = new HashMap<>();
@@ -46,13 +50,13 @@
     private boolean crashLosesState;
     private int crashingPeer;
 
-    private static Register node(int i, long incarnation, byte[] state) {
-        Register node = new Register("x", 1, PEERS, PEERS.get(i), incarnation, true, state, TIMING);
+    private static Register node(int peer, long incarnation, byte[] state) {
+        Register node = new Register("x", 1, PEERS, PEERS.get(peer), incarnation, true, state, TIMING);
         node.setRank(0);
         return node;
     }
 
-    private Step runEffects(int i, Register node, byte[] previouslyPersisted) {
+    private Step runEffects(int peer, Register node, byte[] previouslyPersisted) {
         byte[] persisted = previouslyPersisted;
         List<Integer> sent = new ArrayList<>();
         List<Effect> effects;
@@ -61,9 +65,9 @@
                 if (effect instanceof Effect.Persist persist) {
                     persisted = persist.state();
                     node.persisted(persist.token());
-                } else if (effect instanceof Effect.Send send && isExplored(i, send)) {
+                } else if (effect instanceof Effect.Send send && isExplored(peer, send)) {
                     Datagram datagram = new Datagram(
-                            i,
+                            peer,
                             PEERS.indexOf(send.recipient()),
                             new String(send.message(), StandardCharsets.ISO_8859_1));
                     sent.add(datagramIds.computeIfAbsent(datagram, m -> datagrams.size()));
@@ -74,15 +78,15 @@
             }
         }
         String value = node.slotNumber() == 0 ? null : new String(node.value(), StandardCharsets.ISO_8859_1);
-        String text = i + RegisterSnapshot.text(node) + HexFormat.of().formatHex(persisted);
+        String text = peer + RegisterSnapshot.text(node) + HexFormat.of().formatHex(persisted);
         int peerStateId = peerStateIds.computeIfAbsent(text, x -> peerStates.size());
         if (peerStateId == peerStates.size()) {
-            peerStates.add(new PeerState(i, node, persisted, value));
+            peerStates.add(new PeerState(peer, node, persisted, value));
         }
         return new Step(peerStateId, sent.stream().mapToInt(x -> x).toArray());
     }
 
-    /** Who learns a decided value from others is of interest here only where that may bring a vote back. */
+    /** Whether a message is explored. Messages that carry decisions matter only if they can restore a peer's vote. */
     private boolean isExplored(int sender, Effect.Send send) {
         try {
             Message message = CODEC.read(send.message());
@@ -96,21 +100,22 @@
         }
     }
 
-    private Step step(int local, int event) {
-        return steps.computeIfAbsent(List.of(local, event), x -> {
-            PeerState before = peerStates.get(local);
-            int i = before.self;
+    private Step step(int peerStateId, int event) {
+        return steps.computeIfAbsent(List.of(peerStateId, event), x -> {
+            PeerState previous = peerStates.get(peerStateId);
+            int peer = previous.self;
             if (event == CRASH) {
-                Register node = node(i, NOW_MICROS + 1, crashLosesState ? null : before.persisted);
+                Register node = node(peer, NOW_MICROS + 1, crashLosesState ? null : previous.persisted);
                 if (node.slotNumber() == 0) {
-                    node.propose(NOW_MICROS, node.decidedSlot(), ("again" + i).getBytes(StandardCharsets.ISO_8859_1));
+                    node.propose(
+                            NOW_MICROS, node.decidedSlot(), ("again" + peer).getBytes(StandardCharsets.ISO_8859_1));
                 }
                 if (crashLosesState) {
                     node.tick(NOW_MICROS);
                 }
-                return runEffects(i, node, before.persisted);
+                return runEffects(peer, node, previous.persisted);
             }
-            Register node = RegisterSnapshot.copy(before.node, node(i, NOW_MICROS, null));
+            Register node = RegisterSnapshot.copy(previous.node, node(peer, NOW_MICROS, null));
             if (event == RETRY) {
                 node.tick(NOW_MICROS + HOUR_MICROS / 2);
             } else {
@@ -119,19 +124,20 @@
                         PEERS.get(datagrams.get(event).sender),
                         datagrams.get(event).bytes.getBytes(StandardCharsets.ISO_8859_1));
             }
-            return runEffects(i, node, before.persisted);
+            return runEffects(peer, node, previous.persisted);
         });
     }
 
-    private World successor(World world, int i, int event) {
-        Step step = step(world.peerStates.get(i), event);
-        List<Integer> next = new ArrayList<>(world.peerStates);
-        next.set(i, step.peerState);
-        BitSet net = (BitSet) world.sent.clone();
-        for (int mail : step.sent) {
-            net.set(mail);
+    private World successor(World world, int peer, int event) {
+        Step step = step(world.peerStateIds.get(peer), event);
+        List<Integer> next = new ArrayList<>(world.peerStateIds);
+        next.set(peer, step.peerStateId);
+        BitSet sentIds = (BitSet) world.sentIds.clone();
+        for (int datagramId : step.sentIds) {
+            sentIds.set(datagramId);
         }
-        return new World(next, world.crashes - (event == CRASH ? 1 : 0), world.retries - (event == RETRY ? 1 : 0), net);
+        return new World(
+                next, world.crashes - (event == CRASH ? 1 : 0), world.retries - (event == RETRY ? 1 : 0), sentIds);
     }
 
     private ModelTest withCrash(int peer, boolean losesState) {
@@ -141,27 +147,27 @@
     }
 
     /**
-     * How many states there are; if more than {@code most}, less than 0: all histories of that many steps were gone
-     * through.
+     * Explores all histories and returns the number of states. If there are more than {@code maxWorlds}, returns the
+     * negated depth up to which the exploration is complete.
      */
     private int explore(int retries, int crashes, int maxWorlds) {
         byte[] state = CODEC.write(AcceptorState.INITIAL
                 .learn(new SlotId(new Epoch(9, 0, 9), 0), AcceptorState.NO_VALUE)
                 .startVoting());
         List<Integer> initial = new ArrayList<>();
-        BitSet net = new BitSet();
+        BitSet sentIds = new BitSet();
         for (int i = 0; i < 3; i++) {
             Register node = node(i, NOW_MICROS, state);
             if (i < 2) {
                 node.propose(NOW_MICROS, node.decidedSlot(), ("by" + i).getBytes(StandardCharsets.ISO_8859_1));
             }
             Step step = runEffects(i, node, state);
-            initial.add(step.peerState);
-            for (int mail : step.sent) {
-                net.set(mail);
+            initial.add(step.peerStateId);
+            for (int datagramId : step.sentIds) {
+                sentIds.set(datagramId);
             }
         }
-        World initialWorld = new World(initial, crashes, retries, net);
+        World initialWorld = new World(initial, crashes, retries, sentIds);
         Set<World> known = new HashSet<>(Set.of(initialWorld));
         ArrayDeque<World> open = new ArrayDeque<>(List.of(initialWorld));
         Map<World, Integer> depth = new HashMap<>();
@@ -169,37 +175,38 @@
         while (!open.isEmpty()) {
             World world = open.poll();
             List<World> next = new ArrayList<>();
-            world.sent.stream().forEach(mail -> next.add(successor(world, datagrams.get(mail).recipient, mail)));
+            world.sentIds.stream()
+                    .forEach(datagramId -> next.add(successor(world, datagrams.get(datagramId).recipient, datagramId)));
             if (world.crashes > 0) {
                 next.add(successor(world, crashingPeer, CRASH));
             }
-            boolean refused = world.sent.stream()
-                    .anyMatch(m -> datagrams.get(m).recipient == 0
-                            && datagrams.get(m).bytes.charAt(1) == 9);
-            if (world.retries > 0 && refused) {
+            boolean rejected = world.sentIds.stream()
+                    .anyMatch(datagramId -> datagrams.get(datagramId).recipient == 0
+                            && datagrams.get(datagramId).bytes.charAt(1) == 9);
+            if (world.retries > 0 && rejected) {
                 next.add(successor(world, 0, RETRY));
             }
-            for (World each : next) {
-                if (!known.add(each)) {
+            for (World successor : next) {
+                if (!known.add(successor)) {
                     continue;
                 }
-                depth.put(each, depth.getOrDefault(world, 0) + 1);
-                assertAgreement(each, decided);
-                open.add(each);
+                depth.put(successor, depth.getOrDefault(world, 0) + 1);
+                assertAgreement(successor, decided);
+                open.add(successor);
             }
             if (known.size() > maxWorlds) {
                 return -depth.getOrDefault(world, 0);
             }
         }
-        assertTrue(decided.containsAll(Set.of("by0", "by1")), () -> "either can win: " + decided);
+        assertTrue(decided.containsAll(Set.of("by0", "by1")), () -> "either value can be decided: " + decided);
         return known.size();
     }
 
     private void assertAgreement(World world, Set<String> decided) {
         Set<String> values = new HashSet<>();
-        for (int local : world.peerStates) {
-            if (peerStates.get(local).value != null) {
-                values.add(peerStates.get(local).value);
+        for (int peerStateId : world.peerStateIds) {
+            if (peerStates.get(peerStateId).value != null) {
+                values.add(peerStates.get(peerStateId).value);
             }
         }
         assertTrue(values.size() <= 1, () -> "two values of a slot: " + values);
@@ -208,7 +215,7 @@
 
     @Test
     void twoProposersAgree() {
-        assertTrue(explore(0, 0, 10_000) > 3_000, "all histories");
+        assertTrue(explore(0, 0, 10_000) > 3_000, "number of states of all histories");
     }
 
     @Test
@@ -232,6 +239,6 @@
     }
 
     private static void assertExplored(int states) {
-        assertTrue(states > 0 || states <= -10, "gone through to depth " + -states);
+        assertTrue(states > 0 || states <= -10, "explored only to depth " + -states);
     }
 }
--- a/experiment/src/test/java/calicochute/experiment/seal/RegisterSnapshot.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/RegisterSnapshot.java
@@ -13,24 +13,26 @@
 import java.util.List;
 import java.util.Map;
 
-/** Copies a register as it stands, and tells its state as text: for the model that goes through all histories. */
+/** Copies the state of a register and renders it as text, for the exploration in {@link ModelTest}. */
 final class RegisterSnapshot {
     private static final Map<Class<?>, List<Field>> FIELDS = new HashMap<>();
 
     private RegisterSnapshot() {}
 
-    /** Makes {@code to}, built with the same arguments, the same as {@code from}. */
-    static Register copy(Register from, Register to) {
-        copyFields(from, to, new IdentityHashMap<>());
-        return to;
+    /** Copies the state of {@code source} to {@code target}, which was created with the same arguments. */
+    static Register copy(Register source, Register target) {
+        copyFields(source, target, new IdentityHashMap<>());
+        return target;
     }
 
+    /** Renders the state; equal texts mean equal states. */
     static String text(Object object) {
         StringBuilder out = new StringBuilder();
         text(object, out, new IdentityHashMap<>());
         return out.toString();
     }
 
+    /** Whether the fields of an object are copied one by one into the target's object. */
     private static boolean isCopiedInPlace(Object object) {
         return object instanceof Register
                 || object instanceof Acceptor
@@ -39,16 +41,16 @@
                 || object instanceof VoteRecovery;
     }
 
-    private static void copyFields(Object from, Object to, Map<Object, Object> done) {
-        if (done.put(from, to) != null) {
+    private static void copyFields(Object source, Object target, Map<Object, Object> done) {
+        if (done.put(source, target) != null) {
             return;
         }
-        for (Field field : fields(from)) {
-            Object value = get(field, from);
+        for (Field field : fields(source)) {
+            Object value = get(field, source);
             if (isCopiedInPlace(value)) {
-                copyFields(value, get(field, to), done);
+                copyFields(value, get(field, target), done);
             } else {
-                set(field, to, copyOf(value));
+                set(field, target, copyOf(value));
             }
         }
     }
@@ -66,8 +68,8 @@
         if (object instanceof EnumMap<?, ?> map) {
             return map.clone();
         }
-        if (object instanceof long[] list) {
-            return list.clone();
+        if (object instanceof long[] longs) {
+            return longs.clone();
         }
         return object instanceof Object[] array ? array.clone() : object;
     }
@@ -83,8 +85,8 @@
         } else if (object instanceof long[] longs) {
             out.append(Arrays.toString(longs));
         } else if (object instanceof Object[] array) {
-            for (Object each : array) {
-                text(each, out, done);
+            for (Object element : array) {
+                text(element, out, done);
             }
         } else if (isCopiedInPlace(object)) {
             for (Field field : fields(object)) {
@@ -95,8 +97,8 @@
                 text(get(field, record), out, done);
             }
         } else if (object instanceof ArrayDeque<?> queue) {
-            for (Object each : queue) {
-                text(each, out, done);
+            for (Object element : queue) {
+                text(element, out, done);
             }
         } else {
             out.append(object);
@@ -118,17 +120,17 @@
         });
     }
 
-    private static Object get(Field field, Object of) {
+    private static Object get(Field field, Object object) {
         try {
-            return field.get(of);
+            return field.get(object);
         } catch (IllegalAccessException e) {
             throw new AssertionError(e);
         }
     }
 
-    private static void set(Field field, Object of, Object value) {
+    private static void set(Field field, Object object, Object value) {
         try {
-            field.set(of, value);
+            field.set(object, value);
         } catch (IllegalAccessException e) {
             throw new AssertionError(e);
         }
--- a/experiment/src/test/java/calicochute/experiment/seal/RegisterTest.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/RegisterTest.java
@@ -1,6 +1,9 @@
 package calicochute.experiment.seal;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -21,21 +24,21 @@
         boolean withState = random.nextBoolean();
         boolean losesState = !withState || random.nextBoolean();
         for (int step = 0; step < 60; step++) {
-            int i = random.nextInt(peerCount);
+            int peer = random.nextInt(peerCount);
             switch (random.nextInt(9)) {
                 case 0 -> fleet.lossProbability = random.nextDouble(0.5);
                 case 1 -> fleet.duplicateProbability = random.nextDouble(0.5);
                 case 2 -> fleet.maxDelayMicros = 1 + random.nextLong(3_000 * SimulatedFleet.MICROS_PER_MILLI);
-                case 3 -> fleet.partition[i] = random.nextInt(2);
-                case 4 -> fleet.stopped[i] = !fleet.stopped[i];
-                case 5 -> fleet.restart(i, withState && !(losesState && random.nextInt(3) == 0));
+                case 3 -> fleet.partition[peer] = random.nextInt(2);
+                case 4 -> fleet.stopped[peer] = !fleet.stopped[peer];
+                case 5 -> fleet.restart(peer, withState && !(losesState && random.nextInt(3) == 0));
                 case 6 -> fleet.orderedRanks = random.nextBoolean();
                 case 7 -> Arrays.fill(fleet.partition, 0);
                 default -> fleet.maxDelayMicros = 20 * SimulatedFleet.MICROS_PER_MILLI;
             }
             fleet.ticks(random.nextInt(12));
         }
-        assertTrue(fleet.recovers(400), () -> "not healed: " + peerCount + " " + seed);
+        assertTrue(fleet.recovers(400), () -> "no recovery with " + peerCount + " peers and seed " + seed);
         for (Register node : fleet.nodes) {
             assertEquals(Map.of(), node.rejections());
         }
@@ -84,7 +87,7 @@
         fleet.ticks(100);
         assertTrue(fleet.newest().epoch().compareTo(old.epoch()) > 0);
         assertTrue(fleet.recovers(100));
-        assertEquals(List.of(), fleet.memoryLosses, "nobody is left that remembers");
+        assertEquals(List.of(), fleet.memoryLosses, "no peer is left that knows the old epoch");
     }
 
     @Test
@@ -161,12 +164,12 @@
         oneReply.received(21, "a", codec.write(new Message.StatusReply(19, 5, true, epoch, 1, new SlotId(epoch, 1))));
         oneReply.received(21, "a", codec.write(new Message.StatusReply(20, 5, true, epoch, 5, new SlotId(epoch, 4))));
         oneReply.received(22, "c", codec.write(new Message.DecidedValue(new SlotId(epoch, 7), new byte[] {7})));
-        assertFalse(oneReply.canVote(), "one voter is too few");
+        assertFalse(oneReply.canVote(), "one voter is no read quorum");
         Register twoReplies = new Register("x", 1, peers, "b", 20, false, null, Timing.DEFAULT);
         twoReplies.received(21, "a", codec.write(new Message.StatusReply(20, 5, true, epoch, 5, new SlotId(epoch, 4))));
         twoReplies.received(21, "c", codec.write(new Message.StatusReply(20, 6, true, epoch, 4, new SlotId(epoch, 4))));
         twoReplies.received(22, "c", codec.write(new Message.DecidedValue(new SlotId(epoch, 5), new byte[] {5})));
-        assertFalse(twoReplies.canVote(), "may have voted on slot 6 before");
+        assertFalse(twoReplies.canVote(), "it may have voted on slot 6 before");
         twoReplies.received(23, "c", codec.write(new Message.DecidedValue(new SlotId(epoch, 6), new byte[] {6})));
         assertTrue(twoReplies.canVote());
     }
@@ -187,7 +190,7 @@
         Ballot ballot = new Ballot(4, 2, 8);
         byte[] value = new byte[Codec.MAX_VALUE_BYTES];
         List<byte[]> validMessages = new ArrayList<>();
-        for (Message m : List.of(
+        for (Message message : List.of(
                 new Message.StatusRequest(5),
                 new Message.StatusReply(10, 7, true, slotId.epoch(), 3, slotId),
                 new Message.EpochProposal(slotId.epoch(), 10, slotId),
@@ -200,7 +203,7 @@
                 new Message.DecidedNotice(slotId, ballot),
                 new Message.ValueRequest(slotId),
                 new Message.DecidedValue(slotId, value))) {
-            validMessages.add(codec.write(m));
+            validMessages.add(codec.write(message));
         }
         SplittableRandom random = new SplittableRandom(6);
         Register register = new Register("x", 1, peers, "b", 10, false, null, Timing.DEFAULT);
@@ -222,8 +225,8 @@
                 register.tick(now);
             }
             for (Effect effect : register.effects()) {
-                if (effect instanceof Effect.Send s) {
-                    assertTrue(s.message().length <= Codec.MAX_MESSAGE_BYTES);
+                if (effect instanceof Effect.Send send) {
+                    assertTrue(send.message().length <= Codec.MAX_MESSAGE_BYTES);
                 }
             }
         }
--- a/experiment/src/test/java/calicochute/experiment/seal/SimulatedFleet.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/SimulatedFleet.java
@@ -8,7 +8,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** Registers on one simulated net; checks with each step that no slot has two values. */
+/** Registers on a simulated network; checks after each step that no slot has two values. */
 final class SimulatedFleet {
     private record Datagram(long deliverAt, long sequence, int recipient, int sender, byte[] bytes) {}
 
@@ -47,29 +47,36 @@
         }
     }
 
-    void restart(int i, boolean withState) {
+    void restart(int peer, boolean withState) {
         if (!withState) {
-            persistedStates[i] = null;
+            persistedStates[peer] = null;
         }
-        persistent[i] |= withState;
-        nodes[i] = new Register(
-                "checkout", 7, ids, ids.get(i), ++nowMicros, persistent[i], persistedStates[i], Timing.DEFAULT);
+        persistent[peer] |= withState;
+        nodes[peer] = new Register(
+                "checkout",
+                7,
+                ids,
+                ids.get(peer),
+                ++nowMicros,
+                persistent[peer],
+                persistedStates[peer],
+                Timing.DEFAULT);
     }
 
-    void runEffects(int i) {
+    void runEffects(int peer) {
         List<Effect> effects;
-        while (!(effects = nodes[i].effects()).isEmpty()) {
+        while (!(effects = nodes[peer].effects()).isEmpty()) {
             for (Effect effect : effects) {
                 if (effect instanceof Effect.Persist persist) {
-                    persistedStates[i] = persist.state();
-                    nodes[i].persisted(persist.token());
+                    persistedStates[peer] = persist.state();
+                    nodes[peer].persisted(persist.token());
                 } else if (effect instanceof Effect.Send send) {
-                    send(i, ids.indexOf(send.recipient()), send.message());
+                    send(peer, ids.indexOf(send.recipient()), send.message());
                 } else if (effect instanceof Effect.EpochBegun begun && begun.memoryLost()) {
                     memoryLosses.add(begun);
                 }
             }
-            assertAgreement(nodes[i]);
+            assertAgreement(nodes[peer]);
         }
     }
 
@@ -94,7 +101,7 @@
         }
     }
 
-    /** One tick of 100 ms; each node proposes what tells who it is. */
+    /** Advances by 100 ms; each node proposes a value that includes its id. */
     void tick() {
         long end = nowMicros + 100 * MICROS_PER_MILLI;
         while (!inFlight.isEmpty() && inFlight.peek().deliverAt <= end) {
@@ -144,7 +151,7 @@
         return newest;
     }
 
-    /** Heals everything; true if within that many ticks all know a slot that was not decided before, and all vote. */
+    /** Removes all faults; true if within {@code maxTicks} all peers vote and know a slot decided afterwards. */
     boolean recovers(int maxTicks) {
         lossProbability = 0;
         duplicateProbability = 0;
