--- a/balancer/src/main/java/calicochute/fleet/Trial.java
+++ b/balancer/src/main/java/calicochute/fleet/Trial.java
@@ -238,7 +238,7 @@
                     Log.info(
                             "experiment-epoch",
                             "name=" + name + " epoch="
-                                    + begun.baseSlot().epoch().number() + " lost=" + begun.memoryLost());
+                                    + begun.baseSlot().epoch().number() + " lost=" + begun.stateLost());
                 } else if (effect instanceof Effect.Decided) {
                     read(true);
                 }
--- a/experiment/src/main/java/calicochute/experiment/Counts.java
+++ b/experiment/src/main/java/calicochute/experiment/Counts.java
@@ -15,16 +15,16 @@
  * @param byArmLane sums for each arm and lane
  * @param serverBuckets for each arm, its servers divided into {@link #BUCKETS} buckets by the hash of the server id:
  *     alternating the number of sessions and the sum of the measure in units of 1 / {@link Sums#SCALE}
- * @param worthAsked total worth of the sessions, before the cap of {@code measure.most}
- * @param worthCut the part of {@code worthAsked} above the cap
+ * @param worthRequested total worth of the sessions, before the cap of {@code measure.most}
+ * @param worthAboveCap the part of {@code worthRequested} above the cap
  */
 public record Counts(
         long window,
         double share,
         Map<ArmLane, Sums> byArmLane,
         List<Long> serverBuckets,
-        double worthAsked,
-        double worthCut) {
+        double worthRequested,
+        double worthAboveCap) {
     /**
      * An arm and a lane of it.
      *
@@ -59,7 +59,7 @@
         ByteBuffer output = ByteBuffer.allocate(MAX_BYTES);
         output.put(VERSION);
         writeVarint(output, window);
-        output.putDouble(share).putDouble(worthAsked).putDouble(worthCut);
+        output.putDouble(share).putDouble(worthRequested).putDouble(worthAboveCap);
         output.put((byte) byArmLane.size());
         byArmLane.forEach((armLane, sums) -> {
             output.put((byte) (armLane.lane() << 1 | armLane.arm().ordinal()));
@@ -92,23 +92,23 @@
             }
             long window = readVarint(input);
             double share = input.getDouble();
-            double worthAsked = input.getDouble();
-            double worthCut = input.getDouble();
-            int cellCount = input.get();
+            double worthRequested = input.getDouble();
+            double worthAboveCap = input.getDouble();
+            int armLaneCount = input.get();
             check(
                     window >= 0
                             && share >= 0
                             && share <= 1
-                            && worthAsked >= 0
-                            && worthAsked < 1e18
-                            && worthCut >= 0
-                            && worthCut <= worthAsked,
+                            && worthRequested >= 0
+                            && worthRequested < 1e18
+                            && worthAboveCap >= 0
+                            && worthAboveCap <= worthRequested,
                     "window, share or worth out of range");
             check(
-                    cellCount >= 0 && cellCount <= 2 * ExperimentValidator.MAX_LANES,
+                    armLaneCount >= 0 && armLaneCount <= 2 * ExperimentValidator.MAX_LANES,
                     "number of arm and lane pairs out of range");
             Map<ArmLane, Sums> byArmLane = new TreeMap<>();
-            for (int i = 0; i < cellCount; i++) {
+            for (int i = 0; i < armLaneCount; i++) {
                 int armLaneIndex = input.get();
                 check(armLaneIndex >= 0 && armLaneIndex < 2 * ExperimentValidator.MAX_LANES, "lane out of range");
                 Sums sums = new Sums(
@@ -136,7 +136,7 @@
                         "server buckets out of range");
             }
             check(!input.hasRemaining(), "trailing bytes");
-            return new Counts(window, share, byArmLane, serverBuckets, worthAsked, worthCut);
+            return new Counts(window, share, byArmLane, serverBuckets, worthRequested, worthAboveCap);
         } catch (BufferUnderflowException e) {
             throw new UnreadableException("counts truncated at " + bytes.length + " bytes");
         }
--- a/experiment/src/main/java/calicochute/experiment/EvidenceUpdater.java
+++ b/experiment/src/main/java/calicochute/experiment/EvidenceUpdater.java
@@ -107,8 +107,8 @@
             treatmentSessions,
             sealed.crossovers[0],
             sealed.crossovers[1],
-            sealed.worthAsked,
-            sealed.worthCut
+            sealed.worthRequested,
+            sealed.worthAboveCap
         };
         for (int i = 0; i < increments.length; i++) {
             state.totals[i] += increments[i];
--- a/experiment/src/main/java/calicochute/experiment/SealedWindow.java
+++ b/experiment/src/main/java/calicochute/experiment/SealedWindow.java
@@ -40,11 +40,15 @@
     }
 
     final long window;
+    /** Sums by group, lane and ordinal of the arm. */
     final Total[][][] totals;
+    /** For each arm and server bucket: number of sessions and sum of the measure. */
     final double[] serverBuckets = new double[4 * Counts.BUCKETS];
+    /** Number of crossovers by ordinal of the arm. */
     final double[] crossovers = new double[2];
-    double worthAsked;
-    double worthCut;
+
+    double worthRequested;
+    double worthAboveCap;
     private int leftOut;
     private int scaledDown;
 
@@ -117,8 +121,8 @@
         for (int i = 0; i < serverBuckets.length; i++) {
             serverBuckets[i] += factor * counts.serverBuckets().get(i) / (i % 2 == 0 ? 1 : Sums.SCALE);
         }
-        worthAsked += counts.worthAsked();
-        worthCut += counts.worthCut();
+        worthRequested += counts.worthRequested();
+        worthAboveCap += counts.worthAboveCap();
     }
 
     public long window() {
--- a/experiment/src/main/java/calicochute/experiment/SessionCounter.java
+++ b/experiment/src/main/java/calicochute/experiment/SessionCounter.java
@@ -33,6 +33,8 @@
     /**
      * A session that takes part in the experiment.
      *
+     * @param arm the arm that the session is assigned to
+     * @param window number of the window in which the session began
      * @param laneIndex index of the lane in {@link Experiment#sortedLanes()}
      * @param unit the call or the tenant
      * @param deadlineMicros deadline in microseconds of the wall clock
@@ -40,14 +42,15 @@
      */
     public record Enrollment(Arm arm, long window, int laneIndex, String unit, long deadlineMicros, boolean counted) {}
 
+    /** A window whose sessions are being counted. */
     private static final class OpenWindow {
         final double share;
         final Map<ArmLane, RunningSums> byArmLane = new TreeMap<>();
         final Map<String, RunningSums> byTenant = new HashMap<>();
         final Map<String, ArmLane> armLaneByTenant = new HashMap<>();
         final long[] serverBuckets = new long[4 * Counts.BUCKETS];
-        double worthAsked;
-        double worthCut;
+        double worthRequested;
+        double worthAboveCap;
         /** Number of unfinished sessions by deadline in units of DEADLINE_STEP_MICROS, rounded up. */
         final TreeMap<Long, Long> unfinishedByDeadline = new TreeMap<>();
 
@@ -56,6 +59,7 @@
         }
     }
 
+    /** Sums of the sessions that have ended, and the number of those that have not. */
     private static final class RunningSums {
         Sums sums = Sums.ZERO;
         long unfinished;
@@ -158,6 +162,7 @@
         return new Enrollment(arm, window, laneIndex, unit, deadlineMicros, true);
     }
 
+    /** Converts a deadline to units of DEADLINE_STEP_MICROS, rounded up. */
     private static long deadlineStep(long deadlineMicros) {
         return -Math.floorDiv(-deadlineMicros, DEADLINE_STEP_MICROS);
     }
@@ -183,7 +188,7 @@
     /**
      * Counts a session that has ended.
      *
-     * @param worthAsked requested worth of the session
+     * @param worthRequested requested worth of the session
      * @param worthServed the part of it that was served within the objective
      * @param crossover whether the assigned arm had no capacity, so that another server served the session or it was
      *     denied
@@ -191,7 +196,7 @@
      */
     public void end(
             Enrollment enrollment,
-            double worthAsked,
+            double worthRequested,
             double worthServed,
             boolean failed,
             boolean crossover,
@@ -205,13 +210,13 @@
             return;
         }
         double cap = experiment.measure().most();
-        double weight = cap > 0 ? Math.min(worthAsked, cap) / cap : 1;
-        double servedShare = worthAsked > 0 ? Math.max(0, Math.min(1, worthServed / worthAsked)) : 0;
+        double weight = cap > 0 ? Math.min(worthRequested, cap) / cap : 1;
+        double servedShare = worthRequested > 0 ? Math.max(0, Math.min(1, worthServed / worthRequested)) : 0;
         long scaledValue = Math.round(weight * servedShare * Sums.SCALE);
         openWindow.unfinishedByDeadline.computeIfPresent(
                 deadlineStep(enrollment.deadlineMicros()), (any, count) -> count > 1 ? count - 1 : null);
-        openWindow.worthAsked += Math.max(0, worthAsked);
-        openWindow.worthCut += cap > 0 ? Math.max(0, worthAsked - cap) : 0;
+        openWindow.worthRequested += Math.max(0, worthRequested);
+        openWindow.worthAboveCap += cap > 0 ? Math.max(0, worthRequested - cap) : 0;
         RunningSums running = experiment.unit() == Unit.TENANT
                 ? openWindow.byTenant.get(enrollment.unit())
                 : openWindow.byArmLane.get(new ArmLane(enrollment.arm(), enrollment.laneIndex()));
@@ -269,7 +274,12 @@
             serverBuckets.add(value);
         }
         return new Counts(
-                window, openWindow.share, byArmLane, serverBuckets, openWindow.worthAsked, openWindow.worthCut);
+                window,
+                openWindow.share,
+                byArmLane,
+                serverBuckets,
+                openWindow.worthRequested,
+                openWindow.worthAboveCap);
     }
 
     /** Counts the unfinished sessions, which have passed their deadline, as failed. */
--- a/experiment/src/main/java/calicochute/experiment/State.java
+++ b/experiment/src/main/java/calicochute/experiment/State.java
@@ -15,16 +15,22 @@
     /** Number of floats of a predictor: mean and weight of the treatment, then of the control. */
     static final int PREDICTOR_FLOATS = 4;
 
+    /** Hash of the experiment's definition, {@link Stopper#definition()}. */
     final int definition;
+
     final long firstWindow;
     long window;
     double share;
+    /** Share from {@code nextShareWindow} on. */
     double nextShare;
+
     long nextShareWindow = Long.MAX_VALUE;
     Verdict verdict = Verdict.NONE;
     long verdictWindow = -1;
     int trippedGuard = -1;
+    /** Number of rollout steps that were scheduled. */
     int rolloutStep;
+
     EnumSet<Note> notes = EnumSet.noneOf(Note.class);
     long leftOut;
     /** Log wealth of {@link EffectEvidence}, by hypothesis, bet and group. */
@@ -87,6 +93,7 @@
         return copy;
     }
 
+    /** All float arrays, in the order of serialization. */
     float[][] floats() {
         return new float[][] {
             effectLogWealth, harmLogWealth, lanePredictors, guardPredictors, varianceSums, groupSums, serverBuckets
@@ -102,7 +109,7 @@
         return verdict;
     }
 
-    /** The first window that counts. */
+    /** The first window whose sessions count. */
     public long firstWindow() {
         return firstWindow;
     }
@@ -170,6 +177,7 @@
         return leftOut;
     }
 
+    /** Sum of a column of {@code groupSums} over all groups. */
     double groupSum(int column) {
         double sum = 0;
         for (int g = 0; g < SealedWindow.GROUPS; g++) {
--- a/experiment/src/main/java/calicochute/experiment/Stopper.java
+++ b/experiment/src/main/java/calicochute/experiment/Stopper.java
@@ -11,8 +11,9 @@
  * a pure function, equal at every balancer, and its verdicts are valid at any window.
  *
  * <p>A fifth of the error rate goes to the guards, if there are any, and half of the rest to a verdict for either arm.
- * NO_DIFFERENCE uses the error rate of one arm again: whatever the true effect is, a false NO_DIFFERENCE and a false
- * verdict for the other arm are not both possible. Notes only withhold verdicts and can only make false ones rarer.
+ * NO_DIFFERENCE reuses the error rate of one arm: it is false only if the true effect is at least `least` in one
+ * direction, and then the verdict for the better arm is not false and its error rate is not needed. Notes only withhold
+ * verdicts and can only make false ones rarer.
  */
 public final class Stopper {
     /** Share of the error rate that goes to the guards. */
@@ -22,13 +23,19 @@
 
     private final Experiment experiment;
     private final int leadWindows;
+    /** Number of windows after which the experiment ends undecided. */
     private final long maxWindows;
+    /** Number of windows for which a rollout step is held. */
     private final long stepWindows;
+
     private final List<String> lanes;
+    /** Log evidence required for a verdict for one arm. */
     private final double armLogThreshold;
+    /** Log evidence required for the verdict HARM by one guard. */
     private final double guardLogThreshold;
+
     private final int definition;
-    private final EvidenceUpdater ledger;
+    private final EvidenceUpdater evidenceUpdater;
 
     /**
      * Creates the stopping rule of an experiment.
@@ -48,7 +55,7 @@
                 * GUARD_ERROR_SHARE
                 / Math.max(1, experiment.guards().size()));
         definition = definitionHash(experiment);
-        ledger = new EvidenceUpdater(experiment, lanes);
+        evidenceUpdater = new EvidenceUpdater(experiment, lanes);
     }
 
     /** Error rate of a verdict for one arm. */
@@ -108,7 +115,7 @@
      * @throws IllegalArgumentException if the share is out of range, the window is already sealed, or an earlier change
      *     is not sealed yet
      */
-    public State moveShare(State state, double share, long fromWindow) {
+    public State changeShare(State state, double share, long fromWindow) {
         boolean pending = state.nextShareWindow != Long.MAX_VALUE && state.nextShareWindow > state.window + 1;
         if (!ExperimentValidator.isShareInRange(share) || fromWindow <= state.window || pending) {
             throw new IllegalArgumentException("invalid change to share " + share + " from window " + fromWindow
@@ -121,6 +128,7 @@
         return next;
     }
 
+    /** Sets the share from a window on; earlier windows keep theirs. */
     private static void scheduleShare(State state, double share, long fromWindow) {
         state.share = state.share(fromWindow - 1);
         state.nextShare = share;
@@ -142,14 +150,14 @@
         boolean mixed = p > 0 && p < 1;
         if (state.verdict == Verdict.NONE) {
             if (mixed) {
-                ledger.updateGuards(next, sealed, p);
-                ledger.updateEffect(next, sealed, p);
+                evidenceUpdater.updateGuards(next, sealed, p);
+                evidenceUpdater.updateEffect(next, sealed, p);
             }
             decide(next);
         } else if (state.verdict == Verdict.TREATMENT
                 && !experiment.after().steps().isEmpty()) {
             if (mixed) {
-                ledger.updateGuards(next, sealed, p);
+                evidenceUpdater.updateGuards(next, sealed, p);
             }
             advanceRollout(next);
         }
--- a/experiment/src/main/java/calicochute/experiment/seal/Codec.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Codec.java
@@ -122,15 +122,17 @@
         return message;
     }
 
-    byte[] write(AcceptorState typed) {
+    /** Serializes the persisted state, with a checksum at the end. */
+    byte[] write(AcceptorState state) {
         ByteBuffer output = header(ByteBuffer.allocate(2 * MAX_MESSAGE_BYTES), STATE_KIND);
         put(
-                put(put(output, typed.newestEpoch()).put(flagByte(typed.canVote())), typed.decidedSlot()),
-                typed.decidedValue());
-        put(put(put(output, typed.promisedBallot()), typed.acceptedBallot()), typed.acceptedValue());
+                put(put(output, state.newestEpoch()).put(flagByte(state.canVote())), state.decidedSlot()),
+                state.decidedValue());
+        put(put(put(output, state.promisedBallot()), state.acceptedBallot()), state.acceptedValue());
         return toBytes(output.putInt(checksum(output.array(), output.position())));
     }
 
+    /** Parses and validates a persisted state. */
     AcceptorState readState(byte[] bytes) throws MalformedException {
         if (bytes.length < HEADER_BYTES + 4) {
             throw new MalformedException(RejectReason.TRUNCATED);
--- a/experiment/src/main/java/calicochute/experiment/seal/Effect.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Effect.java
@@ -27,7 +27,7 @@
          * Whether the previous epoch ended because too many peers had lost their state. Values of that epoch later than
          * the base slot are discarded.
          */
-        public boolean memoryLost() {
+        public boolean stateLost() {
             return !previousSlot.equals(SlotId.NONE);
         }
     }
--- a/experiment/src/main/java/calicochute/experiment/seal/Message.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Message.java
@@ -52,7 +52,7 @@
     record Rejected(SlotId slotId, Ballot ballot, Ballot promisedBallot) implements Message {}
 
     /**
-     * Tells that a slot is decided.
+     * Announces that a slot is decided.
      *
      * @param ballot the deciding ballot, whose acceptors know the value, or {@link Ballot#NONE}
      */
--- a/experiment/src/main/java/calicochute/experiment/seal/Register.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Register.java
@@ -19,7 +19,7 @@
     public static final int MAX_VALUE_BYTES = Codec.MAX_VALUE_BYTES;
     /** Largest number of peers. */
     public static final int MAX_PEERS = 400;
-    /** Number of peers that are told the newest decided slot per interval. */
+    /** Number of peers to which the newest decided slot is announced per interval. */
     private static final int ANNOUNCEMENT_FANOUT = 2;
 
     private final Codec codec;
--- a/experiment/src/main/java/calicochute/experiment/seal/Timing.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Timing.java
@@ -5,7 +5,7 @@
  *
  * @param retryMicros delay until an unanswered message is sent again for the first time
  * @param takeoverMicros time that a proposer waits for each rank before its own
- * @param announceMicros interval at which the newest decided slot is told to a few peers
+ * @param announceMicros interval at which the newest decided slot is announced to a few peers
  * @param statusRequestMicros initial interval of status requests of an abstaining peer; doubles up to eight times this
  * @param settleMicros for how long a new epoch must seem necessary before it is formed
  * @param commitWindowMicros for how long commits to a new epoch are counted
--- a/experiment/src/main/java/calicochute/experiment/seal/package-info.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/package-info.java
@@ -52,6 +52,9 @@
  *
  * <p><b>Cost.</b> With N peers, a slot costs the proposer 2 N small messages, N messages with the value, and 2 N small
  * replies. The decision is announced with the ballot, so that peers that accepted the value know it; the others request
- * it. Each second a peer tells two others its newest decided slot, so that a peer that missed a decision catches up.
+ * it. Each second a peer announces its newest decided slot to two others, so that a peer that missed a decision catches
+ * up.
+ *
+ * <p>All times in this package are in microseconds.
  */
 package calicochute.experiment.seal;
--- a/experiment/src/test/java/calicochute/experiment/Comparison.java
+++ b/experiment/src/test/java/calicochute/experiment/Comparison.java
@@ -365,8 +365,8 @@
                 counts.share(),
                 byArmLane,
                 counts.serverBuckets(),
-                counts.worthAsked(),
-                counts.worthCut());
+                counts.worthRequested(),
+                counts.worthAboveCap());
     }
 
     private static String text(long sessions) {
--- a/experiment/src/test/java/calicochute/experiment/CountsTest.java
+++ b/experiment/src/test/java/calicochute/experiment/CountsTest.java
@@ -33,9 +33,14 @@
             serverBuckets.add(sessions);
             serverBuckets.add(random.nextLong(sessions * 1024 + 1));
         }
-        double worthAsked = random.nextDouble() * 1e6;
+        double worthRequested = random.nextDouble() * 1e6;
         return new Counts(
-                window, random.nextDouble(), byArmLane, serverBuckets, worthAsked, worthAsked * random.nextDouble());
+                window,
+                random.nextDouble(),
+                byArmLane,
+                serverBuckets,
+                worthRequested,
+                worthRequested * random.nextDouble());
     }
 
     @Property(tries = 300)
--- a/experiment/src/test/java/calicochute/experiment/HardCasesTest.java
+++ b/experiment/src/test/java/calicochute/experiment/HardCasesTest.java
@@ -45,8 +45,8 @@
                 counts.share(),
                 byArmLane,
                 counts.serverBuckets(),
-                counts.worthAsked(),
-                counts.worthCut());
+                counts.worthRequested(),
+                counts.worthAboveCap());
     }
 
     /**
@@ -58,7 +58,7 @@
         int wrong = 0;
         for (int seed = 0; seed < 40; seed++) {
             SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.1, 0.05, 200), seed);
-            sim.state = sim.stopper.moveShare(sim.state, 0.5, 20);
+            sim.state = sim.stopper.changeShare(sim.state, 0.5, 20);
             for (int step = 0; step < 120; step++) {
                 sim.advance(
                         100,
@@ -76,7 +76,7 @@
     @Test
     void countsUnderTheOldShareAreLeftOut() {
         SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.1, 0.05, 200), 1);
-        sim.state = sim.stopper.moveShare(sim.state, 0.5, 1);
+        sim.state = sim.stopper.changeShare(sim.state, 0.5, 1);
         sim.advance(100, SimulatedExperiment.served(1, 1), null);
         sim.advance(
                 100,
--- a/experiment/src/test/java/calicochute/experiment/SessionCounterTest.java
+++ b/experiment/src/test/java/calicochute/experiment/SessionCounterTest.java
@@ -129,8 +129,8 @@
                 "");
         Counts counts = counter.closeWindows(60 * SECOND_MICROS).get(0);
         assertEquals(new Sums(3, 1536, 1024 * 1024 + 512 * 512, 1024, 0, 0), total(counts));
-        assertEquals(2005, counts.worthAsked());
-        assertEquals(1980, counts.worthCut());
+        assertEquals(2005, counts.worthRequested());
+        assertEquals(1980, counts.worthAboveCap());
     }
 
     @Test
--- a/experiment/src/test/java/calicochute/experiment/SimulatedExperiment.java
+++ b/experiment/src/test/java/calicochute/experiment/SimulatedExperiment.java
@@ -85,11 +85,11 @@
             double value = outcome.draw(random, lane, arm, window);
             long scaledValue = Math.round(Math.max(0, value) * Sums.SCALE);
             int balancer = random.nextInt(PEERS.size());
-            long[] cellSums = sums[balancer][lane * 2 + arm.ordinal()];
-            cellSums[0]++;
-            cellSums[1] += scaledValue;
-            cellSums[2] += scaledValue * scaledValue;
-            cellSums[3] += value < 0 ? Sums.SCALE : 0;
+            long[] armLaneSums = sums[balancer][lane * 2 + arm.ordinal()];
+            armLaneSums[0]++;
+            armLaneSums[1] += scaledValue;
+            armLaneSums[2] += scaledValue * scaledValue;
+            armLaneSums[3] += value < 0 ? Sums.SCALE : 0;
             int bucket = 2 * (arm.ordinal() * 4 + serverBucket);
             serverBuckets[balancer][bucket]++;
             serverBuckets[balancer][bucket + 1] += scaledValue;
@@ -97,14 +97,14 @@
         Map<String, Counts> countsByOrigin = new TreeMap<>();
         for (int balancerIndex = 0; balancerIndex < PEERS.size(); balancerIndex++) {
             Map<ArmLane, Sums> byArmLane = new TreeMap<>();
-            for (int cellIndex = 0; cellIndex < 4; cellIndex++) {
+            for (int armLaneIndex = 0; armLaneIndex < 4; armLaneIndex++) {
                 byArmLane.put(
-                        new ArmLane(Arm.values()[cellIndex % 2], cellIndex / 2),
+                        new ArmLane(Arm.values()[armLaneIndex % 2], armLaneIndex / 2),
                         new Sums(
-                                sums[balancerIndex][cellIndex][0],
-                                sums[balancerIndex][cellIndex][1],
-                                sums[balancerIndex][cellIndex][2],
-                                sums[balancerIndex][cellIndex][3],
+                                sums[balancerIndex][armLaneIndex][0],
+                                sums[balancerIndex][armLaneIndex][1],
+                                sums[balancerIndex][armLaneIndex][2],
+                                sums[balancerIndex][armLaneIndex][3],
                                 0,
                                 0));
             }
--- a/experiment/src/test/java/calicochute/experiment/StopperTest.java
+++ b/experiment/src/test/java/calicochute/experiment/StopperTest.java
@@ -255,11 +255,11 @@
         SimulatedExperiment sim = new SimulatedExperiment(SimulatedExperiment.experiment(0.2, 0.05, 1000), 1);
         sim.advance(10, SimulatedExperiment.served(1, 1), null);
         for (double share : new double[] {0, 1, -1, Double.NaN}) {
-            assertThrows(IllegalArgumentException.class, () -> sim.stopper.moveShare(sim.state, share, 10));
+            assertThrows(IllegalArgumentException.class, () -> sim.stopper.changeShare(sim.state, share, 10));
         }
-        assertThrows(IllegalArgumentException.class, () -> sim.stopper.moveShare(sim.state, 0.5, 0));
-        State moved = sim.stopper.moveShare(sim.state, 0.5, 9);
+        assertThrows(IllegalArgumentException.class, () -> sim.stopper.changeShare(sim.state, 0.5, 0));
+        State moved = sim.stopper.changeShare(sim.state, 0.5, 9);
         assertEquals(0.2, moved.share(8));
-        assertThrows(IllegalArgumentException.class, () -> sim.stopper.moveShare(moved, 0.6, 12));
+        assertThrows(IllegalArgumentException.class, () -> sim.stopper.changeShare(moved, 0.6, 12));
     }
 }
--- a/experiment/src/test/java/calicochute/experiment/seal/ModelTest.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/ModelTest.java
@@ -180,6 +180,7 @@
             if (world.crashes > 0) {
                 next.add(successor(world, crashingPeer, CRASH));
             }
+            // The second byte of a message is its kind; 9 is Rejected.
             boolean rejected = world.sentIds.stream()
                     .anyMatch(datagramId -> datagrams.get(datagramId).recipient == 0
                             && datagrams.get(datagramId).bytes.charAt(1) == 9);
--- a/experiment/src/test/java/calicochute/experiment/seal/RegisterTest.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/RegisterTest.java
@@ -56,7 +56,7 @@
         assertEquals(minoritySlot, Math.max(fleet.nodes[0].slotNumber(), fleet.nodes[1].slotNumber()));
         assertTrue(fleet.nodes[2].slotNumber() > majoritySlot + 10);
         assertTrue(fleet.recovers(50));
-        assertEquals(List.of(), fleet.memoryLosses);
+        assertEquals(List.of(), fleet.stateLosses);
     }
 
     @Test
@@ -72,7 +72,7 @@
         }
         assertTrue(fleet.recovers(100));
         assertEquals(first.epoch(), fleet.newest().epoch());
-        assertEquals(List.of(), fleet.memoryLosses);
+        assertEquals(List.of(), fleet.stateLosses);
     }
 
     @Test
@@ -87,7 +87,7 @@
         fleet.ticks(100);
         assertTrue(fleet.newest().epoch().compareTo(old.epoch()) > 0);
         assertTrue(fleet.recovers(100));
-        assertEquals(List.of(), fleet.memoryLosses, "no peer is left that knows the old epoch");
+        assertEquals(List.of(), fleet.stateLosses, "no peer is left that knows the old epoch");
     }
 
     @Test
@@ -104,11 +104,11 @@
                 && fleet.newest().slot() > old.slot());
         assertEquals(
                 1,
-                fleet.memoryLosses.stream()
+                fleet.stateLosses.stream()
                         .map(b -> b.baseSlot().epoch())
                         .distinct()
                         .count());
-        assertTrue(fleet.memoryLosses.get(0).baseSlot().slot() >= old.slot());
+        assertTrue(fleet.stateLosses.get(0).baseSlot().slot() >= old.slot());
     }
 
     @Test
--- a/experiment/src/test/java/calicochute/experiment/seal/SimulatedFleet.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/SimulatedFleet.java
@@ -18,11 +18,15 @@
     final byte[][] persistedStates;
     final boolean[] persistent;
     final boolean[] stopped;
+    /** Partition of each peer; messages are delivered within a partition only. */
     final int[] partition;
-    final List<Effect.EpochBegun> memoryLosses = new ArrayList<>();
+
+    final List<Effect.EpochBegun> stateLosses = new ArrayList<>();
     private final Map<SlotId, String> valueBySlot = new HashMap<>();
-    private final PriorityQueue<Datagram> inFlight = new PriorityQueue<>((a, b) ->
-            a.deliverAt != b.deliverAt ? Long.compare(a.deliverAt, b.deliverAt) : Long.compare(a.sequence, b.sequence));
+    private final PriorityQueue<Datagram> inFlight =
+            new PriorityQueue<>((first, second) -> first.deliverAt != second.deliverAt
+                    ? Long.compare(first.deliverAt, second.deliverAt)
+                    : Long.compare(first.sequence, second.sequence));
     private final SplittableRandom random;
     long nowMicros = 1_000_000_000;
     double lossProbability;
@@ -32,17 +36,17 @@
     private long nextSequence;
     long sentMessages;
 
-    SimulatedFleet(int many, long seed) {
+    SimulatedFleet(int peerCount, long seed) {
         random = new SplittableRandom(seed);
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < peerCount; i++) {
             ids.add(String.format("lb-%03d", i));
         }
-        nodes = new Register[many];
-        persistedStates = new byte[many][];
-        persistent = new boolean[many];
-        stopped = new boolean[many];
-        partition = new int[many];
-        for (int i = 0; i < many; i++) {
+        nodes = new Register[peerCount];
+        persistedStates = new byte[peerCount][];
+        persistent = new boolean[peerCount];
+        stopped = new boolean[peerCount];
+        partition = new int[peerCount];
+        for (int i = 0; i < peerCount; i++) {
             restart(i, false);
         }
     }
@@ -72,8 +76,8 @@
                     nodes[peer].persisted(persist.token());
                 } else if (effect instanceof Effect.Send send) {
                     send(peer, ids.indexOf(send.recipient()), send.message());
-                } else if (effect instanceof Effect.EpochBegun begun && begun.memoryLost()) {
-                    memoryLosses.add(begun);
+                } else if (effect instanceof Effect.EpochBegun begun && begun.stateLost()) {
+                    stateLosses.add(begun);
                 }
             }
             assertAgreement(nodes[peer]);
@@ -135,8 +139,8 @@
         }
     }
 
-    void ticks(int many) {
-        for (int i = 0; i < many; i++) {
+    void ticks(int count) {
+        for (int i = 0; i < count; i++) {
             tick();
         }
     }
