--- a/experiment/src/test/java/calicochute/experiment/AssignmentTest.java
+++ b/experiment/src/test/java/calicochute/experiment/AssignmentTest.java
@@ -9,6 +9,7 @@
 import net.jqwik.api.constraints.DoubleRange;
 import org.junit.jupiter.api.Test;
 
+/** Assignment must be stable across releases, monotonic in the share, and independent between experiments. */
 class AssignmentTest {
     private static Experiment experiment(String name, String salt) {
         return new Experiment(
--- a/experiment/src/test/java/calicochute/experiment/CountsTest.java
+++ b/experiment/src/test/java/calicochute/experiment/CountsTest.java
@@ -15,6 +15,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
+/** Serialization of counts, rejection of impossible values, and merging of counts from several balancers. */
 class CountsTest {
     private static Counts randomCounts(SplittableRandom random, long window) {
         Map<ArmLane, Sums> byArmLane = new TreeMap<>();
--- a/experiment/src/test/java/calicochute/experiment/ExperimentValidatorTest.java
+++ b/experiment/src/test/java/calicochute/experiment/ExperimentValidatorTest.java
@@ -16,6 +16,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Each mistake in the configuration of an experiment must be reported with its code. */
 class ExperimentValidatorTest {
     private static final Context CONTEXT = new Context(
             List.of(
--- a/experiment/src/test/java/calicochute/experiment/SessionCounterTest.java
+++ b/experiment/src/test/java/calicochute/experiment/SessionCounterTest.java
@@ -14,6 +14,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Each unit must be counted once, in the window and arm that it was assigned to. */
 class SessionCounterTest {
     private static final long SECOND_MICROS = 1_000_000;
     private double share = 0.5;
--- a/experiment/src/test/java/calicochute/experiment/StopperTest.java
+++ b/experiment/src/test/java/calicochute/experiment/StopperTest.java
@@ -21,9 +21,11 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
+/** Error rate and power of the verdicts, the guards, the rollout, and the serialization of the state. */
 class StopperTest {
     private static final Guard GUARD = new Guard("order-copy", 0.01);
 
+    /** Number of runs that end with each verdict, by simulations with the seeds 0 to {@code runs} - 1. */
     private static Map<Verdict, Long> verdicts(
             int runs,
             double share,
--- a/experiment/src/test/java/calicochute/experiment/seal/ModelTest.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/ModelTest.java
@@ -56,6 +56,7 @@
         return node;
     }
 
+    /** Performs the effects of a peer and returns its new state and the datagrams it sent. */
     private Step runEffects(int peer, Register node, byte[] previouslyPersisted) {
         byte[] persisted = previouslyPersisted;
         List<Integer> sent = new ArrayList<>();
@@ -100,6 +101,7 @@
         }
     }
 
+    /** Applies an event to a peer state; results are cached. */
     private Step step(int peerStateId, int event) {
         return steps.computeIfAbsent(List.of(peerStateId, event), x -> {
             PeerState previous = peerStates.get(peerStateId);
@@ -128,6 +130,7 @@
         });
     }
 
+    /** The world after an event at a peer. */
     private World successor(World world, int peer, int event) {
         Step step = step(world.peerStateIds.get(peer), event);
         List<Integer> next = new ArrayList<>(world.peerStateIds);
--- a/experiment/src/test/java/calicochute/experiment/seal/RegisterTest.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/RegisterTest.java
@@ -16,6 +16,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
+/** Agreement and progress of the register under network faults, partitions and restarts with or without state. */
 class RegisterTest {
     @Property(tries = 600, shrinking = ShrinkingMode.OFF, seed = "5")
     void agreesUnderFaultsAndRecovers(@ForAll @IntRange(min = 3, max = 9) int peerCount, @ForAll long seed) {
@@ -174,6 +175,7 @@
         assertTrue(twoReplies.canVote());
     }
 
+    /** Parses the first message that was sent. */
     private static Message sent(Codec codec, List<Effect> effects) {
         try {
             return codec.read(((Effect.Send) effects.get(0)).message());
--- a/experiment/src/test/java/calicochute/experiment/seal/SimulatedFleet.java
+++ b/experiment/src/test/java/calicochute/experiment/seal/SimulatedFleet.java
@@ -17,11 +17,14 @@
     final Register[] nodes;
     final byte[][] persistedStates;
     final boolean[] persistent;
+    /** Whether each peer is paused. */
     final boolean[] stopped;
     /** Partition of each peer; messages are delivered within a partition only. */
     final int[] partition;
 
+    /** New epochs that began because peers had lost their state, as reported by each peer. */
     final List<Effect.EpochBegun> stateLosses = new ArrayList<>();
+
     private final Map<SlotId, String> valueBySlot = new HashMap<>();
     private final PriorityQueue<Datagram> inFlight =
             new PriorityQueue<>((first, second) -> first.deliverAt != second.deliverAt
@@ -32,7 +35,9 @@
     double lossProbability;
     double duplicateProbability;
     long maxDelayMicros = 5 * MICROS_PER_MILLI;
+    /** Whether ranks follow the order of the peers; random otherwise. */
     boolean orderedRanks = true;
+
     private long nextSequence;
     long sentMessages;
 
@@ -51,6 +56,7 @@
         }
     }
 
+    /** Starts a new process of a peer, with or without the state that it persisted. */
     void restart(int peer, boolean withState) {
         if (!withState) {
             persistedStates[peer] = null;
@@ -67,6 +73,7 @@
                 Timing.DEFAULT);
     }
 
+    /** Performs the effects of a peer. */
     void runEffects(int peer) {
         List<Effect> effects;
         while (!(effects = nodes[peer].effects()).isEmpty()) {
