--- a/experiment/src/main/java/calicochute/experiment/Sums.java
+++ b/experiment/src/main/java/calicochute/experiment/Sums.java
@@ -8,14 +8,15 @@
  * @param sum sum of the measure, in units of 1 / {@link #SCALE}
  * @param sumOfSquares sum of the squared measure, in units of 1 / SCALE squared
  * @param failures number of failures, in units of 1 / SCALE; a tenant can fail in part
- * @param crossovers number of sessions that another arm's server served, or that were denied, because the assigned arm
- *     had no capacity or no server
+ * @param crossovers number of sessions that a server outside the assigned arm served, or that were denied, because the
+ *     arm had no capacity or no server
  * @param retries number of retries of units counted before; not included in {@code count}
  */
 public record Sums(long count, long sum, long sumOfSquares, long failures, long crossovers, long retries) {
     /** Fixed-point units per 1.0. */
     public static final long SCALE = 1024;
 
+    /** The sums of no sessions. */
     static final Sums ZERO = new Sums(0, 0, 0, 0, 0, 0);
     /** Exclusive bound on counts. */
     private static final long MAX_COUNT = 1L << 32;
