--- a/experiment/src/main/java/calicochute/experiment/Counts.java
+++ b/experiment/src/main/java/calicochute/experiment/Counts.java
@@ -8,128 +8,165 @@
 import java.util.TreeMap;
 
 /**
- * One window at one balancer, whole: repeating it is harmless.
+ * The complete counts of one window at one balancer. A receiver may get the same counts several times without effect.
  *
- * @param share with which its sessions were assigned
- * @param cells by arm and place of the lane (alphabetically among the experiment's)
- * @param parts for each arm four parts of its servers, by hash of the id: sessions, sum in ths, in turn
- * @param asked worth asked for, before the cut
- * @param cut of which was cut off
+ * @param window number of the window
+ * @param share share of the treatment with which the window's sessions were assigned
+ * @param byArmLane sums for each arm and lane
+ * @param serverBuckets for each arm, its servers divided into {@link #BUCKETS} buckets by the hash of the server id:
+ *     alternating the number of sessions and the sum of the measure in units of 1 / {@link Sums#SCALE}
+ * @param worthRequested total worth of the sessions, before the cap of {@code measure.most}
+ * @param worthAboveCap the part of {@code worthRequested} above the cap
  */
-public record Counts(long window, double share, Map<Cell, Sums> cells, List<Long> parts, double asked, double cut) {
-    /** Arm and lane. */
-    public record Cell(Arm arm, int lane) implements Comparable<Cell> {
+public record Counts(
+        long window,
+        double share,
+        Map<ArmLane, Sums> byArmLane,
+        List<Long> serverBuckets,
+        double worthRequested,
+        double worthAboveCap) {
+    /**
+     * An arm and a lane of it.
+     *
+     * @param lane index of the lane in the experiment's lanes, sorted by name
+     */
+    public record ArmLane(Arm arm, int lane) implements Comparable<ArmLane> {
         @Override
-        public int compareTo(Cell o) {
-            return arm == o.arm ? Integer.compare(lane, o.lane) : arm.compareTo(o.arm);
+        public int compareTo(ArmLane other) {
+            return arm == other.arm ? Integer.compare(lane, other.lane) : arm.compareTo(other.arm);
         }
     }
 
-    static final int PARTS = 4;
+    /** Number of server buckets of an arm. */
+    static final int BUCKETS = 4;
+    /** Version of the serialized form. */
     private static final byte VERSION = 1;
-    /** What 16 cells and the parts can take at most. */
-    static final int MOST_BYTES = 1000;
+    /** Largest serialized size in bytes: 16 pairs of arm and lane, and the server buckets. */
+    static final int MAX_BYTES = 1000;
 
     public Counts {
-        cells = java.util.Collections.unmodifiableMap(new TreeMap<>(cells));
-        parts = List.copyOf(parts);
+        byArmLane = java.util.Collections.unmodifiableMap(new TreeMap<>(byArmLane));
+        serverBuckets = List.copyOf(serverBuckets);
     }
 
+    /** Number of sessions (or tenants) counted in all arms and lanes. */
     long sessions() {
-        return cells.values().stream().mapToLong(Sums::n).sum();
+        return byArmLane.values().stream().mapToLong(Sums::count).sum();
     }
 
-    public byte[] bytes() {
-        ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
-        out.put(VERSION);
-        put(out, window);
-        out.putDouble(share).putDouble(asked).putDouble(cut);
-        out.put((byte) cells.size());
-        cells.forEach((cell, sums) -> {
-            out.put((byte) (cell.lane() << 1 | cell.arm().ordinal()));
-            for (long value :
-                    new long[] {sums.n(), sums.sum(), sums.squares(), sums.failures(), sums.crossed(), sums.repeats()
-                    }) {
-                put(out, value);
+    /** Serializes the counts to at most {@link #MAX_BYTES} bytes. */
+    public byte[] toBytes() {
+        ByteBuffer output = ByteBuffer.allocate(MAX_BYTES);
+        output.put(VERSION);
+        writeVarint(output, window);
+        output.putDouble(share).putDouble(worthRequested).putDouble(worthAboveCap);
+        output.put((byte) byArmLane.size());
+        byArmLane.forEach((armLane, sums) -> {
+            output.put((byte) (armLane.lane() << 1 | armLane.arm().ordinal()));
+            for (long value : new long[] {
+                sums.count(), sums.sum(), sums.sumOfSquares(), sums.failures(), sums.crossovers(), sums.retries()
+            }) {
+                writeVarint(output, value);
             }
         });
-        parts.forEach(value -> put(out, value));
-        byte[] bytes = new byte[out.flip().remaining()];
-        out.get(bytes);
+        serverBuckets.forEach(value -> writeVarint(output, value));
+        byte[] bytes = new byte[output.flip().remaining()];
+        output.get(bytes);
         return bytes;
     }
 
-    public static Counts of(byte[] bytes) throws UnreadableException {
-        if (bytes.length > MOST_BYTES) {
-            throw new UnreadableException("counts of " + bytes.length + " bytes");
+    /**
+     * Parses the output of {@link #toBytes}.
+     *
+     * @throws UnreadableException if the bytes have another version or length, or hold values that no counting can give
+     */
+    public static Counts fromBytes(byte[] bytes) throws UnreadableException {
+        if (bytes.length > MAX_BYTES) {
+            throw new UnreadableException("counts have " + bytes.length + " bytes, more than allowed");
         }
-        ByteBuffer in = ByteBuffer.wrap(bytes);
+        ByteBuffer input = ByteBuffer.wrap(bytes);
         try {
-            byte version = in.get();
+            byte version = input.get();
             if (version != VERSION) {
-                throw new UnreadableException("counts of version " + version);
+                throw new UnreadableException("counts have unknown version " + version);
             }
-            long window = take(in);
-            double share = in.getDouble();
-            double asked = in.getDouble();
-            double cut = in.getDouble();
-            int many = in.get();
+            long window = readVarint(input);
+            double share = input.getDouble();
+            double worthRequested = input.getDouble();
+            double worthAboveCap = input.getDouble();
+            int armLaneCount = input.get();
             check(
-                    window >= 0 && share >= 0 && share <= 1 && asked >= 0 && asked < 1e18 && cut >= 0 && cut <= asked,
-                    "window, share or worth");
-            check(many >= 0 && many <= 2 * ExperimentCheck.MOST_LANES, "number of cells");
-            Map<Cell, Sums> cells = new TreeMap<>();
-            for (int i = 0; i < many; i++) {
-                int at = in.get();
-                check(at >= 0 && at < 2 * ExperimentCheck.MOST_LANES, "lane");
-                Sums sums = new Sums(take(in), take(in), take(in), take(in), take(in), take(in));
-                check(sums.possible(), "sums");
-                check(cells.put(new Cell(Arm.values()[at & 1], at >> 1), sums) == null, "cell twice");
+                    window >= 0
+                            && share >= 0
+                            && share <= 1
+                            && worthRequested >= 0
+                            && worthRequested < 1e18
+                            && worthAboveCap >= 0
+                            && worthAboveCap <= worthRequested,
+                    "window, share or worth out of range");
+            check(
+                    armLaneCount >= 0 && armLaneCount <= 2 * ExperimentValidator.MAX_LANES,
+                    "number of arm and lane pairs out of range");
+            Map<ArmLane, Sums> byArmLane = new TreeMap<>();
+            for (int i = 0; i < armLaneCount; i++) {
+                int armLaneIndex = input.get();
+                check(armLaneIndex >= 0 && armLaneIndex < 2 * ExperimentValidator.MAX_LANES, "lane out of range");
+                Sums sums = new Sums(
+                        readVarint(input),
+                        readVarint(input),
+                        readVarint(input),
+                        readVarint(input),
+                        readVarint(input),
+                        readVarint(input));
+                check(sums.isConsistent(), "inconsistent sums");
+                check(
+                        byArmLane.put(new ArmLane(Arm.values()[armLaneIndex & 1], armLaneIndex >> 1), sums) == null,
+                        "duplicate arm and lane");
             }
-            List<Long> parts = new ArrayList<>();
-            for (int i = 0; i < 4 * PARTS; i++) {
-                parts.add(take(in));
+            List<Long> serverBuckets = new ArrayList<>();
+            for (int i = 0; i < 4 * BUCKETS; i++) {
+                serverBuckets.add(readVarint(input));
             }
-            for (int i = 0; i < 4 * PARTS; i += 2) {
+            for (int i = 0; i < 4 * BUCKETS; i += 2) {
                 check(
-                        parts.get(i) >= 0
-                                && parts.get(i) < 1L << 32
-                                && parts.get(i + 1) >= 0
-                                && parts.get(i + 1) <= parts.get(i) * Sums.PARTS,
-                        "parts");
+                        serverBuckets.get(i) >= 0
+                                && serverBuckets.get(i) < 1L << 32
+                                && serverBuckets.get(i + 1) >= 0
+                                && serverBuckets.get(i + 1) <= serverBuckets.get(i) * Sums.SCALE,
+                        "server buckets out of range");
             }
-            check(!in.hasRemaining(), "length");
-            return new Counts(window, share, cells, parts, asked, cut);
+            check(!input.hasRemaining(), "trailing bytes");
+            return new Counts(window, share, byArmLane, serverBuckets, worthRequested, worthAboveCap);
         } catch (BufferUnderflowException e) {
-            throw new UnreadableException("counts cut short at " + bytes.length + " bytes");
+            throw new UnreadableException("counts truncated at " + bytes.length + " bytes");
         }
     }
 
-    private static void check(boolean good, String what) throws UnreadableException {
-        if (!good) {
-            throw new UnreadableException("counts of an impossible " + what);
+    private static void check(boolean valid, String problem) throws UnreadableException {
+        if (!valid) {
+            throw new UnreadableException("invalid counts: " + problem);
         }
     }
 
-    /** Seven bits a byte, the lowest first. */
-    private static void put(ByteBuffer out, long value) {
-        long left = value;
-        while ((left & ~0x7FL) != 0) {
-            out.put((byte) (left & 0x7F | 0x80));
-            left >>>= 7;
+    /** Writes seven bits per byte, least significant first; the top bit marks that more bytes follow. */
+    private static void writeVarint(ByteBuffer output, long value) {
+        long rest = value;
+        while ((rest & ~0x7FL) != 0) {
+            output.put((byte) (rest & 0x7F | 0x80));
+            rest >>>= 7;
         }
-        out.put((byte) left);
+        output.put((byte) rest);
     }
 
-    private static long take(ByteBuffer in) throws UnreadableException {
+    private static long readVarint(ByteBuffer input) throws UnreadableException {
         long value = 0;
         for (int shift = 0; shift < 63; shift += 7) {
-            byte next = in.get();
+            byte next = input.get();
             value |= (long) (next & 0x7F) << shift;
             if (next >= 0) {
                 return value;
             }
         }
-        throw new UnreadableException("counts of a number too long");
+        throw new UnreadableException("counts have a number of more than 63 bits");
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/State.java
+++ b/experiment/src/main/java/calicochute/experiment/State.java
@@ -6,69 +6,82 @@
 import java.util.Set;
 
 /**
- * All a stopper knows after a sealed window; of the size of a datagram, whatever the number of balancers, servers and
- * sessions. Not changed once handed out ({@link Stopper} works on a copy). Figures are kept as floats where they are,
- * and counted on from the floats: a state read from bytes goes on exactly as the one written.
+ * The state of an experiment after a sealed window. Its size does not depend on the number of balancers, servers and
+ * sessions, and it fits a datagram. It does not change once it is handed out, because {@link Stopper} works on a copy.
+ * Evidence and predictors are stored and updated as floats, so that a deserialized state continues exactly as the
+ * original.
  */
 public final class State {
-    /** Floats of a predictor: mean and weight of the treatment, then of the control. */
-    static final int OF_LANE = 4;
+    /** Number of floats of a predictor: mean and weight of the treatment, then of the control. */
+    static final int PREDICTOR_FLOATS = 4;
 
+    /** Hash of the experiment's definition, {@link Stopper#definition()}. */
     final int definition;
-    final long first;
+
+    final long firstWindow;
     long window;
     double share;
+    /** Share from {@code nextShareWindow} on. */
     double nextShare;
-    long nextFrom = Long.MAX_VALUE;
+
+    long nextShareWindow = Long.MAX_VALUE;
     Verdict verdict = Verdict.NONE;
-    long decided = -1;
-    int guard = -1;
-    int step;
+    long verdictWindow = -1;
+    int trippedGuard = -1;
+    /** Number of rollout steps that were scheduled. */
+    int rolloutStep;
+
     EnumSet<Note> notes = EnumSet.noneOf(Note.class);
     long leftOut;
-    /** Evidence on the effect, {@link EffectTest}. */
-    final float[] wealth;
-    /** Evidence of harm, {@link HarmTest}. */
-    final float[] harm;
-
-    final float[] lanes;
-    final float[] guards;
-    /** Squares of residuals over h, and sessions. */
-    final float[] spread;
-    /** For each group: sum of z, of h, and of squared residuals. */
-    final float[] groups;
-    /** For each arm four parts of its servers: sessions and sum, in turn. */
-    final float[] parts;
+    /** Log wealth of {@link EffectEvidence}, by hypothesis, bet and group. */
+    final float[] effectLogWealth;
+    /** Log wealth of {@link HarmEvidence}, by guard and bet. */
+    final float[] harmLogWealth;
+
+    /** Predicted means of the measure, {@link #PREDICTOR_FLOATS} for each lane. */
+    final float[] lanePredictors;
+    /** Predicted failure rates, {@link #PREDICTOR_FLOATS} for each guard. */
+    final float[] guardPredictors;
+    /** Sum of squared residuals divided by h, and number of sessions; the ratio predicts the variance of X times h. */
+    final float[] varianceSums;
+    /** For each group of balancers: sum of z, of h, and of squared residuals. */
+    final float[] groupSums;
+    /** For each arm and server bucket: number of sessions and sum of the measure. */
+    final float[] serverBuckets;
     /**
-     * Treatment's sessions beyond the drawn ones, sessions; of control and treatment: sessions, crossed; worth asked
-     * for, cut.
+     * In this order: treatment sessions in excess of the expected number; sessions; sessions of the control; sessions
+     * of the treatment; crossovers of the control; crossovers of the treatment; requested worth; worth above the cap.
      */
     final double[] totals;
 
-    State(int definition, long first, int lanes, int guards) {
+    State(int definition, long firstWindow, int lanes, int guards) {
         this.definition = definition;
-        this.first = first;
-        window = first - 1;
-        wealth = new float[EffectTest.HYPOTHESES * EffectTest.MANY * Sealed.GROUPS];
-        harm = new float[guards * HarmTest.MANY];
-        this.lanes = new float[lanes * OF_LANE];
-        this.guards = new float[guards * OF_LANE];
-        spread = new float[2];
-        groups = new float[Sealed.GROUPS * 3];
-        parts = new float[4 * Counts.PARTS];
+        this.firstWindow = firstWindow;
+        window = firstWindow - 1;
+        effectLogWealth = new float[EffectEvidence.HYPOTHESES * EffectEvidence.BETS * SealedWindow.GROUPS];
+        harmLogWealth = new float[guards * HarmEvidence.BETS];
+        this.lanePredictors = new float[lanes * PREDICTOR_FLOATS];
+        this.guardPredictors = new float[guards * PREDICTOR_FLOATS];
+        varianceSums = new float[2];
+        groupSums = new float[SealedWindow.GROUPS * 3];
+        serverBuckets = new float[4 * Counts.BUCKETS];
         totals = new double[8];
     }
 
     State copy() {
-        State copy = new State(definition, first, lanes.length / OF_LANE, guards.length / OF_LANE);
+        State copy = new State(
+                definition,
+                firstWindow,
+                lanePredictors.length / PREDICTOR_FLOATS,
+                guardPredictors.length / PREDICTOR_FLOATS);
         copy.window = window;
         copy.share = share;
         copy.nextShare = nextShare;
-        copy.nextFrom = nextFrom;
+        copy.nextShareWindow = nextShareWindow;
         copy.verdict = verdict;
-        copy.decided = decided;
-        copy.guard = guard;
-        copy.step = step;
+        copy.verdictWindow = verdictWindow;
+        copy.trippedGuard = trippedGuard;
+        copy.rolloutStep = rolloutStep;
         copy.notes = EnumSet.copyOf(notes);
         copy.leftOut = leftOut;
         float[][] from = floats();
@@ -80,11 +93,14 @@
         return copy;
     }
 
+    /** All float arrays, in the order of serialization. */
     float[][] floats() {
-        return new float[][] {wealth, harm, lanes, guards, spread, groups, parts};
+        return new float[][] {
+            effectLogWealth, harmLogWealth, lanePredictors, guardPredictors, varianceSums, groupSums, serverBuckets
+        };
     }
 
-    /** The newest window sealed. */
+    /** The newest sealed window. */
     public long window() {
         return window;
     }
@@ -93,93 +109,109 @@
         return verdict;
     }
 
-    /** The first window that counts. */
-    public long first() {
-        return first;
+    /** The first window whose sessions count. */
+    public long firstWindow() {
+        return firstWindow;
     }
 
-    /** True once nothing more is to be sealed: there is a verdict, and no steps whose guards have to be watched. */
-    public boolean over(Experiment e) {
+    /** Whether no more windows need to be sealed: there is a verdict and no rollout whose guards must be evaluated. */
+    public boolean isFinished(Experiment experiment) {
         return verdict != Verdict.NONE
-                && (verdict != Verdict.TREATMENT || e.after().steps().isEmpty() || notes.contains(Note.TURNED_BACK));
+                && (verdict != Verdict.TREATMENT
+                        || experiment.after().steps().isEmpty()
+                        || notes.contains(Note.TURNED_BACK));
     }
 
-    /** The window at which the verdict fell; -1: none yet. */
-    public long decided() {
-        return decided;
+    /** The window that led to the verdict; -1 if there is none yet. */
+    public long verdictWindow() {
+        return verdictWindow;
     }
 
-    /** Of a HARM: the place of the guard that tripped; -1: none. */
-    public int guard() {
-        return guard;
+    /** Index of the guard whose limit was exceeded; -1 for none. */
+    public int trippedGuard() {
+        return trippedGuard;
     }
 
+    /** A copy of the notes. */
     public Set<Note> notes() {
         return EnumSet.copyOf(notes);
     }
 
-    /** Of a window's units, how many go to the treatment; none at all once it has done harm. */
-    public double share(long of) {
-        return verdict == Verdict.HARM || notes.contains(Note.TURNED_BACK) ? 0 : of < nextFrom ? share : nextShare;
+    /** The share of a window's units that go to the treatment; 0 after the verdict HARM or a reverted rollout. */
+    public double share(long atWindow) {
+        return verdict == Verdict.HARM || notes.contains(Note.TURNED_BACK)
+                ? 0
+                : atWindow < nextShareWindow ? share : nextShare;
     }
 
-    /** What the treatment serves more, of the worth asked for; NaN: no sessions yet. */
+    /** Estimated mean measure of the treatment minus that of the control; NaN without sessions. */
     public double effect() {
         return groupSum(0) / groupSum(1);
     }
 
-    /** Of {@link #effect()}: one standard deviation, as if looked at once; for reading, not for deciding. */
-    public double spread() {
+    /**
+     * Standard error of {@link #effect()}. It ignores repeated looks at the data and is informational; verdicts do not
+     * use it.
+     */
+    public double standardError() {
         return Math.sqrt(groupSum(2)) / groupSum(1);
     }
 
+    /** Number of sessions counted for an arm. */
     public double sessions(Arm arm) {
         return totals[arm == Arm.CONTROL ? 2 : 3];
     }
 
-    /** Part of an arm's sessions for which it had no room. */
-    public double crossed(Arm arm) {
+    /** Share of an arm's sessions for which the arm had no capacity. */
+    public double crossoverShare(Arm arm) {
         return totals[arm == Arm.CONTROL ? 4 : 5] / Math.max(1, sessions(arm));
     }
 
-    /** Part of the worth asked for that was cut off. */
-    public double cut() {
+    /** Share of the requested worth above the cap. */
+    public double cutShare() {
         return totals[7] / Math.max(Double.MIN_NORMAL, totals[6]);
     }
 
-    /** Counts of a balancer and a window left out so far. */
+    /** Number of counts left out so far, see {@link SealedWindow#leftOut()}. */
     public long leftOut() {
         return leftOut;
     }
 
-    double groupSum(int figure) {
+    /** Sum of a column of {@code groupSums} over all groups. */
+    double groupSum(int column) {
         double sum = 0;
-        for (int g = 0; g < Sealed.GROUPS; g++) {
-            sum += groups[g * 3 + figure];
+        for (int g = 0; g < SealedWindow.GROUPS; g++) {
+            sum += groupSums[g * 3 + column];
         }
         return sum;
     }
 
-    public byte[] bytes() {
-        return StateBytes.of(this);
+    /** Serializes the state. */
+    public byte[] toBytes() {
+        return StateBytes.write(this);
     }
 
-    public static State of(byte[] bytes) throws UnreadableException {
+    /**
+     * Parses the output of {@link #toBytes}.
+     *
+     * @throws UnreadableException if the bytes are not a valid state of the supported version
+     */
+    public static State fromBytes(byte[] bytes) throws UnreadableException {
         return StateBytes.read(bytes);
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof State state && Arrays.equals(bytes(), state.bytes());
+        return other instanceof State state && Arrays.equals(toBytes(), state.toBytes());
     }
 
     @Override
     public int hashCode() {
-        return Arrays.hashCode(bytes());
+        return Arrays.hashCode(toBytes());
     }
 
     @Override
     public String toString() {
-        return verdict + " at " + window + " effect " + effect() + " +- " + spread() + " notes " + notes;
+        return verdict + " at " + window + " effect " + effect() + " +- " + standardError() + " notes " + notes;
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/Stopper.java
+++ b/experiment/src/main/java/calicochute/experiment/Stopper.java
@@ -7,175 +7,199 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Decides an experiment on the ordered sequence of sealed windows: pure, the same at every balancer, valid at whichever
- * window it is looked at. Of the error rate a fifth goes to the guards (if any), the rest half and half to a verdict
- * for either arm; "no difference" takes the same part again, which is never spent together with the other arm's under
- * one truth. Whatever withholds a verdict (notes) can only make false ones rarer.
+ * The stopping rule of an experiment: derives the next state and the verdict from the sequence of sealed windows. It is
+ * a pure function, equal at every balancer, and its verdicts are valid at any window.
+ *
+ * <p>A fifth of the error rate goes to the guards, if there are any, and half of the rest to a verdict for either arm.
+ * NO_DIFFERENCE reuses the error rate of one arm: it is false only if the true effect is at least `least` in one
+ * direction, and then the verdict for the better arm is not false and its error rate is not needed. Notes only withhold
+ * verdicts and can only make false ones rarer.
  */
 public final class Stopper {
-    private static final double FOR_GUARDS = 0.2;
-    /** Of the evidence asked for, how much (as logarithm) must stand without any one group of balancers. */
-    static final double WITHOUT_ONE = 0.5;
-
-    private final Experiment e;
-    private final int lead;
-    private final long longest;
-    private final long each;
+    /** Share of the error rate that goes to the guards. */
+    private static final double GUARD_ERROR_SHARE = 0.2;
+    /** Share of the required log evidence that must remain without any single group of balancers. */
+    static final double LEAVE_ONE_OUT_SHARE = 0.5;
+
+    private final Experiment experiment;
+    private final int leadWindows;
+    /** Number of windows after which the experiment ends undecided. */
+    private final long maxWindows;
+    /** Number of windows for which a rollout step is held. */
+    private final long stepWindows;
+
     private final List<String> lanes;
-    private final double logForArm;
-    private final double logForGuard;
+    /** Log evidence required for a verdict for one arm. */
+    private final double armLogThreshold;
+    /** Log evidence required for the verdict HARM by one guard. */
+    private final double guardLogThreshold;
+
     private final int definition;
-    private final Ledger ledger;
+    private final EvidenceUpdater evidenceUpdater;
 
     /**
-     * @param windowLength microseconds
-     * @param lead windows from the one sealed to the first with a moved share: more than sealing takes, so that all
-     *     have heard
+     * Creates the stopping rule of an experiment.
+     *
+     * @param windowMicros length of a window in microseconds
+     * @param leadWindows number of windows from the newest sealed one to the first with a changed share; must exceed
+     *     the time that sealing takes, so that all balancers know the change in time
      */
-    public Stopper(Experiment e, long windowLength, int lead) {
-        this.e = e;
-        this.lead = lead;
-        longest = Math.max(1, e.longest().toMillis() * 1000 / windowLength);
-        each = Math.max(1, e.after().each().toMillis() * 1000 / windowLength);
-        lanes = e.lanesInOrder();
-        logForArm = -StrictMath.log(part(e));
-        logForGuard =
-                -StrictMath.log(e.error() * FOR_GUARDS / Math.max(1, e.guards().size()));
-        definition = fingerprint(e);
-        ledger = new Ledger(e, lanes);
+    public Stopper(Experiment experiment, long windowMicros, int leadWindows) {
+        this.experiment = experiment;
+        this.leadWindows = leadWindows;
+        maxWindows = Math.max(1, experiment.longest().toMillis() * 1000 / windowMicros);
+        stepWindows = Math.max(1, experiment.after().each().toMillis() * 1000 / windowMicros);
+        lanes = experiment.sortedLanes();
+        armLogThreshold = -StrictMath.log(armErrorRate(experiment));
+        guardLogThreshold = -StrictMath.log(experiment.error()
+                * GUARD_ERROR_SHARE
+                / Math.max(1, experiment.guards().size()));
+        definition = definitionHash(experiment);
+        evidenceUpdater = new EvidenceUpdater(experiment, lanes);
     }
 
-    /** The error rate of a verdict for one arm. */
-    static double part(Experiment e) {
-        return e.error() * (e.guards().isEmpty() ? 1 : 1 - FOR_GUARDS) / 2;
+    /** Error rate of a verdict for one arm. */
+    static double armErrorRate(Experiment experiment) {
+        return experiment.error() * (experiment.guards().isEmpty() ? 1 : 1 - GUARD_ERROR_SHARE) / 2;
     }
 
-    /** All that evidence rests on; the share and what follows a verdict may change under way. */
-    private static int fingerprint(Experiment e) {
+    /** Hashes all fields that the evidence depends on; the share and the rollout may change during the experiment. */
+    private static int definitionHash(Experiment experiment) {
         String text = String.join(
                 "\n",
-                e.name(),
-                e.salt(),
-                "" + e.unit(),
-                "" + e.control(),
-                "" + e.treatment(),
-                "" + e.lanesInOrder(),
-                "" + new TreeSet<>(e.tenants()),
-                "" + e.measure(),
-                "" + e.least(),
-                "" + e.error(),
-                "" + e.guards(),
-                "" + e.longest());
+                experiment.name(),
+                experiment.salt(),
+                "" + experiment.unit(),
+                "" + experiment.control(),
+                "" + experiment.treatment(),
+                "" + experiment.sortedLanes(),
+                "" + new TreeSet<>(experiment.tenants()),
+                "" + experiment.measure(),
+                "" + experiment.least(),
+                "" + experiment.error(),
+                "" + experiment.guards(),
+                "" + experiment.longest());
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         return MurmurHash3.hash32x86(bytes, 0, bytes.length, 0);
     }
 
-    /** A hash of all that evidence rests on. */
+    /** Hash of all fields of the experiment that the evidence depends on. */
     public int definition() {
         return definition;
     }
 
-    /** @param first the first window that counts */
-    public State begin(long first) {
-        State s = new State(definition, first, lanes.size(), e.guards().size());
-        s.share = e.share();
-        s.nextShare = e.share();
-        Ledger.foresee(s);
-        return s;
+    /**
+     * Returns the state before the first window.
+     *
+     * @param firstWindow the first window whose sessions count
+     */
+    public State initialState(long firstWindow) {
+        State state = new State(
+                definition, firstWindow, lanes.size(), experiment.guards().size());
+        state.share = experiment.share();
+        state.nextShare = experiment.share();
+        EvidenceUpdater.initializePredictors(state);
+        return state;
     }
 
-    /** Whether a state is of this definition, not of one since changed. */
-    public boolean knows(State s) {
-        return s.definition == definition
-                && s.lanes.length == lanes.size() * State.OF_LANE
-                && s.guards.length == e.guards().size() * State.OF_LANE;
+    /** Whether a state belongs to this definition of the experiment. */
+    public boolean matchesDefinition(State state) {
+        return state.definition == definition
+                && state.lanePredictors.length == lanes.size() * State.PREDICTOR_FLOATS
+                && state.guardPredictors.length == experiment.guards().size() * State.PREDICTOR_FLOATS;
     }
 
     /**
-     * The operator moves the share, from a window on that no balancer has begun.
+     * Changes the share of the treatment from a window that no balancer has begun.
      *
-     * @throws IllegalArgumentException the share is out of range, the window already sealed, or an earlier move not yet
+     * @throws IllegalArgumentException if the share is out of range, the window is already sealed, or an earlier change
+     *     is not sealed yet
      */
-    public State move(State s, double share, long from) {
-        boolean pending = s.nextFrom != Long.MAX_VALUE && s.nextFrom > s.window + 1;
-        if (!ExperimentCheck.inRange(share) || from <= s.window || pending) {
-            throw new IllegalArgumentException("a share of " + share + " from window " + from
-                    + (pending ? " before the last move is sealed" : ""));
+    public State changeShare(State state, double share, long fromWindow) {
+        boolean pending = state.nextShareWindow != Long.MAX_VALUE && state.nextShareWindow > state.window + 1;
+        if (!ExperimentValidator.isShareInRange(share) || fromWindow <= state.window || pending) {
+            throw new IllegalArgumentException("invalid change to share " + share + " from window " + fromWindow
+                    + (pending ? " before the previous change is sealed" : ""));
         }
-        State next = s.copy();
-        if (s.verdict == Verdict.NONE) {
-            moveFrom(next, share, from);
+        State next = state.copy();
+        if (state.verdict == Verdict.NONE) {
+            scheduleShare(next, share, fromWindow);
         }
         return next;
     }
 
-    private static void moveFrom(State next, double share, long from) {
-        next.share = next.share(from - 1);
-        next.nextShare = share;
-        next.nextFrom = from;
+    /** Sets the share from a window on; earlier windows keep theirs. */
+    private static void scheduleShare(State state, double share, long fromWindow) {
+        state.share = state.share(fromWindow - 1);
+        state.nextShare = share;
+        state.nextShareWindow = fromWindow;
     }
 
-    /** After one more sealed window; one already in it changes nothing. */
-    public State next(State s, Sealed sealed) {
-        if (!knows(s)) {
-            throw new IllegalArgumentException("a state of another definition");
+    /** Returns the state after one more sealed window; a window that the state already includes changes nothing. */
+    public State advance(State state, SealedWindow sealed) {
+        if (!matchesDefinition(state)) {
+            throw new IllegalArgumentException("the state belongs to another definition of the experiment");
         }
-        if (sealed.window <= s.window) {
-            return s;
+        if (sealed.window <= state.window) {
+            return state;
         }
-        State next = s.copy();
-        double p = s.share(sealed.window);
+        State next = state.copy();
+        double p = state.share(sealed.window);
         next.window = sealed.window;
         next.leftOut += sealed.leftOut();
         boolean mixed = p > 0 && p < 1;
-        if (s.verdict == Verdict.NONE) {
+        if (state.verdict == Verdict.NONE) {
             if (mixed) {
-                ledger.guards(next, sealed, p);
-                ledger.count(next, sealed, p);
+                evidenceUpdater.updateGuards(next, sealed, p);
+                evidenceUpdater.updateEffect(next, sealed, p);
             }
             decide(next);
-        } else if (s.verdict == Verdict.TREATMENT && !e.after().steps().isEmpty()) {
+        } else if (state.verdict == Verdict.TREATMENT
+                && !experiment.after().steps().isEmpty()) {
             if (mixed) {
-                ledger.guards(next, sealed, p);
+                evidenceUpdater.updateGuards(next, sealed, p);
             }
-            step(next);
+            advanceRollout(next);
         }
         return next;
     }
 
-    private void decide(State s) {
-        for (int i = 0; i < e.guards().size(); i++) {
-            if (HarmTest.evidence(s.harm, i) >= logForGuard) {
-                s.guard = i;
-                end(s, Verdict.HARM);
+    /** Sets the verdict if the evidence allows one. */
+    private void decide(State state) {
+        for (int i = 0; i < experiment.guards().size(); i++) {
+            if (HarmEvidence.logEvidence(state.harmLogWealth, i) >= guardLogThreshold) {
+                state.trippedGuard = i;
+                conclude(state, Verdict.HARM);
                 return;
             }
         }
-        Notes.look(s);
-        if (s.notes.contains(Note.SPLIT)) {
-            end(s, Verdict.UNDECIDED);
+        NoteRules.beforeVerdict(state);
+        if (state.notes.contains(Note.SPLIT)) {
+            conclude(state, Verdict.UNDECIDED);
             return;
         }
-        boolean treatment = rejected(s, 0);
-        boolean control = rejected(s, 1);
-        boolean none = rejected(s, 2) & rejected(s, 3);
-        if (!s.notes.contains(Note.STARVED) && treatment != control) {
-            end(s, treatment ? Verdict.TREATMENT : Verdict.CONTROL);
-        } else if (!s.notes.contains(Note.STARVED) && none) {
-            end(s, Verdict.NO_DIFFERENCE);
-        } else if (s.window - s.first + 1 >= longest) {
-            end(s, Verdict.UNDECIDED);
+        boolean treatment = isRejected(state, 0);
+        boolean control = isRejected(state, 1);
+        boolean noDifference = isRejected(state, 2) & isRejected(state, 3);
+        if (!state.notes.contains(Note.STARVED) && treatment != control) {
+            conclude(state, treatment ? Verdict.TREATMENT : Verdict.CONTROL);
+        } else if (!state.notes.contains(Note.STARVED) && noDifference) {
+            conclude(state, Verdict.NO_DIFFERENCE);
+        } else if (state.window - state.firstWindow + 1 >= maxWindows) {
+            conclude(state, Verdict.UNDECIDED);
         }
     }
 
-    private boolean rejected(State s, int hypothesis) {
-        if (EffectTest.evidence(s.wealth, hypothesis, -1) < logForArm) {
+    /** Whether the evidence rejects a hypothesis, both in total and without any single group of balancers. */
+    private boolean isRejected(State state, int hypothesis) {
+        if (EffectEvidence.logEvidence(state.effectLogWealth, hypothesis, -1) < armLogThreshold) {
             return false;
         }
-        if (!s.notes.contains(Note.FEW_WITNESSES)) {
-            for (int g = 0; g < Sealed.GROUPS; g++) {
-                if (EffectTest.evidence(s.wealth, hypothesis, g) < WITHOUT_ONE * logForArm) {
-                    s.notes.add(Note.CARRIED_BY_FEW);
+        if (!state.notes.contains(Note.FEW_WITNESSES)) {
+            for (int g = 0; g < SealedWindow.GROUPS; g++) {
+                if (EffectEvidence.logEvidence(state.effectLogWealth, hypothesis, g)
+                        < LEAVE_ONE_OUT_SHARE * armLogThreshold) {
+                    state.notes.add(Note.CARRIED_BY_FEW);
                     return false;
                 }
             }
@@ -183,28 +207,32 @@
         return true;
     }
 
-    private void end(State s, Verdict verdict) {
-        s.verdict = verdict;
-        s.decided = s.window;
-        Notes.decided(s);
-        if (!e.after().steps().isEmpty()) {
+    /** Sets the verdict and schedules the share that follows from it. */
+    private void conclude(State state, Verdict verdict) {
+        state.verdict = verdict;
+        state.verdictWindow = state.window;
+        NoteRules.onVerdict(state);
+        if (!experiment.after().steps().isEmpty()) {
             if (verdict == Verdict.TREATMENT) {
-                moveFrom(s, e.after().steps().get(s.step++), s.window + lead);
+                scheduleShare(state, experiment.after().steps().get(state.rolloutStep++), state.window + leadWindows);
             } else if (verdict == Verdict.CONTROL) {
-                moveFrom(s, 0, s.window + lead);
+                scheduleShare(state, 0, state.window + leadWindows);
             }
         }
     }
 
-    private void step(State s) {
-        for (int i = 0; i < e.guards().size(); i++) {
-            if (HarmTest.evidence(s.harm, i) >= logForGuard) {
-                s.guard = i;
-                s.notes.add(Note.TURNED_BACK);
+    /** Evaluates the guards after a verdict for the treatment, and schedules the next share once the step was held. */
+    private void advanceRollout(State state) {
+        for (int i = 0; i < experiment.guards().size(); i++) {
+            if (HarmEvidence.logEvidence(state.harmLogWealth, i) >= guardLogThreshold) {
+                state.trippedGuard = i;
+                state.notes.add(Note.TURNED_BACK);
             }
         }
-        if (!s.notes.contains(Note.TURNED_BACK) && s.step < e.after().steps().size() && s.window >= s.nextFrom + each) {
-            moveFrom(s, e.after().steps().get(s.step++), s.window + lead);
+        if (!state.notes.contains(Note.TURNED_BACK)
+                && state.rolloutStep < experiment.after().steps().size()
+                && state.window >= state.nextShareWindow + stepWindows) {
+            scheduleShare(state, experiment.after().steps().get(state.rolloutStep++), state.window + leadWindows);
         }
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/seal/Message.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Message.java
@@ -1,47 +1,66 @@
 package calicochute.experiment.seal;
 
-/** What peers say to each other. Lives are starts of processes in microseconds. */
+/** Messages between peers. An incarnation is the start time of a process in microseconds. */
 sealed interface Message {
-    /** From a peer that does not vote: who are you, how far have you voted? */
-    record Ask(long life) implements Message {}
+    /** Asks for the voting status of a peer; sent by peers that abstain. */
+    record StatusRequest(long incarnation) implements Message {}
 
     /**
-     * To an ask of the process that began at {@code toLife}.
+     * Answers a {@link StatusRequest}.
      *
-     * @param mark highest slot of {@code seen} that this voter accepted in or knows decided; 0 from one that does not
-     *     vote
+     * @param toIncarnation incarnation of the request
+     * @param incarnation incarnation of the sender
+     * @param highWaterMark {@link AcceptorState#highWaterMark()} of a voter; 0 from a peer that abstains
      */
-    record Answer(long toLife, long life, boolean voter, Epoch seen, long mark, Place place) implements Message {}
+    record StatusReply(
+            long toIncarnation,
+            long incarnation,
+            boolean canVote,
+            Epoch newestEpoch,
+            long highWaterMark,
+            SlotId decidedSlot)
+            implements Message {}
 
     /**
-     * Will you come along into this new epoch, that goes on after base? Only to the process that began at
-     * {@code toLife}.
+     * Proposes a new epoch.
+     *
+     * @param toIncarnation the only incarnation of the recipient that may commit to it
+     * @param baseSlot the slot after which the epoch continues
      */
-    record Form(Epoch epoch, long toLife, Place base) implements Message {}
+    record EpochProposal(Epoch epoch, long toIncarnation, SlotId baseSlot) implements Message {}
 
-    /** Yes; {@code voter}: I could still vote in the old one. */
-    record Commit(Epoch epoch, boolean voter) implements Message {}
+    /**
+     * Commits the sender to a proposed epoch.
+     *
+     * @param canVote whether the sender was still a voter of the old epoch
+     */
+    record EpochCommit(Epoch epoch, boolean canVote) implements Message {}
 
-    /** Phase 1 of slot {@code place}; the sender knows the slot before. */
-    record Prepare(Place place, Ballot ballot) implements Message {}
+    /** Paxos phase 1a; the sender knows the value of the previous slot. */
+    record Prepare(SlotId slotId, Ballot ballot) implements Message {}
 
-    /** No lower ballot any more; what was accepted so far ({@link Ballot#NONE}: nothing). */
-    record Promise(Place place, Ballot ballot, Ballot accepted, byte[] value) implements Message {}
+    /** Paxos phase 1b, with the value accepted so far; {@link Ballot#NONE} if there is none. */
+    record Promise(SlotId slotId, Ballot ballot, Ballot acceptedBallot, byte[] acceptedValue) implements Message {}
 
-    /** Phase 2. */
-    record Accept(Place place, Ballot ballot, byte[] value) implements Message {}
+    /** Paxos phase 2a. */
+    record Accept(SlotId slotId, Ballot ballot, byte[] value) implements Message {}
 
-    record Accepted(Place place, Ballot ballot) implements Message {}
+    /** Paxos phase 2b. */
+    record Accepted(SlotId slotId, Ballot ballot) implements Message {}
 
-    /** A higher ballot was promised. */
-    record Refused(Place place, Ballot ballot, Ballot promised) implements Message {}
+    /** Rejects a ballot because a higher one was promised. */
+    record Rejected(SlotId slotId, Ballot ballot, Ballot promisedBallot) implements Message {}
 
-    /** This place is decided; by this ballot where it is told. Who accepted in it knows the value. */
-    record Known(Place place, Ballot ballot) implements Message {}
+    /**
+     * Announces that a slot is decided.
+     *
+     * @param ballot the deciding ballot, whose acceptors know the value, or {@link Ballot#NONE}
+     */
+    record DecidedNotice(SlotId slotId, Ballot ballot) implements Message {}
 
-    /** I stand here; send what is newer. */
-    record Want(Place place) implements Message {}
+    /** Asks for the newest value if the recipient knows a slot later than {@code decidedSlot}. */
+    record ValueRequest(SlotId decidedSlot) implements Message {}
 
-    /** The decided value of a place. */
-    record Value(Place place, byte[] value) implements Message {}
+    /** Carries the decided value of a slot. */
+    record DecidedValue(SlotId slotId, byte[] value) implements Message {}
 }
--- a/experiment/src/main/java/calicochute/experiment/seal/Register.java
+++ b/experiment/src/main/java/calicochute/experiment/seal/Register.java
@@ -1,6 +1,6 @@
 package calicochute.experiment.seal;
 
-import calicochute.experiment.seal.Message.Known;
+import calicochute.experiment.seal.Message.DecidedNotice;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
@@ -9,168 +9,186 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * A sequence of values, each decided once by a majority of the configured peers; one of them. The value of a slot
- * stands for all before it, so that a peer needs the newest only and may jump over others. No I/O, one thread; times in
- * microseconds. After each call the host takes {@link #effects}. What holds and why: see the package.
+ * One peer of a replicated register, a sequence of values each of which is decided by a majority of the configured
+ * peers. A value supersedes all earlier ones, so that a peer needs only the newest and may skip others. The class does
+ * no I/O and is not thread-safe; times are in microseconds. After each call the host performs {@link #effects}. The
+ * package documentation states the guarantees and their proof.
  */
 public final class Register {
-    public static final int MOST_VALUE = Codec.MOST_VALUE;
-    public static final int MOST_PEERS = 400;
-    private static final int TOLD = 2;
+    /** Largest size of a value in bytes. */
+    public static final int MAX_VALUE_BYTES = Codec.MAX_VALUE_BYTES;
+    /** Largest number of peers. */
+    public static final int MAX_PEERS = 400;
+    /** Number of peers to which the newest decided slot is announced per interval. */
+    private static final int ANNOUNCEMENT_FANOUT = 2;
+
     private final Codec codec;
     private final List<String> peers;
-    private final int me;
-    private final long life;
+    private final int selfIndex;
+    private final long incarnation;
     private final Timing timing;
-    private final Outbox out;
-    private final Voter voter;
-    private final Map<Refusal, Long> refusals = new EnumMap<>(Refusal.class);
+    private final Outbox outbox;
+    private final Acceptor acceptor;
+    private final Map<RejectReason, Long> rejections = new EnumMap<>(RejectReason.class);
     private long now;
-    private long nextTelling;
-    private int told;
+    private long nextAnnouncementAt;
+    private int announcements;
 
     /**
-     * @param definition hash of what the experiment is: one that was changed is another register
-     * @param configured ids of all peers, by the operator's file; must be the same everywhere
-     * @param start when this process began (microseconds); no two starts of a peer may be the same, and the process
-     *     before must have ended
-     * @param remembers the host keeps the state; false: it is gone with the process
-     * @param state as last kept, null if there is none; one that cannot be read is refused, counted, and as none
+     * Creates a peer of a register.
+     *
+     * @param name name of the experiment
+     * @param definition hash of the experiment's definition; a changed definition is another register
+     * @param configuredPeers ids of all peers; must be equal at all of them
+     * @param self id of this peer
+     * @param incarnation start time of this process in microseconds; two processes of a peer must have different start
+     *     times, and the earlier one must have ended
+     * @param persistent whether the host persists the state
+     * @param state the state last persisted, null if there is none; an unreadable one is counted as rejected and
+     *     ignored
      */
     public Register(
             String name,
             long definition,
-            List<String> configured,
-            String me,
-            long start,
-            boolean remembers,
+            List<String> configuredPeers,
+            String self,
+            long incarnation,
+            boolean persistent,
             byte[] state,
             Timing timing) {
-        SortedSet<String> sorted = new TreeSet<>(configured);
-        if (sorted.isEmpty() || sorted.size() > MOST_PEERS || sorted.size() != configured.size()) {
-            throw new IllegalArgumentException("1 to 400 different peers");
+        SortedSet<String> sorted = new TreeSet<>(configuredPeers);
+        if (sorted.isEmpty() || sorted.size() > MAX_PEERS || sorted.size() != configuredPeers.size()) {
+            throw new IllegalArgumentException("the list of peers must have 1 to 400 distinct ids");
         }
         this.peers = List.copyOf(sorted);
-        this.me = peers.indexOf(me);
-        if (this.me < 0) {
-            throw new IllegalArgumentException("not a peer: " + me);
+        this.selfIndex = peers.indexOf(self);
+        if (this.selfIndex < 0) {
+            throw new IllegalArgumentException("this peer is not in the list of peers: " + self);
         }
-        if (start <= 0) {
-            throw new IllegalArgumentException("start " + start);
+        if (incarnation <= 0) {
+            throw new IllegalArgumentException("the start time must be positive: " + incarnation);
         }
-        this.life = start;
-        this.now = start;
+        this.incarnation = incarnation;
+        this.now = incarnation;
         this.timing = timing;
         this.codec = new Codec(name, definition, peers);
-        this.out = new Outbox(codec, peers, this.me, remembers);
-        this.voter = new Voter(restored(state), out, timing, peers.size(), this.me, start);
+        this.outbox = new Outbox(codec, peers, this.selfIndex, persistent);
+        this.acceptor = new Acceptor(restore(state), outbox, timing, peers.size(), this.selfIndex, incarnation);
     }
 
-    private Memory restored(byte[] state) {
+    private AcceptorState restore(byte[] state) {
         if (state == null) {
-            return Memory.BLANK;
+            return AcceptorState.INITIAL;
         }
         try {
-            return codec.memory(state);
-        } catch (Malformed e) {
-            refused(e.refusal);
-            return Memory.BLANK;
+            return codec.readState(state);
+        } catch (MalformedException e) {
+            countRejection(e.reason);
+            return AcceptorState.INITIAL;
         }
     }
 
     /**
-     * What this peer would put into the slot after {@code after}; may be said again. False if that is not the newest
-     * place, or too long.
+     * Proposes a value for the slot after {@code after}. A repeated call replaces the value.
+     *
+     * @return false if {@code after} is not the newest decided slot known, or the value is too long
      */
-    public boolean propose(long time, Place after, byte[] next) {
+    public boolean propose(long time, SlotId after, byte[] next) {
         now = time;
-        if (!after.equals(voter.memory().place()) || after.equals(Place.NONE) || next.length > MOST_VALUE) {
+        if (!after.equals(acceptor.state().decidedSlot())
+                || after.equals(SlotId.NONE)
+                || next.length > MAX_VALUE_BYTES) {
             return false;
         }
-        voter.propose(time, next);
+        acceptor.propose(time, next);
         return true;
     }
 
-    /** This peer's turn to propose, among the live: 0 at once, the others each a while later if nothing is decided. */
-    public void turn(int rank) {
-        voter.turn(rank);
+    /** Sets this peer's rank among the live peers: 0 proposes at once, each higher rank later if nothing is decided. */
+    public void setRank(int rank) {
+        acceptor.setRank(rank);
     }
 
-    /** Every 50 to 250 ms. */
+    /** Advances the timers; to be called every 50 to 250 ms. */
     public void tick(long time) {
         now = time;
-        voter.tick(time);
-        if (time < nextTelling) {
+        acceptor.tick(time);
+        if (time < nextAnnouncementAt) {
             return;
         }
-        nextTelling = time + timing.spread();
-        for (int i = 0; i < TOLD && peers.size() > 1; i++) {
+        nextAnnouncementAt = time + timing.announceMicros();
+        for (int i = 0; i < ANNOUNCEMENT_FANOUT && peers.size() > 1; i++) {
             int other = Math.floorMod(
-                    me + 1 + Math.floorMod(MurmurHash3.hash32(life + me, told++), peers.size() - 1), peers.size());
-            out.send(other, new Known(voter.memory().place(), Ballot.NONE));
+                    selfIndex
+                            + 1
+                            + Math.floorMod(
+                                    MurmurHash3.hash32(incarnation + selfIndex, announcements++), peers.size() - 1),
+                    peers.size());
+            outbox.send(other, new DecidedNotice(acceptor.state().decidedSlot(), Ballot.NONE));
         }
     }
 
-    /** A message from a peer. One that is none of this register is counted. */
-    public void received(long time, String from, byte[] message) {
+    /** Handles a message from a peer. Invalid messages are counted and ignored. */
+    public void received(long time, String sender, byte[] message) {
         now = time;
-        int by = peers.indexOf(from);
-        if (by < 0) {
-            refused(Refusal.SENDER);
+        int senderIndex = peers.indexOf(sender);
+        if (senderIndex < 0) {
+            countRejection(RejectReason.UNKNOWN_SENDER);
             return;
         }
         try {
-            voter.handle(time, by, codec.read(message));
-        } catch (Malformed e) {
-            refused(e.refusal);
+            acceptor.handle(time, senderIndex, codec.read(message));
+        } catch (MalformedException e) {
+            countRejection(e.reason);
         }
     }
 
-    /** The host has kept the state of this token, and so all before it. */
+    /** Records that the host has persisted the state of a token, and thereby all earlier ones. */
     public void persisted(long token) {
-        out.kept(token);
+        outbox.persisted(token);
     }
 
-    /** To be done in this order; call again after {@link #persisted}. */
+    /** Returns the actions to perform in this order; to be called again after {@link #persisted}. */
     public List<Effect> effects() {
-        while (out.release(voter.memory())) {
-            Message own;
-            while ((own = out.own()) != null) {
-                voter.handle(now, me, own);
+        while (outbox.release(acceptor.state())) {
+            Message loopback;
+            while ((loopback = outbox.loopback()) != null) {
+                acceptor.handle(now, selfIndex, loopback);
             }
         }
-        return out.drain();
+        return outbox.drain();
     }
 
-    /** Newest decided slot known. */
-    public Place place() {
-        return voter.memory().place();
+    /** The newest decided slot known. */
+    public SlotId decidedSlot() {
+        return acceptor.state().decidedSlot();
     }
 
-    public long slot() {
-        return voter.memory().place().slot();
+    /** Number of the newest decided slot known. */
+    public long slotNumber() {
+        return acceptor.state().decidedSlot().slot();
     }
 
-    /** Its value; empty in slot 0. */
+    /** Value of the newest decided slot known; empty for slot 0. */
     public byte[] value() {
-        return voter.memory().value().clone();
+        return acceptor.state().decidedValue().clone();
     }
 
-    /** False while this peer abstains because it has, or may have, forgotten its votes. */
-    public boolean votes() {
-        return voter.memory().voter();
+    /** Whether this peer votes; false while it abstains because it may have lost the record of its votes. */
+    public boolean canVote() {
+        return acceptor.state().canVote();
     }
 
-    /** What was not taken, by cause. */
-    public Map<Refusal, Long> refusals() {
-        Map<Refusal, Long> all = new EnumMap<>(refusals);
-        if (out.dropped() > 0) {
-            all.put(Refusal.WAITING, out.dropped());
+    /** Number of rejected messages and states, by reason. */
+    public Map<RejectReason, Long> rejections() {
+        Map<RejectReason, Long> all = new EnumMap<>(rejections);
+        if (outbox.dropped() > 0) {
+            all.put(RejectReason.QUEUE_FULL, outbox.dropped());
         }
         return all;
     }
 
-    private void refused(Refusal refusal) {
-        refusals.merge(refusal, 1L, Long::sum);
+    private void countRejection(RejectReason reason) {
+        rejections.merge(reason, 1L, Long::sum);
     }
 }
