--- a/balancer/src/main/java/calicochute/backend/BackendServer.java
+++ b/balancer/src/main/java/calicochute/backend/BackendServer.java
@@ -24,7 +24,7 @@
 
     BackendServer(InetSocketAddress address, Pool.Rules rules) {
         this.address = address;
-        pool = new Pool<>(rules, Connection::open);
+        pool = new Pool<>(rules, Connection::isOpen);
     }
 
     int lateOpenings() {
--- a/balancer/src/main/java/calicochute/backend/BackendServers.java
+++ b/balancer/src/main/java/calicochute/backend/BackendServers.java
@@ -1,14 +1,14 @@
 package calicochute.backend;
 
+import calicochute.connection.CallResult;
 import calicochute.connection.Connector;
-import calicochute.connection.Reply;
 import calicochute.decision.Balancer.Outcome;
-import calicochute.exchange.Answer;
 import calicochute.exchange.Body;
 import calicochute.exchange.DecisionQueue;
 import calicochute.exchange.Dispatch;
 import calicochute.exchange.Field;
 import calicochute.exchange.Message;
+import calicochute.exchange.Response;
 import calicochute.metrics.Counter;
 import calicochute.metrics.Counters;
 import calicochute.pool.Pool;
@@ -55,7 +55,7 @@
     private final DispatchListener listener;
     private final Map<String, BackendServer> servers = new HashMap<>();
     private final Map<Dispatch, Errand> out = new HashMap<>();
-    private DecisionQueue.Alarm nextSweep;
+    private DecisionQueue.Timer nextSweep;
 
     public BackendServers(
             Connector connector,
@@ -71,7 +71,7 @@
         connections.retune(connectTimeout, connectionIdle);
         window = bounds.window();
         this.listener = listener;
-        nextSweep = queue.after(sweepEvery(), this::sweep);
+        nextSweep = queue.schedule(sweepEvery(), this::sweep);
     }
 
     /**
@@ -146,11 +146,11 @@
 
                     @Override
                     public void begun(HttpResponse head, Body.Streamed body) {
-                        listener.dispatchBegun(dispatch, new Answer.Served(passed(head), body));
+                        listener.dispatchBegun(dispatch, new Response.Served(passed(head), body));
                     }
 
                     @Override
-                    public void ended(Outcome outcome, Reply reply) {
+                    public void ended(Outcome outcome, CallResult reply) {
                         out.remove(dispatch);
                         // One that had begun has had its answer.
                         listener.dispatchEnded(
@@ -189,7 +189,7 @@
 
     private void sweep() {
         servers.values().forEach(connections::closeTooOld);
-        nextSweep = queue.after(sweepEvery(), this::sweep);
+        nextSweep = queue.schedule(sweepEvery(), this::sweep);
     }
 
     /** Guards against a thread that does nothing else where servers drop connections almost at once. */
@@ -208,7 +208,7 @@
             request.addHeader(
                     body.length() < 0 ? "Transfer-Encoding" : "Content-Length",
                     body.length() < 0 ? "chunked" : Long.toString(body.length()));
-        } else if (message.body() instanceof Body.Whole body
+        } else if (message.body() instanceof Body.Buffered body
                 && (body.bytes().length > 0 || message.method().equals("POST"))) {
             request.addHeader("Content-Length", Integer.toString(body.bytes().length));
         }
@@ -216,16 +216,16 @@
     }
 
     /** The session's final answer, where the reply settles it. */
-    private Answer answer(Outcome outcome, Reply reply) {
+    private Response answer(Outcome outcome, CallResult reply) {
         if (outcome == Outcome.CANCELLED && reply != null) {
             counters.count(Counter.DISPATCHES_REJECTED);
-            return new Answer.Rejected(reply.status());
+            return new Response.Rejected(reply.status());
         }
         return outcome == Outcome.OK ? served(reply) : null;
     }
 
-    private static Answer.Served served(Reply reply) {
-        return new Answer.Served(passed(reply.response()), new Body.Whole(reply.body()));
+    private static Response.Served served(CallResult reply) {
+        return new Response.Served(passed(reply.response()), new Body.Buffered(reply.body()));
     }
 
     private static List<Field> passed(HttpResponse head) {
--- a/balancer/src/main/java/calicochute/backend/Connections.java
+++ b/balancer/src/main/java/calicochute/backend/Connections.java
@@ -163,12 +163,12 @@
                 }),
                 c -> queue.post(() -> {
                     open.remove(one);
-                    Pool.Ended ended = server.pool.ended(c, !c.spoilt(), queue.now());
-                    if (c.spoilt()) {
+                    Pool.Ended ended = server.pool.ended(c, !c.receivedUnsolicitedData(), queue.now());
+                    if (c.receivedUnsolicitedData()) {
                         counters.count(Counter.CONNECTIONS_SPOILT);
                         server.pool.outOfTurn(queue.now());
                     }
-                    if (ended == Pool.Ended.KEPT && !c.spoilt()) {
+                    if (ended == Pool.Ended.KEPT && !c.receivedUnsolicitedData()) {
                         counters.count(Counter.CONNECTIONS_ENDED_EARLY);
                         closeTooOld(server);
                     } else if (ended == Pool.Ended.SPARE) {
--- a/balancer/src/main/java/calicochute/backend/Errand.java
+++ b/balancer/src/main/java/calicochute/backend/Errand.java
@@ -1,8 +1,8 @@
 package calicochute.backend;
 
 import calicochute.connection.CallListener;
+import calicochute.connection.CallResult;
 import calicochute.connection.Connection;
-import calicochute.connection.Reply;
 import calicochute.decision.Balancer.Outcome;
 import calicochute.exchange.Body;
 import calicochute.exchange.DecisionQueue;
@@ -51,8 +51,8 @@
     private boolean spare;
 
     private boolean called;
-    private DecisionQueue.Alarm timeout;
-    private DecisionQueue.Alarm connecting;
+    private DecisionQueue.Timer timeout;
+    private DecisionQueue.Timer connecting;
     private long calledAt;
     private final long patience;
     private boolean starting;
@@ -102,7 +102,7 @@
     private void await(long due) {
         // First: made at its first use, in a young process that took 49 ms of a busy core, by which the alarm was late.
         Runnable over = () -> end(progress.timedOut(), null);
-        timeout = queue.after(due - queue.now(), over);
+        timeout = queue.schedule(due - queue.now(), over);
     }
 
     /** Ends it if a body in pieces has not moved, though this side has something to move or waits for it. */
@@ -112,8 +112,8 @@
         }
         if (answer == null && body instanceof Body.Streamed streamed && !wrote) {
             // Nothing held: it is the client's turn, which the frontend looks after.
-            if (streamed.pipe().held() > 0
-                    && streamed.pipe().stillFor() >= (progress.waiting() ? patience : UPLOAD_STILL)) {
+            if (streamed.pipe().bufferedBytes() > 0
+                    && streamed.pipe().idleMicros() >= (progress.waiting() ? patience : UPLOAD_STILL)) {
                 if (progress.waiting()) {
                     end(progress.unconnected(), null);
                     return;
@@ -121,12 +121,12 @@
                 // The connection's end tells whether the last byte left just now.
                 connection.close();
             }
-        } else if (answer != null && !pace.holds(queue.now(), answer.put(), answer.held() == 0)) {
+        } else if (answer != null && !pace.holds(queue.now(), answer.totalBytes(), answer.bufferedBytes() == 0)) {
             counters.count(Counter.ANSWERS_CUT);
             end(progress.cut(Outcome.RESET), null);
             return;
         }
-        queue.after(WATCH, this::watch);
+        queue.schedule(WATCH, this::watch);
     }
 
     private void wrote() {
@@ -147,7 +147,7 @@
             timeout.cancel();
         }
         answer = from.pipe();
-        pace = new Pace(queue.now(), answer.put());
+        pace = new Pace(queue.now(), answer.totalBytes());
         wrote = true;
         course.begun(head, from);
         if (!(body instanceof Body.Streamed)) {
@@ -170,9 +170,9 @@
         }
         // A connection that never comes up is never answered by the network: only this alarm ends the wait.
         long time = connections.connectTimeout();
-        connecting = queue.after(time / 2, () -> {
+        connecting = queue.schedule(time / 2, () -> {
             connections.openSecond(server);
-            connecting = queue.after(time - time / 2, this::unconnected);
+            connecting = queue.schedule(time - time / 2, this::unconnected);
         });
     }
 
@@ -197,7 +197,7 @@
         served = true;
         if (lent.rest() > 0) {
             counters.count(Counter.CONNECTIONS_WAITED_FOR);
-            queue.after(lent.rest(), () -> connected(true));
+            queue.schedule(lent.rest(), () -> connected(true));
             connections.openSpare(server);
         } else {
             connected(true);
@@ -210,7 +210,7 @@
         connection = fresh;
         served = false;
         spare = false;
-        queue.after(FRESH, () -> connected(false));
+        queue.schedule(FRESH, () -> connected(false));
     }
 
     void unconnected() {
@@ -226,8 +226,8 @@
 
     private void connected(boolean reused) {
         long now = queue.now();
-        boolean open = connection != null && connection.open();
-        switch (progress.connected(now, dispatch.exchange.wantsAnswer(), isIn(), open, !reused)) {
+        boolean open = connection != null && connection.isOpen();
+        switch (progress.connected(now, dispatch.exchange.awaitsResponse(), isIn(), open, !reused)) {
             case CALL -> call(now, reused);
             case FIND_CONNECTION -> another();
             case END -> {
@@ -251,40 +251,40 @@
         }
         calledAt = now;
         called = true;
-        if (body instanceof Body.Whole) {
+        if (body instanceof Body.Buffered) {
             // The wait for the connection is over, and out of the time that is left.
             request.setHeader(BackendServers.TIME_LEFT, Long.toString(Math.max(1, (due() - now) / 1000)));
         }
         connection.stream(request, body, window, new CallListener() {
             @Override
-            public void written() {
+            public void requestWritten() {
                 course.written();
                 queue.post(Errand.this::wrote);
             }
 
             @Override
-            public void begun(HttpResponse head, Body.Streamed answer) {
+            public void responseStarted(HttpResponse head, Body.Streamed answer) {
                 queue.post(() -> began(head, answer));
             }
 
             @Override
-            public void ended(Reply reply) {
+            public void ended(CallResult reply) {
                 queue.post(() -> replied(reply, reused));
             }
         });
     }
 
-    private void replied(Reply reply, boolean reused) {
+    private void replied(CallResult reply, boolean reused) {
         if (progress.ended()) {
             return;
         }
         // The server had closed the idle connection before a byte of this was written.
-        boolean nothingSent = reused && !reply.begun() && reply.response() == null;
+        boolean nothingSent = reused && !reply.requestStarted() && reply.response() == null;
         if (!nothingSent && reused && reply.response() == null && queue.now() < calledAt + AT_ONCE) {
             // It may have been ended before this call was written.
             connections.endedEarly(server, idle);
         }
-        if (reply.reusable() && server.keeps(queue.now())) {
+        if (reply.connectionReusable() && server.keeps(queue.now())) {
             connections.give(server, connection);
             connection = null;
         }
@@ -312,14 +312,14 @@
         boolean waits = progress.waiting();
         end(
                 progress.sessionOver(body instanceof Body.Streamed streamed
-                        && streamed.pipe().broken()),
+                        && streamed.pipe().aborted()),
                 null);
         if (waits) {
             counters.count(Counter.DISPATCHES_HELD_BACK);
         }
     }
 
-    private void end(Progress.Step step, Reply reply) {
+    private void end(Progress.Step step, CallResult reply) {
         if (step != Progress.Step.END) {
             return;
         }
@@ -327,7 +327,7 @@
             timeout.cancel();
         }
         waitsNoMore();
-        if (connection != null && !called && connection.open() && server.keeps(queue.now()) && !server.unwanted) {
+        if (connection != null && !called && connection.isOpen() && server.keeps(queue.now()) && !server.unwanted) {
             connections.unused(server, connection, served);
         } else if (connection != null) {
             connection.close();
@@ -340,9 +340,9 @@
         }
     }
 
-    private static Outcome outcome(Reply reply) {
+    private static Outcome outcome(CallResult reply) {
         if (reply.response() == null) {
-            return reply.written() ? Outcome.RESET : Outcome.CONNECT_FAILED;
+            return reply.requestWritten() ? Outcome.RESET : Outcome.CONNECT_FAILED;
         }
         boolean turnedAway = reply.status() == 503 || reply.status() == 504;
         if (turnedAway && "1".equals(reply.header("X-Turned-Away"))) {
@@ -365,6 +365,6 @@
         default void begun(HttpResponse head, Body.Streamed answer) {}
 
         /** {@code reply} is null where none was waited for. */
-        void ended(Outcome outcome, Reply reply);
+        void ended(Outcome outcome, CallResult reply);
     }
 }
--- a/balancer/src/main/java/calicochute/backend/Opening.java
+++ b/balancer/src/main/java/calicochute/backend/Opening.java
@@ -16,7 +16,7 @@
     private final Connections connections;
     private final BackendServer server;
     private Connection connection;
-    private DecisionQueue.Alarm alarm;
+    private DecisionQueue.Timer alarm;
     private boolean late;
     private boolean over;
 
@@ -28,7 +28,7 @@
     void begin() {
         long time = connections.connectTimeout();
         server.openings.add(this);
-        alarm = connections.queue.after(time, this::becomeLate);
+        alarm = connections.queue.schedule(time, this::becomeLate);
         connection = connections.open(server, Math.max(time, LONGEST), c -> up(), this::failed);
     }
 
@@ -41,7 +41,7 @@
         if (server.lateOpenings() > Connections.MOST_LATE || server.gone) {
             giveUp();
         } else {
-            alarm = connections.queue.after(LONGEST, this::giveUp);
+            alarm = connections.queue.schedule(LONGEST, this::giveUp);
         }
     }
 
@@ -63,7 +63,7 @@
     /** A connection that never comes up is never answered by the network: this side ends it. */
     void giveUp() {
         if (end()) {
-            connection.giveUp();
+            connection.cancelConnect();
         }
     }
 
--- a/balancer/src/main/java/calicochute/backend/Spare.java
+++ b/balancer/src/main/java/calicochute/backend/Spare.java
@@ -9,7 +9,7 @@
     private final Connections connections;
     private final BackendServer server;
     private Connection connection;
-    private DecisionQueue.Alarm never;
+    private DecisionQueue.Timer never;
     private boolean over;
 
     Spare(Connections connections, BackendServer server) {
@@ -19,7 +19,7 @@
 
     void begin() {
         connections.counters.count(Counter.SPARES_OPENED);
-        never = connections.queue.after(connections.connectTimeout(), () -> end(false));
+        never = connections.queue.schedule(connections.connectTimeout(), () -> end(false));
         connection = connections.open(server, connections.connectTimeout(), c -> end(true), () -> end(false));
     }
 
--- a/balancer/src/main/java/calicochute/connection/Call.java
+++ b/balancer/src/main/java/calicochute/connection/Call.java
@@ -24,141 +24,152 @@
 import org.apache.hc.core5.http.protocol.HttpContext;
 
 /**
- * One request and its answer on one connection; never sent again. Bodies go through pipes both ways: a short answer is
- * kept until it is whole, a long one is handed on from its first pieces. Its end is told once, from an I/O thread.
+ * One request and its response on one connection; a call is never sent again. Bodies go through pipes in both
+ * directions: a short response is buffered until it is complete, a long one is streamed. The end of the call is
+ * reported once, on an I/O thread.
  */
 final class Call implements AsyncClientExchangeHandler {
-    private static final int INTERIM_LIMIT = 16;
+    /** Number of 1xx responses accepted before the final one. */
+    private static final int MAX_INTERIM_RESPONSES = 16;
     private final HttpRequest request;
     private final Body body;
     private final Limits limits;
     private final CallListener listener;
     private final AtomicBoolean ended = new AtomicBoolean();
-    private final AtomicBoolean writtenTold = new AtomicBoolean();
-    private final Pipe answer = new Pipe();
-    private ByteBuffer left;
-    private boolean hooked;
-    /** The last byte of the body has been handed to HttpCore. */
-    private volatile boolean produced;
-    /** The body's bytes, and whether they are known before its end: then the last may leave before its end is told. */
-    private final boolean told;
-
-    private volatile long payload;
+    private final AtomicBoolean requestWrittenNotified = new AtomicBoolean();
+    private final Pipe responseBody = new Pipe();
+    private ByteBuffer remainingBody;
+    private boolean readyListenerSet;
+    /** The last byte of the request body was passed to HttpCore. */
+    private volatile boolean requestBodyProduced;
+    /**
+     * Whether the request body's length is known before its end: its last byte may then be sent before the end of the
+     * body is reported.
+     */
+    private final boolean bodyLengthKnown;
+
+    /** Length of the request body; -1 while it is unknown. */
+    private volatile long requestBodyBytes;
     private EndpointDetails endpoint;
-    private Runnable sending = () -> {};
-    private long sentBefore;
+    private Runnable beforeSendingListener = () -> {};
+    private long sentBytesBefore;
     private HttpResponse response;
-    private long length = -1;
-    private int interim;
-    private volatile boolean begun;
-    private volatile boolean whole;
-    private boolean reusable;
+    private long responseLength = -1;
+    private int interimResponses;
+    private volatile boolean responseStreaming;
+    private volatile boolean responseComplete;
+    private boolean connectionReusable;
 
     /**
-     * What an answer may be.
+     * Limits of the response.
      *
-     * @param body no longer body is taken
-     * @param window from this many bytes on an answer is handed on in pieces; 0 if it never is
+     * @param maxBodyBytes longest body that is accepted
+     * @param windowBytes how many bytes of a streamed response are read ahead; 0 if the response is never streamed
      */
-    record Limits(long body, int window) {}
+    record Limits(long maxBodyBytes, int windowBytes) {}
 
     Call(HttpRequest request, Body body, Limits limits, CallListener listener) {
         this.request = request;
         this.body = body;
         this.limits = limits;
         this.listener = listener;
-        left = body instanceof Body.Whole bytes ? ByteBuffer.wrap(bytes.bytes()) : ByteBuffer.allocate(0);
-        produced = body instanceof Body.Whole && !left.hasRemaining();
-        told = !(body instanceof Body.Streamed streamed) || streamed.length() >= 0;
-        payload = body instanceof Body.Streamed streamed ? streamed.length() : left.remaining();
+        remainingBody =
+                body instanceof Body.Buffered buffered ? ByteBuffer.wrap(buffered.bytes()) : ByteBuffer.allocate(0);
+        requestBodyProduced = body instanceof Body.Buffered && !remainingBody.hasRemaining();
+        bodyLengthKnown = !(body instanceof Body.Streamed streamed) || streamed.length() >= 0;
+        requestBodyBytes = body instanceof Body.Streamed streamed ? streamed.length() : remainingBody.remaining();
     }
 
-    /** Told on the I/O thread just before the first byte of the request. */
+    /** Sets the listener called on the I/O thread just before the first byte of the request is sent. */
     void beforeSending(Runnable listener) {
-        sending = listener;
+        beforeSendingListener = listener;
     }
 
-    /** Whose bytes are counted, and how many had been sent before this call. */
-    void on(EndpointDetails connection) {
+    /** Sets the connection whose sent bytes are counted, and records how many were sent before this call. */
+    void attach(EndpointDetails connection) {
         endpoint = connection;
-        sentBefore = connection.getSentBytesCount();
+        sentBytesBefore = connection.getSentBytesCount();
     }
 
     @Override
     public void produceRequest(RequestChannel channel, HttpContext context) throws HttpException, IOException {
-        sending.run();
+        beforeSendingListener.run();
         channel.sendRequest(
                 request,
                 body instanceof Body.Streamed streamed
                         ? new BasicEntityDetails(streamed.length(), null)
-                        : left.hasRemaining() ? new BasicEntityDetails(left.remaining(), null) : null,
+                        : remainingBody.hasRemaining() ? new BasicEntityDetails(remainingBody.remaining(), null) : null,
                 context);
     }
 
     @Override
     public int available() {
         return body instanceof Body.Streamed streamed
-                ? produced ? 0 : streamed.pipe().drained() ? 1 : streamed.pipe().held()
-                : left.remaining();
+                ? requestBodyProduced
+                        ? 0
+                        : streamed.pipe().drained() ? 1 : streamed.pipe().bufferedBytes()
+                : remainingBody.remaining();
     }
 
     @Override
     public void produce(DataStreamChannel channel) throws IOException {
         if (body instanceof Body.Streamed streamed) {
             Pipe pipe = streamed.pipe();
-            if (!hooked) {
-                hooked = true;
-                pipe.whenReady(channel::requestOutput);
+            if (!readyListenerSet) {
+                readyListenerSet = true;
+                pipe.setReadyListener(channel::requestOutput);
             }
-            pipe.take(channel::write);
-            if (!produced && pipe.drained()) {
-                payload = pipe.put();
-                produced = true;
+            pipe.writeTo(channel::write);
+            if (!requestBodyProduced && pipe.drained()) {
+                requestBodyBytes = pipe.totalBytes();
+                requestBodyProduced = true;
                 channel.endStream();
             }
             return;
         }
-        channel.write(left);
-        if (!left.hasRemaining()) {
-            produced = true;
+        channel.write(remainingBody);
+        if (!remainingBody.hasRemaining()) {
+            requestBodyProduced = true;
             channel.endStream();
         }
     }
 
     @Override
     public void consumeInformation(HttpResponse information, HttpContext context) throws HttpException {
-        // An interim answer says nothing that the decisions need. Guards against a server that sends no other.
-        if (++interim > INTERIM_LIMIT) {
-            throw new ProtocolException("over " + INTERIM_LIMIT + " interim answers");
+        // Interim (1xx) responses are ignored. The limit stops a server that sends nothing else.
+        if (++interimResponses > MAX_INTERIM_RESPONSES) {
+            throw new ProtocolException("over " + MAX_INTERIM_RESPONSES + " interim responses");
         }
     }
 
     @Override
     public void consumeResponse(HttpResponse head, EntityDetails entity, HttpContext context) throws HttpException {
-        length = entity == null ? 0 : entity.getContentLength();
-        if (length > most(head)) {
-            throw new ProtocolException("answer over " + most(head) + " bytes");
+        responseLength = entity == null ? 0 : entity.getContentLength();
+        if (responseLength > maxBodyBytes(head)) {
+            throw new ProtocolException("response body over " + maxBodyBytes(head) + " bytes");
         }
         response = head;
-        reusable = DefaultConnectionReuseStrategy.INSTANCE.keepAlive(request, head, context);
-        whole = entity == null;
+        connectionReusable = DefaultConnectionReuseStrategy.INSTANCE.keepAlive(request, head, context);
+        responseComplete = entity == null;
     }
 
-    /** How long the answer's body may be: what is kept whole because it is no 200 is short. */
-    private long most(HttpResponse head) {
-        return limits.window == 0 || streams(head) ? limits.body : Bounds.BODY;
+    /**
+     * The longest body accepted for this response: one that is not a 200 is buffered completely, so it has to be short.
+     */
+    private long maxBodyBytes(HttpResponse head) {
+        return limits.windowBytes == 0 || mayStream(head) ? limits.maxBodyBytes : Bounds.BODY;
     }
 
-    private boolean streams(HttpResponse head) {
-        return limits.window > 0 && head.getCode() == HttpStatus.SC_OK;
+    private boolean mayStream(HttpResponse head) {
+        return limits.windowBytes > 0 && head.getCode() == HttpStatus.SC_OK;
     }
 
     @Override
     public void updateCapacity(CapacityChannel channel) throws IOException {
-        if (limits.window == 0) {
+        if (limits.windowBytes == 0) {
             channel.update(Integer.MAX_VALUE);
         } else {
-            answer.creditTo(bytes -> grant(channel, bytes));
+            responseBody.setCreditListener(bytes -> grant(channel, bytes));
         }
     }
 
@@ -166,82 +177,85 @@
         try {
             channel.update(bytes);
         } catch (IOException e) {
-            // The connection has ended: nothing more is read on it.
+            // The connection has ended; nothing more is read from it.
         }
     }
 
     @Override
     public void consume(ByteBuffer data) throws IOException {
-        long total = answer.put() + data.remaining();
-        // Guards against an answer that would not end: memory is small and shared by all sessions.
-        if (total > most(response)) {
-            throw new IOException("answer over " + most(response) + " bytes");
+        long total = responseBody.totalBytes() + data.remaining();
+        // Bounds the memory that an endless response takes; all sessions share it.
+        if (total > maxBodyBytes(response)) {
+            throw new IOException("response body over " + maxBodyBytes(response) + " bytes");
         }
-        answer.put(data);
-        if (!begun
-                && streams(response)
-                && (length > Bounds.BODY || length < 0 && total > Bounds.UNTOLD || total > Bounds.BODY)) {
-            begun = true;
-            answer.shrink(Bounds.WINDOW - limits.window);
-            listener.begun(response, new Body.Streamed(answer, length));
+        responseBody.put(data);
+        if (!responseStreaming
+                && mayStream(response)
+                && (responseLength > Bounds.BODY
+                        || responseLength < 0 && total > Bounds.UNTOLD
+                        || total > Bounds.BODY)) {
+            responseStreaming = true;
+            responseBody.shrinkWindow(Bounds.WINDOW - limits.windowBytes);
+            listener.responseStarted(response, new Body.Streamed(responseBody, responseLength));
         }
     }
 
     @Override
     public void streamEnd(List<? extends Header> trailers) throws HttpException {
         if (response == null) {
-            throw new ProtocolException("body without a head");
+            throw new ProtocolException("body without a response head");
         }
-        whole = true;
-        answer.end();
+        responseComplete = true;
+        responseBody.complete();
     }
 
     @Override
     public void failed(Exception cause) {
-        end();
+        finish();
     }
 
     @Override
     public void cancel() {
-        end();
+        finish();
     }
 
     @Override
     public void releaseResources() {
-        end();
+        finish();
     }
 
-    private void end() {
+    private void finish() {
         if (ended.compareAndSet(false, true)) {
-            wrote();
-            // Pieces that were taken are gone even if none of their bytes went out: a call made again would lack them.
-            boolean gone =
-                    body instanceof Body.Streamed streamed && streamed.pipe().taken();
-            boolean sent = gone || endpoint.getSentBytesCount() > sentBefore;
-            listener.ended(new Reply(
-                    whole ? response : null,
-                    begun || !whole ? new byte[0] : answer.all(),
-                    sent,
-                    writtenTold.get(),
-                    whole && reusable && produced));
-            if (!whole) {
-                // Only now: whoever passes the answer on hears of the cut after it is known that the server made it.
-                answer.breakOff();
+            outputWritten();
+            // Bytes taken from a streamed body are lost even if none were sent, so a repeated call would lack them.
+            boolean bodyConsumed =
+                    body instanceof Body.Streamed streamed && streamed.pipe().readStarted();
+            boolean requestStarted = bodyConsumed || endpoint.getSentBytesCount() > sentBytesBefore;
+            listener.ended(new CallResult(
+                    responseComplete ? response : null,
+                    responseStreaming || !responseComplete ? new byte[0] : responseBody.toByteArray(),
+                    requestStarted,
+                    requestWrittenNotified.get(),
+                    responseComplete && connectionReusable && requestBodyProduced));
+            if (!responseComplete) {
+                // The body is aborted only after the result: whoever forwards the response must already know that the
+                // server ended it.
+                responseBody.abort();
             }
         }
     }
 
-    /** Some output has been written: tells once if the last byte of this was among it. */
-    void wrote() {
-        if (!writtenTold.get()
-                && (produced || told)
-                && endpoint.getSentBytesCount() - sentBefore >= headLength() + payload
-                && writtenTold.compareAndSet(false, true)) {
-            listener.written();
+    /** Called after output was written: notifies the listener once if the last byte of this request was sent. */
+    void outputWritten() {
+        if (!requestWrittenNotified.get()
+                && (requestBodyProduced || bodyLengthKnown)
+                && endpoint.getSentBytesCount() - sentBytesBefore >= headLength() + requestBodyBytes
+                && requestWrittenNotified.compareAndSet(false, true)) {
+            listener.requestWritten();
         }
     }
 
-    /** The bytes of the request's head as HttpCore writes it. */
+    /** The length in bytes of the request head as HttpCore writes it. */
     private long headLength() {
         long length = request.getMethod().length() + request.getPath().length() + " HTTP/1.1\r\n".length() + 1;
         for (Header header : request.getHeaders()) {
--- a/balancer/src/main/java/calicochute/connection/CallListener.java
+++ b/balancer/src/main/java/calicochute/connection/CallListener.java
@@ -3,17 +3,17 @@
 import calicochute.exchange.Body;
 import org.apache.hc.core5.http.HttpResponse;
 
-/** Hears on an I/O thread how a call goes. */
+/** Receives the events of a call, on an I/O thread. */
 public interface CallListener {
-    /** The request's last byte has been written. */
-    default void written() {}
+    /** The last byte of the request was written. */
+    default void requestWritten() {}
 
     /**
-     * The answer is too long to be kept: it goes on in pieces from here, and {@link #ended} tells whether it ended
-     * whole. Only for calls that stream.
+     * The response is too long to be buffered and is streamed from here on; {@link #ended} tells whether it completed.
+     * Called only for calls that allow streaming.
      */
-    default void begun(HttpResponse head, Body.Streamed body) {}
+    default void responseStarted(HttpResponse head, Body.Streamed body) {}
 
-    /** The call is over; told once. */
-    void ended(Reply reply);
+    /** The call ended; called exactly once. */
+    void ended(CallResult result);
 }
--- a/balancer/src/main/java/calicochute/connection/Connection.java
+++ b/balancer/src/main/java/calicochute/connection/Connection.java
@@ -12,27 +12,27 @@
 import org.apache.hc.core5.reactor.Command;
 import org.apache.hc.core5.reactor.IOSession;
 
-/** One connection to a server. Calls go one at a time; closing it gives up the call that is out. */
+/** One connection to a server. Calls are made one at a time; closing the connection aborts the pending call. */
 public final class Connection {
-    /** Told on an I/O thread when the connection has ended, by whichever side. */
+    /** Called on an I/O thread when the connection has ended, whichever side ended it. */
     private final Consumer<Connection> onClosed;
 
-    private volatile Future<IOSession> opening;
+    private volatile Future<IOSession> connectFuture;
     private volatile IOSession session;
     private volatile boolean closed;
-    private volatile boolean awaitsAnswer;
-    private volatile boolean spoilt;
-    private volatile Call latest;
+    private volatile boolean awaitsResponse;
+    private volatile boolean receivedUnsolicitedData;
+    private volatile Call latestCall;
 
     Connection(Consumer<Connection> onClosed) {
         this.onClosed = onClosed;
     }
 
-    void opening(Future<IOSession> request) {
-        opening = request;
+    void setConnectFuture(Future<IOSession> future) {
+        connectFuture = future;
         if (closed) {
-            // Given up between two tries.
-            request.cancel(true);
+            // The connect was cancelled between two tries.
+            future.cancel(true);
         }
     }
 
@@ -40,10 +40,10 @@
         return closed;
     }
 
-    void opened(IOSession opened) {
-        session = opened;
+    void connected(IOSession connectedSession) {
+        session = connectedSession;
         if (closed) {
-            opened.close(CloseMode.IMMEDIATE);
+            connectedSession.close(CloseMode.IMMEDIATE);
         }
     }
 
@@ -52,72 +52,79 @@
         onClosed.accept(this);
     }
 
-    public boolean open() {
+    /** Whether the connection is established and not closed. */
+    public boolean isOpen() {
         return !closed && session != null && session.isOpen();
     }
 
-    /** Sends one request whose answer is kept until it is whole; {@code end} hears on an I/O thread how it ended. */
-    public void call(HttpRequest request, byte[] body, int bodyLimit, Consumer<Reply> end) {
-        call(request, new Body.Whole(body), new Call.Limits(bodyLimit, 0), end::accept);
+    /**
+     * Sends a request and buffers its complete response; the listener is called on an I/O thread when the call ends.
+     */
+    public void call(HttpRequest request, byte[] body, int maxBodyBytes, Consumer<CallResult> listener) {
+        call(request, new Body.Buffered(body), new Call.Limits(maxBodyBytes, 0), listener::accept);
     }
 
-    /** Sends one request whose answer may be long: past a point it is handed on in pieces, so many bytes ahead. */
-    public void stream(HttpRequest request, Body body, int window, CallListener listener) {
-        call(request, body, new Call.Limits(Bounds.LONGEST_BODY, window), listener);
+    /**
+     * Sends a request whose response may be long: beyond a threshold it is streamed, with at most {@code windowBytes}
+     * read ahead.
+     */
+    public void stream(HttpRequest request, Body body, int windowBytes, CallListener listener) {
+        call(request, body, new Call.Limits(Bounds.LONGEST_BODY, windowBytes), listener);
     }
 
     private void call(HttpRequest request, Body body, Call.Limits limits, CallListener listener) {
         Call call = new Call(request, body, limits, listener);
-        // Only then: what has come until then belongs to no call, also if it is read after this one was asked for.
-        call.beforeSending(() -> awaitsAnswer = true);
-        latest = call;
-        call.on(((HttpConnection) session.getHandler()).getEndpointDetails());
+        // Set only when the first byte is sent: data received before that belongs to no call, even if it is read
+        // after this call was enqueued.
+        call.beforeSending(() -> awaitsResponse = true);
+        latestCall = call;
+        call.attach(((HttpConnection) session.getHandler()).getEndpointDetails());
         session.enqueue(new RequestExecutionCommand(call, HttpCoreContext.create()), Command.Priority.NORMAL);
     }
 
-    /** Output has been written; on the I/O thread. */
-    void wrote() {
-        Call call = latest;
+    /** Called on the I/O thread after output was written. */
+    void outputWritten() {
+        Call call = latestCall;
         if (call != null) {
-            call.wrote();
+            call.outputWritten();
         }
     }
 
-    /** Whether a call was ever made on it. */
+    /** Whether a call was ever made on this connection. */
     public boolean used() {
-        return latest != null;
+        return latestCall != null;
     }
 
-    /** True from a call's first byte until the head of its final answer. */
-    boolean awaitsAnswer() {
-        return awaitsAnswer;
+    /** Whether a call has sent its first byte and the head of its final response was not received yet. */
+    boolean awaitsResponse() {
+        return awaitsResponse;
     }
 
-    void answerBegun() {
-        awaitsAnswer = false;
+    void responseHeadReceived() {
+        awaitsResponse = false;
     }
 
-    /** Something came on it that belongs to no call: this side ends it. */
-    void spoil() {
-        spoilt = true;
+    /** Records that data was received that belongs to no call; this side then closes the connection. */
+    void markUnsolicitedData() {
+        receivedUnsolicitedData = true;
     }
 
-    /** True if it ended because of what came on it, and not because its server ended it. */
-    public boolean spoilt() {
-        return spoilt;
+    /** Whether the connection was closed because of unsolicited data, and not by its server. */
+    public boolean receivedUnsolicitedData() {
+        return receivedUnsolicitedData;
     }
 
-    /** Stops waiting for it to come up, which is told as a failure. */
-    public void giveUp() {
+    /** Cancels the connect; the failure callback is called. */
+    public void cancelConnect() {
         close();
-        opening.cancel(true);
+        connectFuture.cancel(true);
     }
 
     public void close() {
         closed = true;
-        IOSession open = session;
-        if (open != null) {
-            open.close(CloseMode.IMMEDIATE);
+        IOSession openSession = session;
+        if (openSession != null) {
+            openSession.close(CloseMode.IMMEDIATE);
         }
     }
 }
--- a/balancer/src/main/java/calicochute/connection/Connector.java
+++ b/balancer/src/main/java/calicochute/connection/Connector.java
@@ -35,21 +35,26 @@
 import org.apache.hc.core5.util.TimeValue;
 import org.apache.hc.core5.util.Timeout;
 
-/** Opens connections to servers of any sort; one I/O thread carries them all. */
+/** Opens connections to backend servers and other servers; one I/O thread serves all of them. */
 public final class Connector implements AutoCloseable {
-    static final Http1Config LIMITS = Http1Config.custom()
+    static final Http1Config HTTP_CONFIG = Http1Config.custom()
             .setBufferSize(Bounds.BUFFER)
             .setMaxLineLength(Bounds.LINE)
             .setMaxHeaderCount(Bounds.FIELDS)
             .setInitialWindowSize(Bounds.WINDOW)
             .build();
     private static final HttpProcessor PROCESSOR = HttpProcessorBuilder.create().build();
-    /** Where descriptors are lacking, room is made for the connection, and it is tried again: nothing was sent yet. */
-    private static final int RETRIES = 3;
+    /**
+     * If file descriptors are exhausted, the shortage handler frees some and the connect is retried, as nothing was
+     * sent yet.
+     */
+    private static final int MAX_CONNECT_RETRIES = 3;
 
-    private static final Executor LATER = CompletableFuture.delayedExecutor(20, TimeUnit.MILLISECONDS, Runnable::run);
+    /** Delays a retry by 20 ms. */
+    private static final Executor RETRY_EXECUTOR =
+            CompletableFuture.delayedExecutor(20, TimeUnit.MILLISECONDS, Runnable::run);
     private final DefaultConnectingIOReactor reactor;
-    private volatile BooleanSupplier lacking = () -> false;
+    private volatile BooleanSupplier descriptorShortage = () -> false;
 
     public Connector() {
         IOReactorConfig config = IOReactorConfig.custom()
@@ -58,7 +63,7 @@
                 .setSelectInterval(TimeValue.ofMilliseconds(50))
                 .build();
         reactor = new DefaultConnectingIOReactor(
-                this::handler, config, new DefaultThreadFactory("backend-io", true), null, null, null, null);
+                this::createHandler, config, new DefaultThreadFactory("backend-io", true), null, null, null, null);
     }
 
     public void start() {
@@ -66,8 +71,8 @@
     }
 
     /**
-     * Opens a connection. Each callback runs on an I/O thread: {@code opened} with a usable connection, {@code failed}
-     * with the reason, {@code closed} when an opened one ends.
+     * Opens a connection. The callbacks run on an I/O thread: {@code opened} with a usable connection, {@code failed}
+     * with the cause, {@code closed} when an opened connection ends.
      */
     public Connection open(
             InetSocketAddress address,
@@ -77,7 +82,7 @@
             Consumer<Connection> closed) {
         Connection connection = new Connection(closed);
         Timeout timeout = Timeout.ofMilliseconds(Math.max(1, timeoutMicros / 1000));
-        // With its text for a name: HttpHost would ask the system for the address's name, which can take seconds.
+        // The host name is set explicitly: HttpHost would otherwise do a reverse lookup, which can take seconds.
         HttpHost host = new HttpHost(null, address.getAddress(), address.getHostString(), address.getPort());
         connect(connection, host, address, timeout, opened, failed, 0);
         return connection;
@@ -90,52 +95,56 @@
             Timeout timeout,
             Consumer<Connection> opened,
             Consumer<Exception> failed,
-            int tried) {
-        connection.opening(reactor.connect(host, address, null, timeout, connection, new FutureCallback<IOSession>() {
-            @Override
-            public void completed(IOSession session) {
-                connection.opened(session);
-                opened.accept(connection);
-            }
+            int retries) {
+        connection.setConnectFuture(reactor.connect(
+                host, address, null, timeout, connection, new FutureCallback<IOSession>() {
+                    @Override
+                    public void completed(IOSession session) {
+                        connection.connected(session);
+                        opened.accept(connection);
+                    }
 
-            @Override
-            public void failed(Exception cause) {
-                if (tried < RETRIES && lacking.getAsBoolean()) {
-                    LATER.execute(() -> {
-                        if (connection.closed()) {
-                            failed.accept(cause);
+                    @Override
+                    public void failed(Exception cause) {
+                        if (retries < MAX_CONNECT_RETRIES && descriptorShortage.getAsBoolean()) {
+                            RETRY_EXECUTOR.execute(() -> {
+                                if (connection.closed()) {
+                                    failed.accept(cause);
+                                } else {
+                                    connect(connection, host, address, timeout, opened, failed, retries + 1);
+                                }
+                            });
                         } else {
-                            connect(connection, host, address, timeout, opened, failed, tried + 1);
+                            failed.accept(cause);
                         }
-                    });
-                } else {
-                    failed.accept(cause);
-                }
-            }
+                    }
 
-            @Override
-            public void cancelled() {
-                failed.accept(new IOException("cancelled"));
-            }
-        }));
+                    @Override
+                    public void cancelled() {
+                        failed.accept(new IOException("cancelled"));
+                    }
+                }));
     }
 
-    /** Asked when a connection could not be opened: true if it was for lack of descriptors, and one may soon be had. */
-    public void whenLacking(BooleanSupplier listener) {
-        lacking = listener;
+    /**
+     * Sets the handler that is asked when a connect fails: it returns true if the cause was a shortage of file
+     * descriptors and one may soon be free.
+     */
+    public void onDescriptorShortage(BooleanSupplier listener) {
+        descriptorShortage = listener;
     }
 
-    private IOEventHandler handler(ProtocolIOSession session, Object attachment) {
+    private IOEventHandler createHandler(ProtocolIOSession session, Object attachment) {
         session.setSocketTimeout(Timeout.DISABLED);
         Connection connection = (Connection) attachment;
         return new ClientHttp1IOEventHandler(
                 new ClientHttp1StreamDuplexer(
                         session,
                         PROCESSOR,
-                        LIMITS,
+                        HTTP_CONFIG,
                         CharCodingConfig.DEFAULT,
                         DefaultConnectionReuseStrategy.INSTANCE,
-                        new AnswerGuard(connection),
+                        new ResponseHeadParser(connection),
                         DefaultHttpRequestWriterFactory.INSTANCE.create(),
                         DefaultContentLengthStrategy.INSTANCE,
                         DefaultContentLengthStrategy.INSTANCE,
@@ -151,14 +160,14 @@
                     }
                 }) {
             @Override
-            public void outputReady(IOSession ready) throws IOException {
-                super.outputReady(ready);
-                connection.wrote();
+            public void outputReady(IOSession readySession) throws IOException {
+                super.outputReady(readySession);
+                connection.outputWritten();
             }
 
             @Override
-            public void disconnected(IOSession ended) {
-                super.disconnected(ended);
+            public void disconnected(IOSession endedSession) {
+                super.disconnected(endedSession);
                 connection.disconnected();
             }
         };
--- a/balancer/src/main/java/calicochute/connection/AnswerGuard.java
+++ b/balancer/src/main/java/calicochute/connection/ResponseHeadParser.java
@@ -10,13 +10,13 @@
 import org.apache.hc.core5.http.nio.NHttpMessageParser;
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 
-/** Reads the heads of answers on one connection; one that no call awaits, or that can be read in two ways, ends it. */
-final class AnswerGuard implements NHttpMessageParser<HttpResponse> {
+/** Parses response heads on one connection. Unsolicited data and heads with ambiguous framing end the connection. */
+final class ResponseHeadParser implements NHttpMessageParser<HttpResponse> {
     private final NHttpMessageParser<HttpResponse> parser =
-            new WholeHeads<>(new DefaultHttpResponseParserFactory(Connector.LIMITS).create());
+            new WholeHeads<>(new DefaultHttpResponseParserFactory(Connector.HTTP_CONFIG).create());
     private final Connection connection;
 
-    AnswerGuard(Connection connection) {
+    ResponseHeadParser(Connection connection) {
         this.connection = connection;
     }
 
@@ -27,19 +27,19 @@
 
     @Override
     public HttpResponse parse(SessionInputBuffer buffer, boolean endOfStream) throws IOException, HttpException {
-        // Guards against a copy or noise behind an answer: it would be read as the answer to the next call.
-        if (buffer.hasData() && !connection.awaitsAnswer()) {
-            connection.spoil();
-            throw new ProtocolException("bytes that no call awaits");
+        // Extra bytes after a response, such as a duplicate, would be read as the response to the next call.
+        if (buffer.hasData() && !connection.awaitsResponse()) {
+            connection.markUnsolicitedData();
+            throw new ProtocolException("received data that belongs to no call");
         }
         HttpResponse response = parser.parse(buffer, endOfStream);
         if (response != null) {
             Header[] lengths = response.getHeaders("Content-Length");
             if (lengths.length + response.countHeaders("Transfer-Encoding") > 1) {
-                throw new ProtocolException("more than one length");
+                throw new ProtocolException("more than one Content-Length or Transfer-Encoding");
             }
             if (response.getCode() >= 200) {
-                connection.answerBegun();
+                connection.responseHeadReceived();
             }
         }
         return response;
--- a/balancer/src/main/java/calicochute/discovery/Discovery.java
+++ b/balancer/src/main/java/calicochute/discovery/Discovery.java
@@ -1,8 +1,8 @@
 package calicochute.discovery;
 
+import calicochute.connection.CallResult;
 import calicochute.connection.Connection;
 import calicochute.connection.Connector;
-import calicochute.connection.Reply;
 import calicochute.decision.Balancer.Settings;
 import calicochute.exchange.DecisionQueue;
 import calicochute.metrics.Counter;
@@ -37,7 +37,7 @@
     /** On whose connection the last answer came. */
     private Query latest;
 
-    private DecisionQueue.Alarm alarm;
+    private DecisionQueue.Timer alarm;
     private long generation;
     private boolean told;
     private boolean lost;
@@ -160,7 +160,7 @@
             }
         }
         long due = clock.due();
-        alarm = due == WatchClock.NEVER ? null : queue.after(Math.max(0, due - queue.now()), this::look);
+        alarm = due == WatchClock.NEVER ? null : queue.schedule(Math.max(0, due - queue.now()), this::look);
         if (clock.lost() && !lost) {
             lost = true;
             told = false;
@@ -169,7 +169,7 @@
     }
 
     private WatchClock.Act act() {
-        return clock.act(queue.now(), latest != null && latest.connection.open());
+        return clock.act(queue.now(), latest != null && latest.connection.isOpen());
     }
 
     private void begin(WatchClock.Call call) {
@@ -208,7 +208,7 @@
     /** What an answer's body says: a list, or else why it is none. */
     private record Reading(ServerList list, String error) {}
 
-    private Reading reading(Reply reply) {
+    private Reading reading(CallResult reply) {
         if (reply.status() != 200) {
             return new Reading(null, "no list");
         }
@@ -250,7 +250,7 @@
         }
 
         /** On an I/O thread, which carries sessions too. */
-        private void read(WatchClock.Call call, Reply reply) {
+        private void read(WatchClock.Call call, CallResult reply) {
             if (reply.body().length <= LARGE) {
                 queue.post(() -> replied(call, reply, reading(reply)));
                 return;
@@ -283,7 +283,7 @@
             }
         }
 
-        private void replied(WatchClock.Call call, Reply reply, Reading reading) {
+        private void replied(WatchClock.Call call, CallResult reply, Reading reading) {
             // One that was given up is not read: whoever came after it has asked from the same generation.
             if (out.get(call) != this) {
                 return;
@@ -303,7 +303,7 @@
             } else {
                 counters.count(Counter.DISCOVERY_ANSWERS);
                 faulted = false;
-                if (!reply.reusable()) {
+                if (!reply.connectionReusable()) {
                     connection.close();
                 }
                 answered(this, call, list);
--- a/balancer/src/main/java/calicochute/exchange/Body.java
+++ b/balancer/src/main/java/calicochute/exchange/Body.java
@@ -1,10 +1,13 @@
 package calicochute.exchange;
 
-/** A message's body, as it came. */
+/** A message body, unchanged as received. */
 public sealed interface Body {
-    /** All of it; may be handed on as often as need be, and must not be changed. */
-    record Whole(byte[] bytes) implements Body {}
+    /** A complete body in memory. It may be sent any number of times, so the bytes must not be modified. */
+    record Buffered(byte[] bytes) implements Body {}
 
-    /** One that comes in pieces and can be handed on once; {@code length} is -1 where it was not told. */
+    /**
+     * A body that is forwarded while it is received, so it can be sent only once; {@code length} is in bytes, -1 if
+     * unknown.
+     */
     record Streamed(Pipe pipe, long length) implements Body {}
 }
--- a/balancer/src/main/java/calicochute/exchange/DecisionQueue.java
+++ b/balancer/src/main/java/calicochute/exchange/DecisionQueue.java
@@ -1,18 +1,18 @@
 package calicochute.exchange;
 
-/** The one thread on which decisions are made, its clock and its timers. */
+/** Task queue, clock and timers of the single decision thread. */
 public interface DecisionQueue {
-    /** A timer that was set. */
-    interface Alarm {
+    /** A scheduled task that can be cancelled. */
+    interface Timer {
         void cancel();
     }
 
-    /** Microseconds since 1970, never going back. */
+    /** The current time in microseconds since the Unix epoch; it never goes backwards. */
     long now();
 
-    /** Runs the task on the decision thread, after all that was posted before. */
+    /** Runs the task on the decision thread, after all tasks posted earlier. */
     void post(Runnable task);
 
-    /** Runs the task on the decision thread once this many microseconds have passed. */
-    Alarm after(long micros, Runnable task);
+    /** Runs the task on the decision thread after the given delay. */
+    Timer schedule(long delayMicros, Runnable task);
 }
--- a/balancer/src/main/java/calicochute/exchange/Dispatch.java
+++ b/balancer/src/main/java/calicochute/exchange/Dispatch.java
@@ -2,13 +2,17 @@
 
 import calicochute.decision.Balancer.Outcome;
 
-/** One attempt at a session on one backend server. */
+/** One attempt to execute a session on one backend server. */
 public final class Dispatch {
     public final Exchange exchange;
     public final int number;
     public final String server;
+    /** When the dispatch was made, in microseconds of the decision queue. */
     public final long sentAt;
-    /** It must not be sent from then on: what the rules allow now they may not once a connection has come up. */
+    /**
+     * From this time on (microseconds of the decision queue) the dispatch must not be sent: opening a connection takes
+     * time, and the rules that allow the dispatch now may forbid it by then.
+     */
     public final long notAfter;
 
     private Outcome outcome;
@@ -21,25 +25,27 @@
         this.notAfter = notAfter;
     }
 
-    /** Notes how it ended; false if that was known already. */
-    public boolean end(Outcome how) {
+    /** Records the outcome; returns false if one was recorded already. */
+    public boolean end(Outcome newOutcome) {
         if (outcome != null) {
             return false;
         }
-        outcome = how;
+        outcome = newOutcome;
         return true;
     }
 
-    public boolean out() {
+    /** Whether the outcome is still unknown. */
+    public boolean pending() {
         return outcome == null;
     }
 
-    /** It brought an answer, and the whole of it. */
-    public boolean ok() {
+    /** Whether a complete response was received. */
+    public boolean succeeded() {
         return outcome == Outcome.OK;
     }
 
-    boolean mayHaveRun() {
+    /** False only if the outcome proves that the backend server did not execute the session. */
+    boolean mayHaveExecuted() {
         return outcome == null || !outcome.provesNotRun();
     }
 }
--- a/balancer/src/main/java/calicochute/exchange/Exchange.java
+++ b/balancer/src/main/java/calicochute/exchange/Exchange.java
@@ -5,35 +5,39 @@
 import java.util.List;
 
 /**
- * One session: what the client sent, by when it wants its answer, which dispatches were made for it and whether it has
- * been answered. Client side and servers' side meet only here. What changes is the decision thread's own.
+ * One session: the request, its deadline, its dispatches and whether it has been answered. It is the only object that
+ * the frontend and the backend side share. Its mutable state belongs to the decision thread unless a method says
+ * otherwise.
  */
 public final class Exchange {
-    /** The session's number, unique in this process. */
+    /** Session number, unique within this process. */
     public final long id;
-    /** The client's own name for the session. */
+    /** The client's ID for the session. */
     public final String clientId;
 
     public final Message message;
     public final int classIndex;
     public final int tenantIndex;
-    /** What the site permitted when it began; holds to its end. */
+    /** The limits of the settings in force when the session began; they apply until it ends. */
     public final Limits limits;
 
-    public final boolean retry;
-    /** How long the client waits, in microseconds. */
-    public final long patience;
-    /** When the last byte came, or the session's begin until then: microseconds of the decision queue. */
-    private long arrivedAt;
-
-    private boolean whole;
-    private boolean passing;
-    private boolean cut;
-    private final Respondent respondent;
+    /** Whether the client marked the request as a retry. */
+    public final boolean clientRetry;
+    /** How long the client waits for the response. */
+    public final long clientTimeoutMicros;
+    /**
+     * When the last request byte was received; until then, when the session began. Microseconds of the decision queue.
+     */
+    private long receivedAt;
+
+    private boolean requestComplete;
+    private boolean streamingResponse;
+    private boolean responseAborted;
+    private final ResponseSender responseSender;
     private final List<Dispatch> dispatches = new ArrayList<>(3);
     private volatile boolean closed;
-    /** Known before the decision thread comes to it, which may be late. */
-    private volatile boolean clientLeft;
+    /** Set by the I/O thread, because the decision thread may process the event late. */
+    private volatile boolean clientGone;
 
     public Exchange(
             long id,
@@ -42,132 +46,135 @@
             int classIndex,
             int tenantIndex,
             Limits limits,
-            boolean retry,
-            long arrivedAt,
-            long patience,
-            Respondent respondent) {
+            boolean clientRetry,
+            long receivedAt,
+            long clientTimeoutMicros,
+            ResponseSender responseSender) {
         this.id = id;
         this.clientId = clientId;
         this.message = message;
         this.classIndex = classIndex;
         this.tenantIndex = tenantIndex;
         this.limits = limits;
-        this.retry = retry;
-        this.arrivedAt = arrivedAt;
-        this.patience = patience;
-        whole = message.body() instanceof Body.Whole;
-        this.respondent = respondent;
+        this.clientRetry = clientRetry;
+        this.receivedAt = receivedAt;
+        this.clientTimeoutMicros = clientTimeoutMicros;
+        requestComplete = message.body() instanceof Body.Buffered;
+        this.responseSender = responseSender;
     }
 
-    /** True once the last byte of the session has come: only then does its time run. */
-    public boolean whole() {
-        return whole;
+    /** Whether the last byte of the request was received; the client timeout starts then. */
+    public boolean requestComplete() {
+        return requestComplete;
     }
 
-    /** The last byte has come. */
-    public void arrived(long now) {
-        whole = true;
-        arrivedAt = now;
+    /** Records that the last byte of the request was received. */
+    public void completeRequest(long now) {
+        requestComplete = true;
+        receivedAt = now;
     }
 
-    public long arrivedAt() {
-        return arrivedAt;
+    public long receivedAt() {
+        return receivedAt;
     }
 
-    /** When the client will have given up; as good as never while the session is not whole. */
+    /** When the client stops waiting; practically never while the request is incomplete. */
     public long deadline() {
-        return whole ? arrivedAt + patience : Long.MAX_VALUE / 2;
+        return requestComplete ? receivedAt + clientTimeoutMicros : Long.MAX_VALUE / 2;
     }
 
-    /** True if the body comes in pieces and some have been handed on: there can't be another dispatch. */
-    public boolean spent() {
-        return message.body() instanceof Body.Streamed body && body.pipe().taken();
+    /** Whether part of a streamed request body was already sent to a server, so that no other dispatch is possible. */
+    public boolean requestBodyConsumed() {
+        return message.body() instanceof Body.Streamed body && body.pipe().readStarted();
     }
 
-    /** Its answer is being passed on in pieces. */
-    public boolean passing() {
-        return passing;
+    /** Whether a streamed response is being sent to the client. */
+    public boolean streamingResponse() {
+        return streamingResponse;
     }
 
-    /** Its answer in pieces has been broken off on this side. */
-    public boolean cut() {
-        return cut;
+    /** Whether the balancer itself aborted the streamed response. */
+    public boolean responseAborted() {
+        return responseAborted;
     }
 
-    public void cut(boolean here) {
-        cut = here;
+    public void setResponseAborted(boolean aborted) {
+        responseAborted = aborted;
     }
 
-    /** An answer in pieces has begun, or is over. */
-    public void passing(boolean under) {
-        passing = under;
+    /** Records that a streamed response has begun or ended. */
+    public void setStreamingResponse(boolean streaming) {
+        streamingResponse = streaming;
     }
 
-    /** Adds the next dispatch, which must have left before {@code notAfter}; they are numbered from 0. */
-    public Dispatch dispatch(String server, long now, long notAfter) {
+    /** Adds the next dispatch, which must be sent before {@code notAfter}. Dispatches are numbered from 0. */
+    public Dispatch addDispatch(String server, long now, long notAfter) {
         Dispatch dispatch = new Dispatch(this, dispatches.size(), server, now, notAfter);
         dispatches.add(dispatch);
         return dispatch;
     }
 
-    /** The dispatch of that number, or null. */
+    /** The dispatch with that number, or null. */
     public Dispatch dispatch(int number) {
         return number >= 0 && number < dispatches.size() ? dispatches.get(number) : null;
     }
 
-    /** The newest dispatch, or null. */
-    public Dispatch latest() {
+    /** The most recent dispatch, or null. */
+    public Dispatch latestDispatch() {
         return dispatch(dispatches.size() - 1);
     }
 
-    public int dispatches() {
+    public int dispatchCount() {
         return dispatches.size();
     }
 
-    public boolean anyOut() {
-        return dispatches.stream().anyMatch(Dispatch::out);
+    public boolean anyPending() {
+        return dispatches.stream().anyMatch(Dispatch::pending);
     }
 
-    public boolean mayHaveRun() {
-        return firstThatMayHaveRun() != null;
+    public boolean mayHaveExecuted() {
+        return firstPossiblyExecuted() != null;
     }
 
-    /** Or null. */
-    public Dispatch firstThatMayHaveRun() {
-        return dispatches.stream().filter(Dispatch::mayHaveRun).findFirst().orElse(null);
+    /** The first dispatch that the server may have executed, or null. */
+    public Dispatch firstPossiblyExecuted() {
+        return dispatches.stream().filter(Dispatch::mayHaveExecuted).findFirst().orElse(null);
     }
 
-    /** Those that have not ended. */
-    public List<Dispatch> out() {
-        return dispatches.stream().filter(Dispatch::out).toList();
+    /** The dispatches without an outcome. */
+    public List<Dispatch> pendingDispatches() {
+        return dispatches.stream().filter(Dispatch::pending).toList();
     }
 
-    /** Gives the final answer, unless the session has had one or its client is gone; tells whether it did. */
-    public boolean answer(Answer answer) {
+    /** Sends the final response unless one was sent already or the client is gone; returns whether it was sent. */
+    public boolean respond(Response response) {
         if (closed) {
             return false;
         }
         closed = true;
-        respondent.answer(answer);
+        responseSender.send(response);
         return true;
     }
 
-    /** The client is gone: no answer is owed any more. */
+    /** Marks the session as closed without a response, because the client is gone. */
     public void abandon() {
         closed = true;
     }
 
-    /** The client has closed its connection; any thread may say so. */
-    public void clientLeft() {
-        clientLeft = true;
+    /** Records that the client closed its connection; any thread may call. */
+    public void markClientGone() {
+        clientGone = true;
     }
 
-    /** True as long as there is someone to answer: nothing is begun for it otherwise. Any thread may ask. */
-    public boolean wantsAnswer() {
-        return !closed && !clientLeft;
+    /**
+     * Whether a client still waits for the response; if not, nothing new is started for the session. Any thread may
+     * call.
+     */
+    public boolean awaitsResponse() {
+        return !closed && !clientGone;
     }
 
-    /** True once the session has its answer or needs none. */
+    /** Whether the session was answered or needs no response. */
     public boolean closed() {
         return closed;
     }
--- a/balancer/src/main/java/calicochute/exchange/Field.java
+++ b/balancer/src/main/java/calicochute/exchange/Field.java
@@ -1,4 +1,4 @@
 package calicochute.exchange;
 
-/** One named value that travels with a message, as it came. */
+/** A header field, unchanged as received. */
 public record Field(String name, String value) {}
--- a/balancer/src/main/java/calicochute/exchange/Message.java
+++ b/balancer/src/main/java/calicochute/exchange/Message.java
@@ -2,5 +2,5 @@
 
 import java.util.List;
 
-/** What the client sent and a backend server is to get, kept as it came; whoever holds it must not change it. */
+/** A request as the client sent it and a backend server receives it. Holders must not modify it. */
 public record Message(String method, String target, List<Field> fields, Body body) {}
--- a/balancer/src/main/java/calicochute/exchange/Pipe.java
+++ b/balancer/src/main/java/calicochute/exchange/Pipe.java
@@ -5,221 +5,229 @@
 import java.util.ArrayDeque;
 
 /**
- * A body on its way from one I/O thread to another. The source puts pieces; the sink takes them; what was taken goes
- * back to the source as credit, so that it never reads more than its window ahead. Any thread may call; listeners are
- * called without locks held, and must not block.
+ * A message body that moves from one I/O thread to another, with flow control. The source puts bytes and the sink takes
+ * them; bytes taken are granted to the source as credit, so it never reads further ahead than its window. All methods
+ * are thread-safe. Listeners are called without locks held and must not block.
  */
 public final class Pipe {
-    /** Where a sink writes: as many bytes as it has room for, like a channel. */
+    /** Destination of the bytes. Like a channel, it may accept fewer bytes than offered. */
     public interface Sink {
         int write(ByteBuffer bytes) throws IOException;
     }
 
-    /** Hears how many more bytes the source may read. */
-    public interface Credit {
+    /** Receives the number of further bytes that the source may read. */
+    public interface CreditListener {
         void grant(int bytes);
     }
 
-    private final ArrayDeque<ByteBuffer> pieces = new ArrayDeque<>();
-    private int held;
-    private long put;
-    private boolean ended;
-    private boolean broken;
-    private boolean abandoned;
-    private boolean taken;
-    /** Credit not granted yet: for lack of a listener, or since the window is to shrink. */
-    private int owed;
-
-    private int withheld;
-    private long movedAt = System.nanoTime();
-    private Credit credit;
-    private Runnable ready;
-
-    /** Puts a copy of what is left of a piece; once abandoned, drops it. */
-    public void put(ByteBuffer piece) {
-        Runnable tell;
+    private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
+    private int bufferedBytes;
+    private long totalBytes;
+    private boolean completed;
+    private boolean aborted;
+    private boolean cancelled;
+    private boolean readStarted;
+    /** Credit that could not be granted yet because no listener was set. */
+    private int pendingCredit;
+
+    private int withheldCredit;
+    private long lastProgressNanos = System.nanoTime();
+    private CreditListener creditListener;
+    private Runnable readyListener;
+
+    /** Appends a copy of the remaining bytes, or drops them if the pipe was cancelled. */
+    public void put(ByteBuffer bytes) {
+        Runnable listener;
         synchronized (this) {
-            int length = piece.remaining();
-            put += length;
-            movedAt = System.nanoTime();
-            if (abandoned) {
-                piece.position(piece.limit());
-                owed += length;
-                tell = null;
+            int length = bytes.remaining();
+            totalBytes += length;
+            lastProgressNanos = System.nanoTime();
+            if (cancelled) {
+                bytes.position(bytes.limit());
+                pendingCredit += length;
+                listener = null;
             } else {
                 byte[] copy = new byte[length];
-                piece.get(copy);
-                pieces.add(ByteBuffer.wrap(copy));
-                held += length;
-                tell = ready;
+                bytes.get(copy);
+                buffers.add(ByteBuffer.wrap(copy));
+                bufferedBytes += length;
+                listener = readyListener;
             }
         }
-        run(tell);
-        grant();
+        runIfSet(listener);
+        grantPendingCredit();
     }
 
-    /** The body is whole. */
-    public void end() {
-        Runnable tell;
+    /** Called by the source when the body is complete. */
+    public void complete() {
+        Runnable listener;
         synchronized (this) {
-            ended = true;
-            tell = ready;
+            completed = true;
+            listener = readyListener;
         }
-        run(tell);
+        runIfSet(listener);
     }
 
-    /** The source has broken off: what is held may be taken, but the body will never be whole. */
-    public void breakOff() {
-        Runnable tell;
+    /**
+     * Called by the source when the body ends prematurely. Buffered bytes can still be taken, but the body stays
+     * incomplete.
+     */
+    public void abort() {
+        Runnable listener;
         synchronized (this) {
-            if (broken || ended) {
+            if (aborted || completed) {
                 return;
             }
-            broken = true;
-            tell = ready;
+            aborted = true;
+            listener = readyListener;
         }
-        run(tell);
+        runIfSet(listener);
     }
 
-    /** The sink takes no more: what is held and what still comes is dropped, and the source may read on. */
-    public void abandon() {
+    /**
+     * Called by the sink when it needs no more bytes. Buffered and later bytes are dropped and credited, so the source
+     * can read to the end of the body.
+     */
+    public void cancel() {
         synchronized (this) {
-            abandoned = true;
-            pieces.clear();
-            owed += held;
-            held = 0;
-            withheld = 0;
+            cancelled = true;
+            buffers.clear();
+            pendingCredit += bufferedBytes;
+            bufferedBytes = 0;
+            withheldCredit = 0;
         }
-        grant();
+        grantPendingCredit();
     }
 
-    private static void run(Runnable tell) {
-        if (tell != null) {
-            tell.run();
+    private static void runIfSet(Runnable listener) {
+        if (listener != null) {
+            listener.run();
         }
     }
 
-    /** Writes what is held to a sink, as far as it has room; tells how much it took. */
-    public int take(Sink sink) throws IOException {
+    /** Writes buffered bytes to the sink, as many as it accepts, and returns their number. */
+    public int writeTo(Sink sink) throws IOException {
         int written = 0;
         synchronized (this) {
-            taken = true;
-            while (!pieces.isEmpty()) {
-                ByteBuffer first = pieces.peek();
+            readStarted = true;
+            while (!buffers.isEmpty()) {
+                ByteBuffer first = buffers.peek();
                 int before = first.remaining();
                 sink.write(first);
                 written += before - first.remaining();
                 if (first.hasRemaining()) {
                     break;
                 }
-                pieces.remove();
+                buffers.remove();
             }
-            held -= written;
+            bufferedBytes -= written;
             if (written > 0) {
-                movedAt = System.nanoTime();
-                int kept = Math.min(withheld, written);
-                withheld -= kept;
-                owed += written - kept;
+                lastProgressNanos = System.nanoTime();
+                int retained = Math.min(withheldCredit, written);
+                withheldCredit -= retained;
+                pendingCredit += written - retained;
             }
         }
-        grant();
+        grantPendingCredit();
         return written;
     }
 
-    /** Without the lock held: the source may be on another thread, with locks of its own. */
-    private void grant() {
-        Credit to;
+    /** Runs without the lock: the source may be on another thread that holds its own locks. */
+    private void grantPendingCredit() {
+        CreditListener listener;
         int bytes;
         synchronized (this) {
-            to = credit;
-            bytes = to == null ? 0 : owed;
-            owed -= bytes;
+            listener = creditListener;
+            bytes = listener == null ? 0 : pendingCredit;
+            pendingCredit -= bytes;
         }
         if (bytes > 0) {
-            to.grant(bytes);
+            listener.grant(bytes);
         }
     }
 
-    /** All that is held, at once; for a body that is whole. */
-    public synchronized byte[] all() {
-        byte[] all = new byte[held];
-        int at = 0;
-        for (ByteBuffer piece : pieces) {
-            int length = piece.remaining();
-            piece.duplicate().get(all, at, length);
-            at += length;
+    /** All buffered bytes, for a body that is complete. */
+    public synchronized byte[] toByteArray() {
+        byte[] result = new byte[bufferedBytes];
+        int offset = 0;
+        for (ByteBuffer buffer : buffers) {
+            int length = buffer.remaining();
+            buffer.duplicate().get(result, offset, length);
+            offset += length;
         }
-        return all;
+        return result;
     }
 
-    /** From now on grants go there. */
-    public void creditTo(Credit listener) {
+    /** Sets the listener and grants it all pending credit. */
+    public void setCreditListener(CreditListener listener) {
         synchronized (this) {
-            credit = listener;
+            creditListener = listener;
         }
-        grant();
+        grantPendingCredit();
     }
 
-    /** So many bytes of the source's window are not given back: it shrinks. */
-    public synchronized void shrink(int bytes) {
-        withheld += Math.max(0, bytes);
+    /** Shrinks the source's window: this many of the bytes taken next are not credited. */
+    public synchronized void shrinkWindow(int bytes) {
+        withheldCredit += Math.max(0, bytes);
     }
 
     /**
-     * So many bytes were granted ahead of time: those taken next are not granted again. Where something was offered to
-     * a sink already there is no need to, and it answers false.
+     * Records that the source was granted bytes in advance, so that many of the bytes taken next are not credited.
+     * Returns false, and records nothing, if a sink has already started to take bytes or the pipe was cancelled.
      */
-    public synchronized boolean advance(int bytes) {
-        if (taken || abandoned) {
+    public synchronized boolean grantAhead(int bytes) {
+        if (readStarted || cancelled) {
             return false;
         }
-        withheld += bytes;
+        withheldCredit += bytes;
         return true;
     }
 
-    /** Credit that is not to be granted for what is taken next. */
-    public synchronized int withheld() {
-        return withheld;
+    /** Number of bytes that will not be credited when they are taken. */
+    public synchronized int withheldCredit() {
+        return withheldCredit;
     }
 
     /**
-     * Called from now on whenever there is more to take, the body ends or is broken; to be set before the first take.
+     * Sets the listener that is called when bytes arrive, and when the body ends or is aborted. Must be set before the
+     * first {@link #writeTo}.
      */
-    public synchronized void whenReady(Runnable listener) {
-        ready = listener;
+    public synchronized void setReadyListener(Runnable listener) {
+        readyListener = listener;
     }
 
-    public synchronized int held() {
-        return held;
+    /** Number of bytes that were put and not taken yet. */
+    public synchronized int bufferedBytes() {
+        return bufferedBytes;
     }
 
-    /** Bytes put so far. */
-    public synchronized long put() {
-        return put;
+    /** Number of bytes put so far. */
+    public synchronized long totalBytes() {
+        return totalBytes;
     }
 
-    /** Nothing more will come, and all has been taken. */
+    /** Whether the body is complete and all its bytes were taken. */
     public synchronized boolean drained() {
-        return ended && held == 0;
+        return completed && bufferedBytes == 0;
     }
 
-    /** All that there was has been taken, and it was not the whole body. */
-    public synchronized boolean cut() {
-        return broken && held == 0;
+    /** Whether the body was aborted and all bytes received were taken. */
+    public synchronized boolean truncated() {
+        return aborted && bufferedBytes == 0;
     }
 
-    /** The source has broken off before the body's end. */
-    public synchronized boolean broken() {
-        return broken;
+    /** Whether the source aborted the body. */
+    public synchronized boolean aborted() {
+        return aborted;
     }
 
-    /** Something was offered to a sink: it can't be handed on anew. */
-    public synchronized boolean taken() {
-        return taken;
+    /** Whether a sink started to take bytes; the body can then not be sent again. */
+    public synchronized boolean readStarted() {
+        return readStarted;
     }
 
-    /** How long no byte has moved, in microseconds. */
-    public synchronized long stillFor() {
-        return (System.nanoTime() - movedAt) / 1000;
+    /** Microseconds since a byte was last put or taken. */
+    public synchronized long idleMicros() {
+        return (System.nanoTime() - lastProgressNanos) / 1000;
     }
 }
--- a/balancer/src/main/java/calicochute/fleet/Fleet.java
+++ b/balancer/src/main/java/calicochute/fleet/Fleet.java
@@ -129,7 +129,7 @@
             experimentsText = experiments.text();
             fleetText = text(live);
         }
-        queue.after(TICK, this::tick);
+        queue.schedule(TICK, this::tick);
     }
 
     private String text(Set<String> live) {
--- a/balancer/src/main/java/calicochute/fleet/Sessions.java
+++ b/balancer/src/main/java/calicochute/fleet/Sessions.java
@@ -88,7 +88,8 @@
         Ticket ticket = null;
         int arm = 0;
         for (int i = 0; i < trials.size() && ticket == null; i++) {
-            ticket = trials.get(i).begin(now, now + exchange.patience, call(exchange), lane, tenant, exchange.retry);
+            ticket = trials.get(i)
+                    .begin(now, now + exchange.clientTimeoutMicros, call(exchange), lane, tenant, exchange.clientRetry);
             if (ticket != null) {
                 trial = trials.get(i);
                 arm = Placing.number(i, ticket.arm());
@@ -149,9 +150,9 @@
         p.answered = true;
         if (p.ticket != null) {
             RequestClass c = classes.get().get(exchange.classIndex);
-            boolean inAim = served && queue.now() - exchange.arrivedAt() <= c.aim();
+            boolean inAim = served && queue.now() - exchange.receivedAt() <= c.aim();
             // A dispatch's outcome may come behind the answer: where it went is known at its beginning.
-            String server = exchange.latest() == null ? "" : exchange.latest().server;
+            String server = exchange.latestDispatch() == null ? "" : exchange.latestDispatch().server;
             boolean crossed = p.crossed || !server.isEmpty() && p.strange(placing.server(server));
             p.trial.over(p.ticket, c.worth(), inAim ? c.worth() : 0, failed, crossed, server);
         }
--- a/balancer/src/main/java/calicochute/frontend/Frontend.java
+++ b/balancer/src/main/java/calicochute/frontend/Frontend.java
@@ -1,7 +1,7 @@
 package calicochute.frontend;
 
 import calicochute.exchange.DecisionQueue;
-import calicochute.exchange.Sessions;
+import calicochute.exchange.SessionListener;
 import calicochute.listening.Listening;
 import calicochute.metrics.Counter;
 import calicochute.metrics.Counters;
@@ -29,7 +29,7 @@
     private static final int BACKLOG = 1024;
     private final SessionReader reader;
     private final DecisionQueue clock;
-    private final Sessions sessions;
+    private final SessionListener sessions;
     private final Counters counters;
     private final BooleanSupplier ready;
     private final Callback<Exception> onFault = e -> Log.info("client-connection", String.valueOf(e.getMessage()));
@@ -54,7 +54,7 @@
             Configuration configuration,
             ServerSocketChannel inherited,
             DecisionQueue clock,
-            Sessions sessions,
+            SessionListener sessions,
             Counters counters,
             BooleanSupplier ready,
             Supplier<Presence> presence,
@@ -142,7 +142,7 @@
         return clock.now();
     }
 
-    Sessions sessions() {
+    SessionListener sessions() {
         return sessions;
     }
 
--- a/balancer/src/main/java/calicochute/frontend/ResetWatch.java
+++ b/balancer/src/main/java/calicochute/frontend/ResetWatch.java
@@ -59,7 +59,7 @@
         }
         if (!looking) {
             looking = true;
-            queue.post(() -> queue.after(EVERY, this::look));
+            queue.post(() -> queue.schedule(EVERY, this::look));
         }
     }
 
@@ -84,7 +84,7 @@
                 looking = false;
             }
             if (looking) {
-                queue.after(EVERY, this::look);
+                queue.schedule(EVERY, this::look);
             }
         }
         // Without the lock: they have locks of their own.
--- a/balancer/src/main/java/calicochute/frontend/SessionHandler.java
+++ b/balancer/src/main/java/calicochute/frontend/SessionHandler.java
@@ -1,11 +1,11 @@
 package calicochute.frontend;
 
-import calicochute.exchange.Answer;
 import calicochute.exchange.Body;
 import calicochute.exchange.Exchange;
 import calicochute.exchange.Field;
 import calicochute.exchange.Pipe;
-import calicochute.exchange.Respondent;
+import calicochute.exchange.Response;
+import calicochute.exchange.ResponseSender;
 import calicochute.metrics.Counter;
 import calicochute.metrics.Log;
 import calicochute.settings.Bounds;
@@ -34,7 +34,7 @@
  * One request on a client's connection: hands it over as an exchange, whole if it is short and in pieces if not, and
  * writes the answer likewise.
  */
-final class SessionHandler implements AsyncServerExchangeHandler, Respondent, ResetWatch.Watched {
+final class SessionHandler implements AsyncServerExchangeHandler, ResponseSender, ResetWatch.Watched {
     /** In seconds, as precise as it is written: rounded to 0 it would say to come back at once. */
     private static final double LEAST_AWAY = 0.001;
 
@@ -84,8 +84,8 @@
 
     @Override
     public void updateCapacity(CapacityChannel to) throws IOException {
-        body.creditTo(bytes -> {
-            beyond.keep(body.withheld());
+        body.setCreditListener(bytes -> {
+            beyond.keep(body.withheldCredit());
             grant(to, bytes);
         });
         capacity = to;
@@ -100,7 +100,7 @@
     /** Nothing of a long body has been handed on yet, and someone waits for its answer. */
     @Override
     public boolean waits() {
-        return exchange != null && exchange.wantsAnswer() && !body.taken() && !released;
+        return exchange != null && exchange.awaitsResponse() && !body.readStarted() && !released;
     }
 
     /**
@@ -108,7 +108,7 @@
      * comes behind what it had sent before. False if there is no room for more.
      */
     private boolean readAhead() {
-        int more = beyond.more(body::advance);
+        int more = beyond.more(body::grantAhead);
         if (more > 0) {
             grant(capacity, more);
         }
@@ -138,14 +138,14 @@
     }
 
     private boolean windowUsedUp() {
-        return body.put() - granted.get() >= Bounds.WINDOW;
+        return body.totalBytes() - granted.get() >= Bounds.WINDOW;
     }
 
     @Override
     public void consume(ByteBuffer data) throws IOException {
         connection.bodyRead(data.remaining());
         try {
-            if (body.put() + data.remaining() > Bounds.LONGEST_BODY) {
+            if (body.totalBytes() + data.remaining() > Bounds.LONGEST_BODY) {
                 data.position(data.limit());
                 if (answering) {
                     throw new IOException("body over " + Bounds.LONGEST_BODY + " bytes");
@@ -153,8 +153,8 @@
                 refuse(tooLong());
             } else {
                 body.put(data);
-                if (exchange == null && !answering && body.put() > Bounds.BODY) {
-                    body.shrink(Bounds.WINDOW - frontend.window());
+                if (exchange == null && !answering && body.totalBytes() > Bounds.BODY) {
+                    body.shrinkWindow(Bounds.WINDOW - frontend.window());
                     begin(new Body.Streamed(body, declared));
                 }
             }
@@ -183,11 +183,11 @@
     /** The last byte of the request has come. */
     private void arrived() throws HttpException, IOException {
         connection.received();
-        body.end();
+        body.complete();
         if (exchange != null) {
-            frontend.sessions().arrived(exchange);
+            frontend.sessions().requestCompleted(exchange);
         } else if (!answering) {
-            begin(new Body.Whole(body.all()));
+            begin(new Body.Buffered(body.toByteArray()));
         }
     }
 
@@ -206,27 +206,29 @@
             refuse(e);
             return;
         }
-        frontend.sessions().taken(exchange);
+        frontend.sessions().sessionStarted(exchange);
     }
 
     @Override
-    public void answer(Answer given) {
+    public void send(Response given) {
         try {
-            if (given instanceof Answer.Served served) {
+            if (given instanceof Response.Served served) {
                 respond(200, served.fields(), served.body());
-            } else if (given instanceof Answer.Denied denied) {
+            } else if (given instanceof Response.Denied denied) {
                 respond(
                         503,
-                        denied.retryAfter() <= 0
+                        denied.retryAfterMicros() <= 0
                                 ? List.of()
                                 : List.of(new Field(
                                         "Retry-After",
                                         String.format(
-                                                Locale.ROOT, "%.3f", Math.max(LEAST_AWAY, denied.retryAfter() / 1e6)))),
+                                                Locale.ROOT,
+                                                "%.3f",
+                                                Math.max(LEAST_AWAY, denied.retryAfterMicros() / 1e6)))),
                         new byte[0]);
-            } else if (given instanceof Answer.Failed failed) {
-                respond(failed.late() ? 504 : 502, List.of(), new byte[0]);
-            } else if (given instanceof Answer.Rejected rejected) {
+            } else if (given instanceof Response.Failed failed) {
+                respond(failed.deadlineExceeded() ? 504 : 502, List.of(), new byte[0]);
+            } else if (given instanceof Response.Rejected rejected) {
                 respond(rejected.status(), List.of(), new byte[0]);
             } else {
                 connection.refuse();
@@ -239,7 +241,7 @@
     }
 
     private void respond(int status, List<Field> fields, byte[] bytes) throws HttpException, IOException {
-        respond(status, fields, new Body.Whole(bytes));
+        respond(status, fields, new Body.Buffered(bytes));
     }
 
     private void respond(int status, List<Field> fields, Body from) throws HttpException, IOException {
@@ -258,17 +260,17 @@
             length = streamed.length();
             passing = true;
         } else {
-            byte[] bytes = ((Body.Whole) from).bytes();
+            byte[] bytes = ((Body.Buffered) from).bytes();
             Pipe own = new Pipe();
             own.put(ByteBuffer.wrap(bytes));
-            own.end();
+            own.complete();
             answer = own;
             length = bytes.length;
         }
         answering = true;
         // What is still held of a request that is answered before its end is not wanted any more; the rest is read and
         // dropped.
-        body.abandon();
+        body.cancel();
         if (length >= 0) {
             response.addHeader("Content-Length", Long.toString(length));
         } else {
@@ -279,7 +281,7 @@
 
     @Override
     public int available() {
-        return produced || !answering ? 0 : answer.drained() || answer.cut() ? 1 : answer.held();
+        return produced || !answering ? 0 : answer.drained() || answer.truncated() ? 1 : answer.bufferedBytes();
     }
 
     @Override
@@ -289,13 +291,13 @@
         }
         if (!hooked) {
             hooked = true;
-            answer.whenReady(out::requestOutput);
+            answer.setReadyListener(out::requestOutput);
             if (passing) {
                 connection.passing();
             }
         }
-        answer.take(out::write);
-        if (answer.cut()) {
+        answer.writeTo(out::write);
+        if (answer.truncated()) {
             // Guards against a client that takes a part for the whole: the connection ends with the message unfinished,
             // but
             // only once what there was has left HttpCore's own buffer.
@@ -313,7 +315,7 @@
     private void passed(boolean whole) {
         if (passing) {
             passing = false;
-            frontend.sessions().passed(exchange, whole);
+            frontend.sessions().responseEnded(exchange, whole);
         }
     }
 
@@ -329,14 +331,14 @@
 
     /** The client does not read an answer that there is. */
     boolean clientStalls() {
-        return passing && answer.held() > 0;
+        return passing && answer.bufferedBytes() > 0;
     }
 
     @Override
     public void failed(Exception cause) {
-        body.breakOff();
+        body.abort();
         if (passing) {
-            answer.abandon();
+            answer.cancel();
             passed(false);
         } else if (owesAnswer()) {
             frontend.sessions().clientGone(exchange);
--- a/balancer/src/main/java/calicochute/frontend/SessionReader.java
+++ b/balancer/src/main/java/calicochute/frontend/SessionReader.java
@@ -6,7 +6,7 @@
 import calicochute.exchange.Exchange;
 import calicochute.exchange.Field;
 import calicochute.exchange.Message;
-import calicochute.exchange.Respondent;
+import calicochute.exchange.ResponseSender;
 import calicochute.settings.Succession;
 import java.util.ArrayList;
 import java.util.List;
@@ -53,7 +53,7 @@
         this.settings = settings;
     }
 
-    Exchange read(HttpRequest request, Body body, long now, Respondent respondent) throws BadInput {
+    Exchange read(HttpRequest request, Body body, long now, ResponseSender respondent) throws BadInput {
         String clientId = one(request, "X-Txn", true);
         if (!ID.matcher(clientId).matches()) {
             throw new BadInput(400, "X-Txn is not 16 hex digits");
--- a/balancer/src/main/java/calicochute/node/DeadlineGuards.java
+++ b/balancer/src/main/java/calicochute/node/DeadlineGuards.java
@@ -16,7 +16,7 @@
     private final DecisionQueue queue;
     private final LongSupplier stopBy;
     private final Consumer<Exchange> overdue;
-    private final Map<Long, DecisionQueue.Alarm> alarms = new HashMap<>();
+    private final Map<Long, DecisionQueue.Timer> alarms = new HashMap<>();
 
     /** @param stopBy when a stop has everything answered, as things are */
     DeadlineGuards(DecisionQueue queue, LongSupplier stopBy, Consumer<Exchange> overdue) {
@@ -27,12 +27,13 @@
 
     void guard(Exchange exchange) {
         long due = Math.min(exchange.deadline(), stopBy.getAsLong());
-        long in = Math.max(Margins.answer(exchange.patience), due - queue.now()) - Margins.guard(exchange.patience);
-        alarms.put(exchange.id, queue.after(in, () -> overdue.accept(exchange)));
+        long in = Math.max(Margins.answer(exchange.clientTimeoutMicros), due - queue.now())
+                - Margins.guard(exchange.clientTimeoutMicros);
+        alarms.put(exchange.id, queue.schedule(in, () -> overdue.accept(exchange)));
     }
 
     void drop(Exchange exchange) {
-        DecisionQueue.Alarm alarm = alarms.remove(exchange.id);
+        DecisionQueue.Timer alarm = alarms.remove(exchange.id);
         if (alarm != null) {
             alarm.cancel();
         }
--- a/balancer/src/main/java/calicochute/node/DecisionThread.java
+++ b/balancer/src/main/java/calicochute/node/DecisionThread.java
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public Alarm after(long micros, Runnable task) {
+    public Timer schedule(long micros, Runnable task) {
         ScheduledFuture<?> future = executor.schedule(() -> run(task), micros, TimeUnit.MICROSECONDS);
         return () -> future.cancel(false);
     }
--- a/balancer/src/main/java/calicochute/node/Heritage.java
+++ b/balancer/src/main/java/calicochute/node/Heritage.java
@@ -82,6 +82,6 @@
                 Log.warn("learnt-not-written", String.valueOf(e.getMessage()));
             }
         });
-        queue.after(NOTE_EVERY, this::note);
+        queue.schedule(NOTE_EVERY, this::note);
     }
 }
--- a/balancer/src/main/java/calicochute/node/ModuleActions.java
+++ b/balancer/src/main/java/calicochute/node/ModuleActions.java
@@ -4,10 +4,10 @@
 import calicochute.decision.Balancer;
 import calicochute.decision.Balancer.Outcome;
 import calicochute.discovery.Discovery;
-import calicochute.exchange.Answer;
 import calicochute.exchange.DecisionQueue;
 import calicochute.exchange.Dispatch;
 import calicochute.exchange.Exchange;
+import calicochute.exchange.Response;
 import calicochute.metrics.Counters;
 import calicochute.metrics.Log;
 import java.util.Map;
@@ -51,11 +51,13 @@
                 && backend.knows(server)
                 && timeout > 0
                 && now < notAfter
-                && exchange.dispatches() < exchange.limits.maxAttempts();
-        counters.mustHold(exchange.limits.secondCopies() || !exchange.anyOut(), "a second copy of a session");
-        Dispatch dispatch = exchange.dispatch(server, now, notAfter);
+                && exchange.dispatchCount() < exchange.limits.maxAttempts();
+        counters.mustHold(exchange.limits.secondCopies() || !exchange.anyPending(), "a second copy of a session");
+        Dispatch dispatch = exchange.addDispatch(server, now, notAfter);
         if (legal) {
-            backend.send(dispatch, Math.min(timeout, exchange.deadline() - Margins.answer(exchange.patience) - now));
+            backend.send(
+                    dispatch,
+                    Math.min(timeout, exchange.deadline() - Margins.answer(exchange.clientTimeoutMicros) - now));
         } else {
             queue.post(() -> node.dispatchEnded(dispatch, Outcome.MOOT, null));
         }
@@ -65,7 +67,7 @@
     public void refuse(long request, long retryAfter) {
         Exchange exchange = open.get(request);
         if (exchange != null) {
-            node.answer(exchange, new Answer.Denied(Math.min(retryAfter, exchange.limits.maxRetryAfter())));
+            node.answer(exchange, new Response.Denied(Math.min(retryAfter, exchange.limits.maxRetryAfter())));
         }
     }
 
@@ -75,7 +77,8 @@
         if (exchange != null) {
             node.answer(
                     exchange,
-                    new Answer.Failed(exchange.deadline() - Margins.answer(exchange.patience) <= queue.now()));
+                    new Response.Failed(
+                            exchange.deadline() - Margins.answer(exchange.clientTimeoutMicros) <= queue.now()));
         }
     }
 
@@ -83,7 +86,7 @@
     public void cancel(long request, int attempt) {
         Exchange exchange = open.get(request);
         Dispatch dispatch = exchange == null ? null : exchange.dispatch(attempt);
-        if (dispatch != null && dispatch.out()) {
+        if (dispatch != null && dispatch.pending()) {
             // Posted: the module hears of it as an event of its own, not in the midst of this one.
             queue.post(() -> backend.cancel(dispatch));
         }
@@ -91,7 +94,7 @@
 
     @Override
     public void timer(long delay, int purpose, long subject) {
-        queue.after(delay, () -> node.tell(new Balancer.Timer(purpose, subject)));
+        queue.schedule(delay, () -> node.tell(new Balancer.Timer(purpose, subject)));
     }
 
     @Override
--- a/balancer/src/main/java/calicochute/node/Node.java
+++ b/balancer/src/main/java/calicochute/node/Node.java
@@ -9,12 +9,12 @@
 import calicochute.decision.Balancer.Settings;
 import calicochute.discovery.Discovery;
 import calicochute.discovery.ServerList;
-import calicochute.exchange.Answer;
 import calicochute.exchange.Body;
 import calicochute.exchange.DecisionQueue;
 import calicochute.exchange.Dispatch;
 import calicochute.exchange.Exchange;
-import calicochute.exchange.Sessions;
+import calicochute.exchange.Response;
+import calicochute.exchange.SessionListener;
 import calicochute.fleet.FleetPart;
 import calicochute.frontend.Frontend;
 import calicochute.metrics.Counter;
@@ -44,7 +44,7 @@
  * One real balancer: turns what the sockets bring into the module's events, and the module's actions into work for the
  * sockets. All but the start and the end happens on the decision thread.
  */
-public final class Node implements Sessions, DispatchListener {
+public final class Node implements SessionListener, DispatchListener {
     /** A dispatch is written within this time. */
     private static final long WRITE_MARGIN = 10_000;
     /** At a stop a client that reads takes the rest of an answer within this time; a slow one would meet the kill. */
@@ -73,7 +73,7 @@
     private final DeadlineGuards deadlines;
     private final Set<String> clientIds = new HashSet<>();
     /** After SIGTERM: when answers in pieces are cut. */
-    private DecisionQueue.Alarm cut;
+    private DecisionQueue.Timer cut;
 
     private volatile int unanswered;
 
@@ -112,7 +112,7 @@
         staff.endsIdle(frontend::endIdle);
         deadlines =
                 new DeadlineGuards(queue, () -> staff.presence().answersBy(succession::longestDeadline), this::overdue);
-        connector.whenLacking(frontend::lacking);
+        connector.onDescriptorShortage(frontend::lacking);
         admin = configuration.admin() == null ? null : new AdminServer(staff, counters, frontend::lacking);
         lives = new Lives(shared);
         // Where processes follow each other on one socket.
@@ -200,20 +200,20 @@
     // ---- Sessions
 
     @Override
-    public void taken(Exchange exchange) {
+    public void sessionStarted(Exchange exchange) {
         queue.post(() -> take(exchange));
     }
 
     @Override
     public void clientGone(Exchange exchange) {
-        exchange.clientLeft();
+        exchange.markClientGone();
         queue.post(() -> gone(exchange));
     }
 
     private void take(Exchange exchange) {
         counters.count(Counter.SESSIONS_TAKEN);
         figures.taken();
-        if (!exchange.wantsAnswer()) {
+        if (!exchange.awaitsResponse()) {
             // Gone before this thread came to it: nothing is begun for it.
             counters.count(Counter.SESSIONS_CLIENT_GONE);
             ended(exchange, Figures.End.GONE);
@@ -222,21 +222,21 @@
         }
         if (unanswered >= exchange.limits.maxOpen()) {
             counters.count(Counter.SESSIONS_OVER_LIMIT);
-            answer(exchange, new Answer.Denied(exchange.limits.away()));
+            answer(exchange, new Response.Denied(exchange.limits.away()));
             return;
         }
         if (!clientIds.add(exchange.clientId)) {
             // Guards against a second copy: the first session of this name is still being worked on.
             counters.count(Counter.SESSIONS_BAD_INPUT);
-            exchange.answer(new Answer.Repeated());
+            exchange.respond(new Response.Duplicate());
             ended(exchange, Figures.End.FAILED);
             return;
         }
         open.put(exchange.id, exchange);
         unanswered = open.size();
-        long left = (exchange.whole() ? exchange.deadline() - queue.now() : exchange.patience)
-                - Margins.answer(exchange.patience);
-        if (exchange.whole()) {
+        long left = (exchange.requestComplete() ? exchange.deadline() - queue.now() : exchange.clientTimeoutMicros)
+                - Margins.answer(exchange.clientTimeoutMicros);
+        if (exchange.requestComplete()) {
             deadlines.guard(exchange);
         } else {
             counters.count(Counter.SESSIONS_IN_PIECES);
@@ -247,7 +247,7 @@
                 exchange.tenantIndex,
                 null,
                 Math.max(0, left),
-                exchange.retry,
+                exchange.clientRetry,
                 fleet.begun(exchange)));
     }
 
@@ -256,7 +256,7 @@
      * dispatch that may have run, and it takes a moment to be written.
      */
     long repeatableUntil(Exchange exchange) {
-        Dispatch first = exchange.firstThatMayHaveRun();
+        Dispatch first = exchange.firstPossiblyExecuted();
         Balancer.RequestClass kind = succession.classes().get(exchange.classIndex);
         return first == null || kind.effect() != Balancer.Effect.KEYED
                 ? Long.MAX_VALUE
@@ -264,9 +264,9 @@
     }
 
     @Override
-    public void arrived(Exchange exchange) {
+    public void requestCompleted(Exchange exchange) {
         queue.post(() -> {
-            exchange.arrived(queue.now());
+            exchange.completeRequest(queue.now());
             if (!exchange.closed() && open.containsKey(exchange.id)) {
                 deadlines.guard(exchange);
                 tell(new Balancer.BodyState(exchange.id, false, true));
@@ -275,27 +275,27 @@
     }
 
     @Override
-    public void passed(Exchange exchange, boolean whole) {
+    public void responseEnded(Exchange exchange, boolean whole) {
         queue.post(() -> over(exchange, whole));
     }
 
     /** An answer in pieces is over: its session ends only here. */
     private void over(Exchange exchange, boolean whole) {
-        if (!exchange.passing()) {
+        if (!exchange.streamingResponse()) {
             return;
         }
-        exchange.passing(false);
+        exchange.setStreamingResponse(false);
         // Where the server broke off the session has failed; where the client went away nothing is counted against it.
         boolean cut = !whole
-                && (exchange.cut()
-                        || exchange.latest() != null
-                                && !exchange.latest().out()
-                                && !exchange.latest().ok());
+                && (exchange.responseAborted()
+                        || exchange.latestDispatch() != null
+                                && !exchange.latestDispatch().pending()
+                                && !exchange.latestDispatch().succeeded());
         counters.count(whole ? Counter.SESSIONS_SERVED : cut ? Counter.SESSIONS_FAILED : Counter.SESSIONS_CLIENT_GONE);
         ended(exchange, whole ? Figures.End.COMPLETED : cut ? Figures.End.FAILED : Figures.End.GONE);
         fleet.answered(exchange, whole, cut);
         if (!whole && exchange.limits.cancel()) {
-            exchange.out().forEach(backend::cancel);
+            exchange.pendingDispatches().forEach(backend::cancel);
         }
         retire(exchange);
     }
@@ -320,9 +320,11 @@
         if (exchange.closed()) {
             return;
         }
-        boolean stop = queue.now() < exchange.deadline() - Margins.answer(exchange.patience);
+        boolean stop = queue.now() < exchange.deadline() - Margins.answer(exchange.clientTimeoutMicros);
         counters.count(stop ? Counter.SESSIONS_ENDED_BY_STOP : Counter.SESSIONS_ENDED_BY_DEADLINE);
-        answer(exchange, exchange.mayHaveRun() ? new Answer.Failed(!stop) : new Answer.Denied(exchange.limits.away()));
+        answer(
+                exchange,
+                exchange.mayHaveExecuted() ? new Response.Failed(!stop) : new Response.Denied(exchange.limits.away()));
         sessionOver(exchange);
         retire(exchange);
     }
@@ -332,21 +334,21 @@
      */
     private void sessionOver(Exchange exchange) {
         tell(new Balancer.ClientGone(exchange.id));
-        exchange.out().forEach(backend::sessionOver);
+        exchange.pendingDispatches().forEach(backend::sessionOver);
     }
 
-    void answer(Exchange exchange, Answer answer) {
-        if (exchange.answer(answer)) {
+    void answer(Exchange exchange, Response answer) {
+        if (exchange.respond(answer)) {
             counters.count(
-                    answer instanceof Answer.Served
+                    answer instanceof Response.Served
                             ? Counter.SESSIONS_SERVED
-                            : answer instanceof Answer.Denied ? Counter.SESSIONS_DENIED : Counter.SESSIONS_FAILED);
+                            : answer instanceof Response.Denied ? Counter.SESSIONS_DENIED : Counter.SESSIONS_FAILED);
             ended(
                     exchange,
-                    answer instanceof Answer.Served
+                    answer instanceof Response.Served
                             ? Figures.End.COMPLETED
-                            : answer instanceof Answer.Denied ? Figures.End.REJECTED : Figures.End.FAILED);
-            fleet.answered(exchange, answer instanceof Answer.Served, !(answer instanceof Answer.Served));
+                            : answer instanceof Response.Denied ? Figures.End.REJECTED : Figures.End.FAILED);
+            fleet.answered(exchange, answer instanceof Response.Served, !(answer instanceof Response.Served));
             deadlines.drop(exchange);
             retire(exchange);
         }
@@ -358,7 +360,10 @@
 
     /** Forgets a session that is closed and has no dispatch out. */
     private void retire(Exchange exchange) {
-        if (exchange.closed() && !exchange.anyOut() && !exchange.passing() && open.remove(exchange.id) != null) {
+        if (exchange.closed()
+                && !exchange.anyPending()
+                && !exchange.streamingResponse()
+                && open.remove(exchange.id) != null) {
             clientIds.remove(exchange.clientId);
             deadlines.drop(exchange);
             fleet.retired(exchange);
@@ -369,11 +374,11 @@
     // ---- Dispatches
 
     @Override
-    public void dispatchEnded(Dispatch dispatch, Outcome outcome, Answer answer) {
+    public void dispatchEnded(Dispatch dispatch, Outcome outcome, Response answer) {
         Exchange exchange = dispatch.exchange;
         boolean first = dispatch.end(outcome);
         counters.mustHold(first, "a dispatch ended twice");
-        if (!exchange.wantsAnswer() && !exchange.passing()) {
+        if (!exchange.awaitsResponse() && !exchange.streamingResponse()) {
             // The module must not try again for a client that has gone, even if this thread has not come to that yet.
             gone(exchange);
         }
@@ -382,7 +387,7 @@
         if (answer != null) {
             answer(exchange, answer);
         }
-        if (!exchange.closed() && exchange.spent()) {
+        if (!exchange.closed() && exchange.requestBodyConsumed()) {
             // What was handed on of its body can't be handed on again.
             tell(new Balancer.BodyState(exchange.id, true, false));
         }
@@ -393,19 +398,19 @@
 
     /** From the session's last byte, where it was sent on before that. */
     private long elapsed(Dispatch dispatch) {
-        return queue.now() - Math.max(dispatch.sentAt, dispatch.exchange.arrivedAt());
+        return queue.now() - Math.max(dispatch.sentAt, dispatch.exchange.receivedAt());
     }
 
     @Override
-    public void dispatchBegun(Dispatch dispatch, Answer answer) {
+    public void dispatchBegun(Dispatch dispatch, Response answer) {
         Exchange exchange = dispatch.exchange;
-        exchange.passing(true);
-        if (!exchange.answer(answer)) {
-            exchange.passing(false);
+        exchange.setStreamingResponse(true);
+        if (!exchange.respond(answer)) {
+            exchange.setStreamingResponse(false);
             if (exchange.limits.cancel()) {
                 backend.cancel(dispatch);
             } else {
-                ((Body.Streamed) ((Answer.Served) answer).body()).pipe().abandon();
+                ((Body.Streamed) ((Response.Served) answer).body()).pipe().cancel();
             }
             return;
         }
@@ -432,21 +437,23 @@
      */
     private void cutAnswers() {
         open.values().stream()
-                .filter(e -> e.passing() && e.latest().out())
+                .filter(e -> e.streamingResponse() && e.latestDispatch().pending())
                 .toList()
                 .forEach(e -> {
                     cutByStop(e);
-                    backend.cancel(e.latest());
+                    backend.cancel(e.latestDispatch());
                 });
-        queue.after(TAKE_REST, () -> {
-            open.values().stream().filter(e -> e.passing() && !e.cut()).forEach(this::cutByStop);
+        queue.schedule(TAKE_REST, () -> {
+            open.values().stream()
+                    .filter(e -> e.streamingResponse() && !e.responseAborted())
+                    .forEach(this::cutByStop);
             frontend.cutAnswers();
         });
     }
 
     private void cutByStop(Exchange exchange) {
         counters.count(Counter.SESSIONS_ENDED_BY_STOP);
-        exchange.cut(true);
+        exchange.setResponseAborted(true);
     }
 
     /** What is open must have its answer before the platform ends this process, by the deadlines in force. */
@@ -455,7 +462,7 @@
         if (cut != null) {
             cut.cancel();
         }
-        cut = queue.after(
+        cut = queue.schedule(
                 Math.max(0, staff.presence().answersBy(succession::longestDeadline) - queue.now()), this::cutAnswers);
     }
 
--- a/balancer/src/main/java/calicochute/node/Staff.java
+++ b/balancer/src/main/java/calicochute/node/Staff.java
@@ -100,7 +100,7 @@
             if (presence.endsIdle(queue.now())) {
                 endIdle.run();
             }
-            queue.after(LOOK_AGAIN, this::endIdle);
+            queue.schedule(LOOK_AGAIN, this::endIdle);
         }
     }
 }
--- a/balancer/src/test/java/calicochute/backend/BackendServersTest.java
+++ b/balancer/src/test/java/calicochute/backend/BackendServersTest.java
@@ -5,8 +5,8 @@
 
 import calicochute.connection.Connector;
 import calicochute.decision.Balancer.Outcome;
-import calicochute.exchange.Answer;
 import calicochute.exchange.Dispatch;
+import calicochute.exchange.Response;
 import calicochute.metrics.Counter;
 import calicochute.metrics.Counters;
 import calicochute.settings.Bounds;
@@ -96,8 +96,8 @@
                 case "not on a whole list" -> servers.keepOnly(Set.of());
                 case "gone" -> servers.forget("s");
                 case "started anew" -> servers.started("s", 1);
-                case "client gone" -> exchange.clientLeft();
-                case "session answered" -> exchange.answer(new Answer.Failed(true));
+                case "client gone" -> exchange.markClientGone();
+                case "session answered" -> exchange.respond(new Response.Failed(true));
                 case "too late to be repeated" -> queue.now += WINDOW;
                 case "out of time" -> queue.now += 100_000;
                 case "moved" -> servers.address("s", new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
@@ -279,7 +279,7 @@
                         "s" + i, new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort()));
                 int first = queue.alarms.size();
                 dispatch();
-                servers.send(exchange.dispatch("s" + i, queue.now(), Long.MAX_VALUE), 60_000_000);
+                servers.send(exchange.addDispatch("s" + i, queue.now(), Long.MAX_VALUE), 60_000_000);
                 while (!queue.posted.isEmpty()) {
                     runPosted();
                 }
--- a/balancer/src/test/java/calicochute/backend/ByHand.java
+++ b/balancer/src/test/java/calicochute/backend/ByHand.java
@@ -6,12 +6,12 @@
 import calicochute.connection.Connector;
 import calicochute.decision.Balancer.Limits;
 import calicochute.decision.Balancer.Outcome;
-import calicochute.exchange.Answer;
 import calicochute.exchange.Body;
 import calicochute.exchange.DecisionQueue;
 import calicochute.exchange.Dispatch;
 import calicochute.exchange.Exchange;
 import calicochute.exchange.Message;
+import calicochute.exchange.Response;
 import calicochute.metrics.Counter;
 import calicochute.metrics.Counters;
 import calicochute.settings.Bounds;
@@ -56,7 +56,7 @@
         }
 
         @Override
-        public Alarm after(long micros, Runnable task) {
+        public Timer schedule(long micros, Runnable task) {
             dueAt.add(now + micros);
             alarms.add(task);
             return () -> {};
@@ -79,7 +79,7 @@
         exchange = new Exchange(
                 1,
                 "1",
-                new Message("GET", target, List.of(), new Body.Whole(new byte[0])),
+                new Message("GET", target, List.of(), new Body.Buffered(new byte[0])),
                 0,
                 -1,
                 new Limits(true, false, false, false, false, 3, 10, 1, 500_000, 0),
@@ -87,7 +87,7 @@
                 queue.now(),
                 900_000,
                 a -> {});
-        return exchange.dispatch("s", queue.now(), queue.now + WINDOW);
+        return exchange.addDispatch("s", queue.now(), queue.now + WINDOW);
     }
 
     final Counters counters = new Counters();
@@ -106,10 +106,10 @@
                 Bounds.of(64, false, 64),
                 new DispatchListener() {
                     @Override
-                    public void dispatchBegun(Dispatch dispatch, Answer answer) {}
+                    public void dispatchBegun(Dispatch dispatch, Response answer) {}
 
                     @Override
-                    public void dispatchEnded(Dispatch dispatch, Outcome outcome, Answer answer) {
+                    public void dispatchEnded(Dispatch dispatch, Outcome outcome, Response answer) {
                         outcomes.add(outcome);
                     }
 
--- a/balancer/src/test/java/calicochute/connection/CallTest.java
+++ b/balancer/src/test/java/calicochute/connection/CallTest.java
@@ -17,11 +17,11 @@
 import org.junit.Test;
 
 public class CallTest {
-    /** A connection that never gets a byte out. */
-    private static final class Stuck extends EndpointDetails implements DataStreamChannel {
+    /** A channel that accepts all bytes and sends none. */
+    private static final class StalledChannel extends EndpointDetails implements DataStreamChannel {
         long sent;
 
-        Stuck() {
+        StalledChannel() {
             super(null, null, Timeout.DISABLED);
         }
 
@@ -69,48 +69,50 @@
     }
 
     /**
-     * All bytes of a body of known length had been taken and written, but its end was not told yet, as the connection
-     * broke. Held for not written, what may have run was taken for what has not.
+     * Guards against treating a request as not written, and so as safe to repeat, when the connection broke after all
+     * bytes of its body were sent but before the end of the body was reported.
      */
     @Test
-    public void aCallIsWrittenWithItsLastByteThoughItsEndIsNotToldYet() throws Exception {
-        long head = "POST / HTTP/1.1\r\n\r\n".length();
-        for (long missing : new long[] {1, 0}) {
+    public void requestCountsAsWrittenOnceAllBytesOfKnownLengthAreSent() throws Exception {
+        long headBytes = "POST / HTTP/1.1\r\n\r\n".length();
+        for (long missingBytes : new long[] {1, 0}) {
             Pipe body = new Pipe();
             body.put(ByteBuffer.allocate(1000));
-            List<Reply> ends = new ArrayList<>();
+            List<CallResult> results = new ArrayList<>();
             Call call = new Call(
                     new BasicHttpRequest("POST", "/"),
                     new Body.Streamed(body, 1000),
                     new Call.Limits(1000, 8192),
-                    ends::add);
-            Stuck connection = new Stuck();
-            call.on(connection);
+                    results::add);
+            StalledChannel connection = new StalledChannel();
+            call.attach(connection);
             call.produce(connection);
-            connection.sent = head + 1000 - missing;
+            connection.sent = headBytes + 1000 - missingBytes;
             call.failed(new IOException("reset"));
-            assertEquals(missing == 0, ends.get(0).written());
+            assertEquals(missingBytes == 0, results.get(0).requestWritten());
         }
     }
 
     /**
-     * The server ended a kept connection just as the first piece of a long body was taken for it: no byte went out, but
-     * the piece is gone. Told as not begun, the call was made again on another connection without its first piece.
+     * Guards against repeating a call without the start of its body: the server closed a kept-alive connection just as
+     * the first bytes were taken from the pipe, so none was sent but they are lost.
      */
     @Test
-    public void aCallWhoseBodyWasTakenHasBegunThoughNoByteWentOut() throws Exception {
+    public void requestCountsAsStartedOnceItsBodyWasRead() throws Exception {
         Pipe body = new Pipe();
         body.put(ByteBuffer.allocate(100));
-        List<Reply> ends = new ArrayList<>();
+        List<CallResult> results = new ArrayList<>();
         Call call = new Call(
                 new BasicHttpRequest("POST", "/"),
                 new Body.Streamed(body, 1000),
                 new Call.Limits(1000, 8192),
-                ends::add);
-        Stuck connection = new Stuck();
-        call.on(connection);
+                results::add);
+        StalledChannel connection = new StalledChannel();
+        call.attach(connection);
         call.produce(connection);
         call.failed(new IOException("reset"));
-        assertTrue(body.held() == 0 && ends.size() == 1 && ends.get(0).begun());
+        assertTrue(body.bufferedBytes() == 0
+                && results.size() == 1
+                && results.get(0).requestStarted());
     }
 }
--- a/balancer/src/test/java/calicochute/connection/ConnectorTest.java
+++ b/balancer/src/test/java/calicochute/connection/ConnectorTest.java
@@ -24,63 +24,64 @@
 
 public class ConnectorTest {
     /**
-     * Half a line that has come before a call's first byte belongs to no call, also if it is read only after the call
-     * was asked for: taken for the beginning of its answer it spoilt one that had been sent; now nothing is sent.
+     * Guards against taking data for a response that was received before the call sent its first byte but read after
+     * the call was enqueued. The call must fail without sending anything.
      */
     @Test
-    public void whatCameBeforeACallsFirstByteIsNotItsAnswer() throws Exception {
-        BlockingQueue<Reply> replies = new LinkedBlockingQueue<>();
+    public void dataReceivedBeforeTheFirstRequestByteIsNotItsResponse() throws Exception {
+        BlockingQueue<CallResult> results = new LinkedBlockingQueue<>();
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
                 Connector connector = new Connector()) {
             connector.start();
             Connection connection = connector.open(
                     (InetSocketAddress) server.getLocalSocketAddress(),
                     5_000_000,
-                    c -> c.call(new BasicHttpRequest("GET", "/1"), new byte[0], 1000, replies::add),
+                    c -> c.call(new BasicHttpRequest("GET", "/1"), new byte[0], 1000, results::add),
                     e -> {},
                     c -> {});
             try (Socket socket = server.accept()) {
                 socket.setSoTimeout(20_000);
                 InputStream in = socket.getInputStream();
                 in.readNBytes("GET /1 HTTP/1.1\r\n\r\n".length());
-                CountDownLatch busy = new CountDownLatch(1);
-                CountDownLatch go = new CountDownLatch(1);
+                CountDownLatch ioThreadBlocked = new CountDownLatch(1);
+                CountDownLatch unblockIoThread = new CountDownLatch(1);
                 socket.getOutputStream()
                         .write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                assertNotNull(replies.poll(20, TimeUnit.SECONDS));
-                // The I/O thread is held up, by a second connection's coming up, until both the half line and the call
-                // are there.
+                assertNotNull(results.poll(20, TimeUnit.SECONDS));
+                // Blocks the I/O thread in the callback of a second connection until both the partial line and the
+                // call are there.
                 connector.open(
                         (InetSocketAddress) server.getLocalSocketAddress(),
                         5_000_000,
                         c -> {
-                            busy.countDown();
+                            ioThreadBlocked.countDown();
                             try {
-                                go.await();
+                                unblockIoThread.await();
                             } catch (InterruptedException e) {
                                 throw new IllegalStateException(e);
                             }
                         },
                         e -> {},
                         c -> {});
-                assertTrue(busy.await(20, TimeUnit.SECONDS));
+                assertTrue(ioThreadBlocked.await(20, TimeUnit.SECONDS));
                 socket.getOutputStream().write("HTTP/1.1 2".getBytes(StandardCharsets.US_ASCII));
-                connection.call(new BasicHttpRequest("GET", "/2"), new byte[0], 1000, replies::add);
-                go.countDown();
-                Reply reply = replies.poll(20, TimeUnit.SECONDS);
-                assertTrue(reply.response() == null && !reply.begun() && connection.spoilt());
+                connection.call(new BasicHttpRequest("GET", "/2"), new byte[0], 1000, results::add);
+                unblockIoThread.countDown();
+                CallResult result = results.poll(20, TimeUnit.SECONDS);
+                assertTrue(
+                        result.response() == null && !result.requestStarted() && connection.receivedUnsolicitedData());
                 assertEquals("nothing was sent", -1, in.read());
             }
         }
     }
 
     /**
-     * Guards against a name lookup on the thread that opens connections, the decision thread among them: where nobody
-     * answers for the address's name, each first connection to a server held up all sessions (measured: for seconds).
-     * An address that has been looked up carries its name before the slash.
+     * Guards against a reverse lookup on the thread that opens connections, such as the decision thread: without a
+     * responding name server, the first connection to each server blocked all sessions for seconds. An address that was
+     * looked up has its name before the slash.
      */
     @Test
-    public void noNameIsLookedUpForAnAddress() throws Exception {
+    public void connectingDoesNotResolveTheAddressName() throws Exception {
         InetAddress address = InetAddress.getByAddress(new byte[] {127, 77, 33, 11});
         try (ServerSocket server = new ServerSocket(0, 5, address);
                 Connector connector = new Connector()) {
@@ -97,38 +98,42 @@
         }
     }
 
-    /** For lack of descriptors it is tried again, unless it was given up meanwhile; for any other reason it is not. */
+    /**
+     * A connect is retried if file descriptors are exhausted, unless it was cancelled meanwhile; other failures are not
+     * retried.
+     */
     @Test
-    public void aLackOfDescriptorsIsTriedAgain() throws Exception {
-        for (String order : List.of("no lack", "lack", "given up in a lack", "lack for good")) {
+    public void connectIsRetriedOnDescriptorShortage() throws Exception {
+        for (String scenario : List.of("no shortage", "shortage", "cancelled during shortage", "permanent shortage")) {
             InetSocketAddress address;
             try (ServerSocket free = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
                 address = (InetSocketAddress) free.getLocalSocketAddress();
             }
-            BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
             List<ServerSocket> listeners = new CopyOnWriteArrayList<>();
-            CompletableFuture<Connection> opening = new CompletableFuture<>();
-            AtomicInteger asked = new AtomicInteger();
+            CompletableFuture<Connection> connectionFuture = new CompletableFuture<>();
+            AtomicInteger shortageChecks = new AtomicInteger();
             try (Connector connector = new Connector()) {
-                connector.whenLacking(() -> {
-                    asked.incrementAndGet();
+                connector.onDescriptorShortage(() -> {
+                    shortageChecks.incrementAndGet();
                     try {
-                        if (order.equals("lack")) {
+                        if (scenario.equals("shortage")) {
                             listeners.add(new ServerSocket(address.getPort(), 5, address.getAddress()));
-                        } else if (order.equals("given up in a lack")) {
-                            opening.join().giveUp();
+                        } else if (scenario.equals("cancelled during shortage")) {
+                            connectionFuture.join().cancelConnect();
                         }
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
-                    return !order.equals("no lack");
+                    return !scenario.equals("no shortage");
                 });
                 connector.start();
-                opening.complete(connector.open(
-                        address, 5_000_000, c -> heard.add("opened"), e -> heard.add("failed"), c -> {}));
-                assertEquals(order, order.equals("lack") ? "opened" : "failed", heard.poll(20, TimeUnit.SECONDS));
-                assertEquals(order, order.equals("lack for good") ? 3 : 1, asked.get());
-                assertTrue(order, heard.isEmpty());
+                connectionFuture.complete(connector.open(
+                        address, 5_000_000, c -> events.add("opened"), e -> events.add("failed"), c -> {}));
+                assertEquals(
+                        scenario, scenario.equals("shortage") ? "opened" : "failed", events.poll(20, TimeUnit.SECONDS));
+                assertEquals(scenario, scenario.equals("permanent shortage") ? 3 : 1, shortageChecks.get());
+                assertTrue(scenario, events.isEmpty());
             } finally {
                 for (ServerSocket listener : listeners) {
                     listener.close();
--- a/balancer/src/test/java/calicochute/discovery/DiscoveryTest.java
+++ b/balancer/src/test/java/calicochute/discovery/DiscoveryTest.java
@@ -55,7 +55,7 @@
         }
 
         @Override
-        public Alarm after(long micros, Runnable task) {
+        public Timer schedule(long micros, Runnable task) {
             Due due = new Due(now + micros, task);
             alarms.add(due);
             return () -> alarms.remove(due);
--- a/balancer/src/test/java/calicochute/exchange/PipeTest.java
+++ b/balancer/src/test/java/calicochute/exchange/PipeTest.java
@@ -19,70 +19,73 @@
 class PipeTest {
     private static final int WINDOW = 100;
 
-    /** However it is cut and however little room the sink has: the same bytes, and never more ahead than the window. */
+    /**
+     * For any split of the body and any sink capacity the bytes arrive unchanged, and the source is never further ahead
+     * than its window.
+     */
     @Property
-    void whatGoesInComesOut(
+    void bytesArriveUnchangedWithinTheWindow(
             @ForAll @Size(max = 80) List<@IntRange(min = 0, max = 60) Integer> steps,
-            @ForAll @IntRange(min = 0, max = 90) int less)
+            @ForAll @IntRange(min = 0, max = 90) int shrunkBy)
             throws IOException {
         Pipe pipe = new Pipe();
         Random random = new Random(steps.size());
         ByteArrayOutputStream in = new ByteArrayOutputStream();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         int[] credit = {WINDOW};
-        pipe.creditTo(bytes -> credit[0] += bytes);
-        pipe.shrink(less);
+        pipe.setCreditListener(bytes -> credit[0] += bytes);
+        pipe.shrinkWindow(shrunkBy);
         for (int step : steps) {
             byte[] piece = new byte[Math.min(step, credit[0])];
             random.nextBytes(piece);
             in.write(piece);
             credit[0] -= piece.length;
             pipe.put(ByteBuffer.wrap(piece));
-            assertTrue(pipe.held() <= WINDOW);
-            pipe.take(room(out, random.nextInt(40)));
-            assertTrue(credit[0] + pipe.held() <= WINDOW);
-            assertTrue(credit[0] + pipe.held() >= WINDOW - less);
+            assertTrue(pipe.bufferedBytes() <= WINDOW);
+            pipe.writeTo(sinkWithCapacity(out, random.nextInt(40)));
+            assertTrue(credit[0] + pipe.bufferedBytes() <= WINDOW);
+            assertTrue(credit[0] + pipe.bufferedBytes() >= WINDOW - shrunkBy);
         }
-        pipe.end();
-        pipe.take(room(out, Integer.MAX_VALUE));
+        pipe.complete();
+        pipe.writeTo(sinkWithCapacity(out, Integer.MAX_VALUE));
         assertTrue(pipe.drained());
         assertArrayEquals(in.toByteArray(), out.toByteArray());
     }
 
-    private static Pipe.Sink room(ByteArrayOutputStream to, int room) {
-        int[] left = {room};
+    private static Pipe.Sink sinkWithCapacity(ByteArrayOutputStream target, int capacity) {
+        int[] remaining = {capacity};
         return bytes -> {
-            int length = Math.min(left[0], bytes.remaining());
+            int length = Math.min(remaining[0], bytes.remaining());
             byte[] taken = new byte[length];
             bytes.get(taken);
-            to.write(taken, 0, length);
-            left[0] -= length;
+            target.write(taken, 0, length);
+            remaining[0] -= length;
             return length;
         };
     }
 
-    /** What a server still gave before it broke off is passed on; only then is the body cut, and never whole. */
+    /** Bytes received before an abort are delivered first; only then is the body truncated, and it is never drained. */
     @Test
-    void whatWasGivenBeforeABreakIsTaken() throws IOException {
+    void bytesBeforeAnAbortAreDelivered() throws IOException {
         Pipe pipe = new Pipe();
         pipe.put(ByteBuffer.wrap(new byte[10]));
-        pipe.breakOff();
-        assertFalse(pipe.cut());
-        pipe.take(room(new ByteArrayOutputStream(), 100));
-        assertTrue(pipe.cut());
+        pipe.abort();
+        assertFalse(pipe.truncated());
+        pipe.writeTo(sinkWithCapacity(new ByteArrayOutputStream(), 100));
+        assertTrue(pipe.truncated());
         assertFalse(pipe.drained());
     }
 
-    /** Once nobody takes it, the source reads on, so that its connection can be used again. */
+    /** After a cancel the source can still read the body to its end, so that its connection can be reused. */
     @Test
-    void anAbandonedPipeGivesAllCreditBack() {
+    void cancelledPipeReturnsAllCredit() {
         Pipe pipe = new Pipe();
         int[] credit = {0};
         pipe.put(ByteBuffer.wrap(new byte[10]));
-        pipe.creditTo(bytes -> credit[0] += bytes);
-        pipe.abandon();
+        pipe.setCreditListener(bytes -> credit[0] += bytes);
+        pipe.cancel();
         pipe.put(ByteBuffer.wrap(new byte[5]));
         assertEquals(15, credit[0]);
-        assertEquals(0, pipe.held());
+        assertEquals(0, pipe.bufferedBytes());
     }
 }
--- a/balancer/src/test/java/calicochute/frontend/IdleEndTest.java
+++ b/balancer/src/test/java/calicochute/frontend/IdleEndTest.java
@@ -6,7 +6,7 @@
 
 import calicochute.exchange.DecisionQueue;
 import calicochute.exchange.Exchange;
-import calicochute.exchange.Sessions;
+import calicochute.exchange.SessionListener;
 import calicochute.listening.Listening;
 import calicochute.metrics.Counter;
 import calicochute.metrics.Counters;
@@ -44,29 +44,29 @@
         }
 
         @Override
-        public Alarm after(long micros, Runnable task) {
+        public Timer schedule(long micros, Runnable task) {
             throw new AssertionError("no alarm is needed here");
         }
     };
-    private static final Sessions NONE = new Sessions() {
+    private static final SessionListener NONE = new SessionListener() {
         @Override
-        public void taken(Exchange exchange) {
+        public void sessionStarted(Exchange exchange) {
             throw new AssertionError("no session is sent here");
         }
 
         @Override
-        public void arrived(Exchange exchange) {
-            taken(exchange);
+        public void requestCompleted(Exchange exchange) {
+            sessionStarted(exchange);
         }
 
         @Override
         public void clientGone(Exchange exchange) {
-            taken(exchange);
+            sessionStarted(exchange);
         }
 
         @Override
-        public void passed(Exchange exchange, boolean whole) {
-            taken(exchange);
+        public void responseEnded(Exchange exchange, boolean whole) {
+            sessionStarted(exchange);
         }
     };
 
--- a/balancer/src/test/java/calicochute/frontend/ReadAheadTest.java
+++ b/balancer/src/test/java/calicochute/frontend/ReadAheadTest.java
@@ -65,31 +65,31 @@
         ReadAhead.Part part = ahead.part();
         Pipe pipe = new Pipe();
         List<Integer> granted = new ArrayList<>();
-        pipe.creditTo(bytes -> {
-            part.keep(pipe.withheld());
+        pipe.setCreditListener(bytes -> {
+            part.keep(pipe.withheldCredit());
             granted.add(bytes);
         });
         pipe.put(ByteBuffer.wrap(new byte[70_000]));
-        int lent = part.more(pipe::advance);
+        int lent = part.more(pipe::grantAhead);
         pipe.put(ByteBuffer.wrap(new byte[lent]));
         assertEquals(ALL - lent, ahead.left());
-        pipe.take(bytes -> {
+        pipe.writeTo(bytes -> {
             int taken = Math.min(lent - 1, bytes.remaining());
             bytes.position(bytes.position() + taken);
             return taken;
         });
         assertEquals(List.of(), granted);
-        pipe.take(bytes -> {
+        pipe.writeTo(bytes -> {
             int taken = bytes.remaining();
             bytes.position(bytes.limit());
             return taken;
         });
         assertEquals(List.of(70_000), granted);
         assertEquals(ALL, ahead.left());
-        assertEquals(0, part.more(pipe::advance));
+        assertEquals(0, part.more(pipe::grantAhead));
         Pipe left = new Pipe();
-        left.abandon();
-        assertEquals(0, ahead.part().more(left::advance));
+        left.cancel();
+        assertEquals(0, ahead.part().more(left::grantAhead));
         assertEquals(ALL, ahead.left());
     }
 }
--- a/balancer/src/test/java/calicochute/node/DecisionThreadTest.java
+++ b/balancer/src/test/java/calicochute/node/DecisionThreadTest.java
@@ -27,9 +27,9 @@
         Counters counters = new Counters();
         DecisionThread thread = new DecisionThread(counters);
         thread.post(() -> fail(how));
-        thread.after(1, () -> fail(how));
+        thread.schedule(1, () -> fail(how));
         CountDownLatch next = new CountDownLatch(1);
-        thread.after(1_000, () -> thread.post(next::countDown));
+        thread.schedule(1_000, () -> thread.post(next::countDown));
         assertTrue(next.await(30, TimeUnit.SECONDS));
         assertEquals(2, counters.get(Counter.MODULE_FAULTS));
     }
