--- a/balancer/src/main/java/calicochute/admin/AdminConnection.java
+++ b/balancer/src/main/java/calicochute/admin/AdminConnection.java
@@ -1,6 +1,6 @@
 package calicochute.admin;
 
-import calicochute.framing.WholeHeads;
+import calicochute.framing.CompleteHeadParser;
 import calicochute.metrics.Counter;
 import calicochute.metrics.Counters;
 import calicochute.settings.Bounds;
@@ -52,7 +52,7 @@
                         LIMITS,
                         CharCodingConfig.DEFAULT,
                         null,
-                        () -> new WholeHeads<>(new DefaultHttpRequestParserFactory(LIMITS).create()),
+                        () -> new CompleteHeadParser<>(new DefaultHttpRequestParserFactory(LIMITS).create()),
                         null,
                         null,
                         onFault)
--- a/balancer/src/main/java/calicochute/admin/AdminServer.java
+++ b/balancer/src/main/java/calicochute/admin/AdminServer.java
@@ -1,6 +1,6 @@
 package calicochute.admin;
 
-import calicochute.listening.Listening;
+import calicochute.listening.ConnectionAcceptor;
 import calicochute.metrics.Counters;
 import calicochute.metrics.Log;
 import calicochute.settings.Bounds;
@@ -30,7 +30,7 @@
     /** Starts to listen and returns the address in use. */
     public InetSocketAddress start(InetSocketAddress address) throws IOException {
         Callback<Exception> onFault = e -> Log.info("admin-connection", String.valueOf(e.getMessage()));
-        Listening listening = Listening.at(
+        ConnectionAcceptor listening = ConnectionAcceptor.bind(
                 address,
                 BACKLOG,
                 Bounds.ADMIN_CONNECTIONS + Bounds.AHEAD,
@@ -38,7 +38,7 @@
                 (session, attachment) -> AdminConnection.on(session, this, onFault),
                 onFault,
                 counters);
-        listening.whenLacking(lacking);
+        listening.onDescriptorShortage(lacking);
         return listening.start();
     }
 
--- a/balancer/src/main/java/calicochute/connection/Call.java
+++ b/balancer/src/main/java/calicochute/connection/Call.java
@@ -31,6 +31,7 @@
 final class Call implements AsyncClientExchangeHandler {
     /** Number of 1xx responses accepted before the final one. */
     private static final int MAX_INTERIM_RESPONSES = 16;
+
     private final HttpRequest request;
     private final Body body;
     private final Limits limits;
@@ -50,6 +51,7 @@
 
     /** Length of the request body; -1 while it is unknown. */
     private volatile long requestBodyBytes;
+
     private EndpointDetails endpoint;
     private Runnable beforeSendingListener = () -> {};
     private long sentBytesBefore;
--- a/balancer/src/main/java/calicochute/connection/Connector.java
+++ b/balancer/src/main/java/calicochute/connection/Connector.java
@@ -1,6 +1,6 @@
 package calicochute.connection;
 
-import calicochute.framing.UncutLines;
+import calicochute.framing.CompleteLineBuffer;
 import calicochute.settings.Bounds;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -53,6 +53,7 @@
     /** Delays a retry by 20 ms. */
     private static final Executor RETRY_EXECUTOR =
             CompletableFuture.delayedExecutor(20, TimeUnit.MILLISECONDS, Runnable::run);
+
     private final DefaultConnectingIOReactor reactor;
     private volatile BooleanSupplier descriptorShortage = () -> false;
 
@@ -156,7 +157,7 @@
                             SessionInputBuffer buffer,
                             BasicHttpTransportMetrics metrics)
                             throws HttpException {
-                        return super.createContentDecoder(length, from, new UncutLines(buffer), metrics);
+                        return super.createContentDecoder(length, from, new CompleteLineBuffer(buffer), metrics);
                     }
                 }) {
             @Override
--- a/balancer/src/main/java/calicochute/frontend/ClientConnection.java
+++ b/balancer/src/main/java/calicochute/frontend/ClientConnection.java
@@ -1,6 +1,6 @@
 package calicochute.frontend;
 
-import calicochute.framing.UncutLines;
+import calicochute.framing.CompleteLineBuffer;
 import calicochute.listening.LingeringSession;
 import calicochute.metrics.Counter;
 import calicochute.settings.Bounds;
@@ -269,7 +269,7 @@
                             SessionInputBuffer buffer,
                             BasicHttpTransportMetrics metrics)
                             throws HttpException {
-                        return super.createContentDecoder(length, from, new UncutLines(buffer), metrics);
+                        return super.createContentDecoder(length, from, new CompleteLineBuffer(buffer), metrics);
                     }
                 });
         this.state = state;
@@ -323,14 +323,14 @@
      * would be sent on. What comes is no request and is dropped.
      */
     private void drop(LingeringSession session) throws IOException {
-        switch (session.drop(state.owesAnswer())) {
+        switch (session.discardInput(state.owesAnswer())) {
             case RESET -> {
-                if (session.flooded()) {
+                if (session.discardLimitExceeded()) {
                     state.frontend.counters().count(Counter.CLIENTS_CLOSED_FLOODING);
                 }
                 session.close(CloseMode.IMMEDIATE);
             }
-            case REST -> session.clearEvent(EventMask.READ);
+            case NONE -> session.clearEvent(EventMask.READ);
             default -> {
                 // Guards against a client that sends on for ever: HttpCore's own time-out starts anew with each byte.
                 if (state.lastGiven != 0 && (System.nanoTime() - state.lastGiven) / 1_000_000 >= LINGER_MS) {
@@ -427,7 +427,7 @@
     }
 
     Need need() {
-        if (ending.lingers()) {
+        if (ending.lingering()) {
             return Need.SHUT;
         }
         if (state.receiving && !state.owesAnswer() && (state.latest == null || state.headMs() > 0)) {
@@ -457,7 +457,7 @@
     @Override
     public void disconnected(IOSession session) {
         // A connection that is shut holds its descriptor until it is closed, and is counted as long.
-        if (!(session instanceof LingeringSession shut && shut.lingers())) {
+        if (!(session instanceof LingeringSession shut && shut.lingering())) {
             state.frontend.closed(this);
         }
         super.disconnected(session);
--- a/balancer/src/main/java/calicochute/frontend/Frontend.java
+++ b/balancer/src/main/java/calicochute/frontend/Frontend.java
@@ -2,7 +2,7 @@
 
 import calicochute.exchange.DecisionQueue;
 import calicochute.exchange.SessionListener;
-import calicochute.listening.Listening;
+import calicochute.listening.ConnectionAcceptor;
 import calicochute.metrics.Counter;
 import calicochute.metrics.Counters;
 import calicochute.metrics.Log;
@@ -35,7 +35,7 @@
     private final Callback<Exception> onFault = e -> Log.info("client-connection", String.valueOf(e.getMessage()));
     private final InetSocketAddress address;
     private final ServerSocketChannel inherited;
-    private volatile Listening listening;
+    private volatile ConnectionAcceptor listening;
     private final int most;
     private final Room room;
     private final int window;
@@ -79,9 +79,10 @@
     public InetSocketAddress start() throws IOException {
         IOEventHandlerFactory handlers = (session, attachment) -> ClientConnection.on(session, this, onFault);
         listening = inherited == null
-                ? Listening.at(address, BACKLOG, most + Bounds.AHEAD, "frontend", handlers, onFault, counters)
-                : Listening.on(inherited, most + Bounds.AHEAD, "frontend", handlers, onFault, counters);
-        listening.whenLacking(this::lacking);
+                ? ConnectionAcceptor.bind(
+                        address, BACKLOG, most + Bounds.AHEAD, "frontend", handlers, onFault, counters)
+                : ConnectionAcceptor.adopt(inherited, most + Bounds.AHEAD, "frontend", handlers, onFault, counters);
+        listening.onDescriptorShortage(this::lacking);
         return listening.start();
     }
 
--- a/balancer/src/main/java/calicochute/frontend/RequestGuard.java
+++ b/balancer/src/main/java/calicochute/frontend/RequestGuard.java
@@ -1,6 +1,6 @@
 package calicochute.frontend;
 
-import calicochute.framing.WholeHeads;
+import calicochute.framing.CompleteHeadParser;
 import calicochute.metrics.Counter;
 import calicochute.metrics.Log;
 import calicochute.settings.Bounds;
@@ -36,8 +36,8 @@
         }
     };
 
-    private final NHttpMessageParser<HttpRequest> parser =
-            new WholeHeads<>(new DefaultHttpRequestParserFactory(ClientConnection.LIMITS, AS_IT_CAME, null).create());
+    private final NHttpMessageParser<HttpRequest> parser = new CompleteHeadParser<>(
+            new DefaultHttpRequestParserFactory(ClientConnection.LIMITS, AS_IT_CAME, null).create());
     private final ClientConnection.State state;
     private int headBytes;
 
--- a/balancer/src/main/java/calicochute/listening/AddressException.java
+++ b/balancer/src/main/java/calicochute/listening/AddressException.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** An address that can't be listened at. */
+/** The listening address could not be bound. */
 public final class AddressException extends IoFault {
     private static final long serialVersionUID = 1L;
 
--- a/balancer/src/main/java/calicochute/listening/LingeringSession.java
+++ b/balancer/src/main/java/calicochute/listening/LingeringSession.java
@@ -1,6 +1,6 @@
 package calicochute.listening;
 
-import calicochute.listening.ConnectionEnd.Step;
+import calicochute.listening.CloseState.Step;
 import java.io.IOException;
 import java.net.SocketAddress;
 import java.nio.ByteBuffer;
@@ -15,64 +15,72 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * HttpCore's session of an accepted connection, with a graceful close that is one: HttpCore's own closes the socket
- * right behind its shutdown. For its handler it is closed at once, and is told of a second disconnect when the socket
- * is.
+ * An accepted connection with a lingering close: HttpCore's own graceful close closes the socket right after its
+ * shutdown. To its handler the connection counts as closed at the shutdown; the handler's {@code disconnected} is
+ * called then, and a second time when the socket is closed.
  */
 public final class LingeringSession implements IOSession {
-    /** At one event so many buffers are dropped at most: other connections are served in between. */
-    private static final int AT_ONCE = 16;
+    /** How many buffers are discarded per event, so that other connections are served in between. */
+    private static final int MAX_BUFFERS_PER_EVENT = 16;
 
     private final IOSession session;
     private final ByteBuffer scratch;
-    private final ConnectionEnd end = new ConnectionEnd();
+    private final CloseState closeState = new CloseState();
 
-    /** @param scratch of the one I/O thread, for what is dropped */
+    /**
+     * Wraps a session.
+     *
+     * @param scratch buffer for discarded input, shared by all connections of the single I/O thread
+     */
     LingeringSession(IOSession session, ByteBuffer scratch) {
         this.session = session;
         this.scratch = scratch;
     }
 
-    public boolean lingers() {
-        return end.lingers();
+    public boolean lingering() {
+        return closeState.lingering();
     }
 
-    public boolean flooded() {
-        return end.flooded();
+    public boolean discardLimitExceeded() {
+        return closeState.discardLimitExceeded();
     }
 
-    /** Reads what has come and drops it; on the I/O thread. From here on nothing is read for a request. */
-    public Step drop(boolean owed) throws IOException {
-        end.deafen();
-        Step step = Step.READ_ON;
-        for (int i = 0; i < AT_ONCE && step == Step.READ_ON; i++) {
+    /** Reads and discards pending input, on the I/O thread. No requests are read from now on. */
+    public Step discardInput(boolean responseOwed) throws IOException {
+        closeState.stopReadingRequests();
+        Step step = Step.CONTINUE_READING;
+        for (int i = 0; i < MAX_BUFFERS_PER_EVENT && step == Step.CONTINUE_READING; i++) {
             scratch.clear();
             int bytes = session.read(scratch);
             if (bytes == 0) {
                 return step;
             }
-            step = bytes < 0 ? end.peerEnded(owed) : end.dropped(bytes, owed, System.nanoTime() / 1_000_000);
+            step = bytes < 0
+                    ? closeState.peerClosed(responseOwed)
+                    : closeState.inputDiscarded(bytes, responseOwed, System.nanoTime() / 1_000_000);
         }
         return step;
     }
 
     @Override
     public void close(CloseMode mode) {
-        Step step = mode == CloseMode.IMMEDIATE ? end.closed() : end.end(System.nanoTime() / 1_000_000);
+        Step step = mode == CloseMode.IMMEDIATE
+                ? closeState.closeImmediately()
+                : closeState.closeGracefully(System.nanoTime() / 1_000_000);
         if (step == Step.SHUT_DOWN) {
             try {
                 ((SocketChannel) session.channel()).shutdownOutput();
                 IOEventHandler handler = session.getHandler();
-                session.upgrade(new Lingering(handler));
-                session.setSocketTimeout(Timeout.ofMilliseconds(ConnectionEnd.LINGER_MS));
+                session.upgrade(new LingerHandler(handler));
+                session.setSocketTimeout(Timeout.ofMilliseconds(CloseState.LINGER_MS));
                 session.setEventMask(EventMask.READ);
                 if (handler != null) {
                     handler.disconnected(this);
                 }
                 return;
             } catch (IOException e) {
-                // The connection is gone already.
-                step = end.closed();
+                // The connection is closed already.
+                step = closeState.closeImmediately();
             }
         }
         if (step == Step.CLOSE) {
@@ -80,83 +88,83 @@
         }
     }
 
-    /** Ends it without waiting for the peer: its descriptor is needed. */
+    /** Closes without waiting for the peer, because the file descriptor is needed. */
     public void closeNow() {
-        end.closed();
+        closeState.closeImmediately();
         session.close(CloseMode.GRACEFUL);
     }
 
-    /** The I/O thread's part behind the shutdown. */
-    private final class Lingering implements IOEventHandler {
-        private final IOEventHandler before;
+    /** Handles the events on the I/O thread after the shutdown. */
+    private final class LingerHandler implements IOEventHandler {
+        private final IOEventHandler originalHandler;
 
-        Lingering(IOEventHandler before) {
-            this.before = before;
+        LingerHandler(IOEventHandler originalHandler) {
+            this.originalHandler = originalHandler;
         }
 
-        private void after(Step step) {
+        private void apply(Step step) {
             if (step == Step.CLOSE) {
                 session.close(CloseMode.GRACEFUL);
             }
         }
 
         @Override
-        public void connected(IOSession opened) {}
+        public void connected(IOSession ioSession) {}
 
         @Override
-        public void inputReady(IOSession from, ByteBuffer source) {
+        public void inputReady(IOSession ioSession, ByteBuffer source) {
             try {
-                after(drop(false));
+                apply(discardInput(false));
             } catch (IOException e) {
-                after(end.closed());
+                apply(closeState.closeImmediately());
             }
         }
 
         @Override
-        public void outputReady(IOSession to) {
-            // Another thread asked for it just as the end began.
+        public void outputReady(IOSession ioSession) {
+            // Another thread requested output just as the close began.
             session.clearEvent(EventMask.WRITE);
         }
 
         @Override
-        public void timeout(IOSession from, Timeout timeout) {
-            after(end.lingered(System.nanoTime() / 1_000_000));
+        public void timeout(IOSession ioSession, Timeout timeout) {
+            apply(closeState.checkLinger(System.nanoTime() / 1_000_000));
         }
 
         @Override
-        public void exception(IOSession from, Exception cause) {
-            after(end.closed());
+        public void exception(IOSession ioSession, Exception cause) {
+            apply(closeState.closeImmediately());
         }
 
         @Override
-        public void disconnected(IOSession from) {
-            end.closed();
-            if (before != null) {
-                before.disconnected(LingeringSession.this);
+        public void disconnected(IOSession ioSession) {
+            closeState.closeImmediately();
+            if (originalHandler != null) {
+                originalHandler.disconnected(LingeringSession.this);
             }
         }
     }
 
     @Override
-    public int read(ByteBuffer to) throws IOException {
-        if (!end.takesRequests()) {
+    public int read(ByteBuffer target) throws IOException {
+        if (!closeState.acceptsRequests()) {
             return 0;
         }
-        int bytes = session.read(to);
+        int bytes = session.read(target);
         if (bytes < 0) {
-            end.peerEnded(false);
+            closeState.peerClosed(false);
         }
         return bytes;
     }
 
     @Override
-    public int write(ByteBuffer from) throws IOException {
-        return session.write(from);
+    public int write(ByteBuffer source) throws IOException {
+        return session.write(source);
     }
 
     @Override
     public void enqueue(Command command, Command.Priority priority) {
-        if (lingers()) {
+        if (lingering()) {
             command.cancel();
         } else {
             session.enqueue(command, priority);
@@ -165,28 +173,28 @@
 
     @Override
     public void setEventMask(int mask) {
-        if (!lingers()) {
+        if (!lingering()) {
             session.setEventMask(mask);
         }
     }
 
     @Override
     public void setEvent(int event) {
-        if (!lingers()) {
+        if (!lingering()) {
             session.setEvent(event);
         }
     }
 
     @Override
     public void clearEvent(int event) {
-        if (!lingers()) {
+        if (!lingering()) {
             session.clearEvent(event);
         }
     }
 
     @Override
     public void setSocketTimeout(Timeout timeout) {
-        if (!lingers()) {
+        if (!lingering()) {
             session.setSocketTimeout(timeout);
         }
     }
@@ -198,12 +206,12 @@
 
     @Override
     public Status getStatus() {
-        return lingers() ? Status.CLOSED : session.getStatus();
+        return lingering() ? Status.CLOSED : session.getStatus();
     }
 
     @Override
     public boolean isOpen() {
-        return !lingers() && session.isOpen();
+        return !lingering() && session.isOpen();
     }
 
     @Override
--- a/balancer/src/test/java/calicochute/frontend/IdleEndTest.java
+++ b/balancer/src/test/java/calicochute/frontend/IdleEndTest.java
@@ -7,7 +7,7 @@
 import calicochute.exchange.DecisionQueue;
 import calicochute.exchange.Exchange;
 import calicochute.exchange.SessionListener;
-import calicochute.listening.Listening;
+import calicochute.listening.ConnectionAcceptor;
 import calicochute.metrics.Counter;
 import calicochute.metrics.Counters;
 import calicochute.presence.Presence;
@@ -100,7 +100,7 @@
         Frontend frontend = frontend(counters);
         CompletableFuture<ProtocolIOSession> session = new CompletableFuture<>();
         CompletableFuture<ClientConnection> connection = new CompletableFuture<>();
-        Listening listening = Listening.at(
+        ConnectionAcceptor listening = ConnectionAcceptor.bind(
                 ANY,
                 5,
                 5,
@@ -152,7 +152,7 @@
         Frontend frontend = frontend(counters);
         List<ClientConnection> made = new CopyOnWriteArrayList<>();
         List<Socket> clients = new ArrayList<>();
-        Listening listening = Listening.at(
+        ConnectionAcceptor listening = ConnectionAcceptor.bind(
                 ANY,
                 50,
                 50,
--- a/balancer/src/test/java/calicochute/listening/LingeringSessionTest.java
+++ b/balancer/src/test/java/calicochute/listening/LingeringSessionTest.java
@@ -23,32 +23,32 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** The end of a connection on real sockets: of one that reads nothing until it is ended. */
+/** Closes connections on real sockets whose handler reads nothing before the close. */
 public class LingeringSessionTest {
-    private final Deaf deaf = new Deaf();
-    private Listening listening;
+    private final NonReadingHandler handler = new NonReadingHandler();
+    private ConnectionAcceptor acceptor;
     private SocketChannel client;
     private IOSession session;
 
     @Before
     public void connect() throws Exception {
-        listening = Listening.at(
+        acceptor = ConnectionAcceptor.bind(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 10,
                 10,
                 "test",
-                (opened, attachment) -> deaf,
+                (opened, attachment) -> handler,
                 e -> {},
                 new Counters());
-        client = SocketChannel.open(listening.start());
-        session = deaf.opened.get(5, TimeUnit.SECONDS);
+        client = SocketChannel.open(acceptor.start());
+        session = handler.opened.get(5, TimeUnit.SECONDS);
     }
 
     @After
     public void end() throws Exception {
         client.close();
-        listening.stopAccepting();
-        CompletableFuture.runAsync(listening::close);
+        acceptor.stopAccepting();
+        CompletableFuture.runAsync(acceptor::close);
     }
 
     private static ByteBuffer bytes(String text) {
@@ -56,45 +56,45 @@
     }
 
     /**
-     * With bytes unread the answer arrives, then the end and no reset; what comes behind is dropped until the client
-     * ends its side.
+     * With unread input the client receives the response and the end of the connection, not a reset; further input is
+     * discarded until the client closes.
      */
     @Test
-    public void noCloseOverUnreadBytes() throws Exception {
-        client.write(bytes("a request that crosses the end"));
-        assertTrue(deaf.heard.await(5, TimeUnit.SECONDS));
+    public void responseIsDeliveredDespiteUnreadInput() throws Exception {
+        client.write(bytes("a request sent during the close"));
+        assertTrue(handler.inputSeen.await(5, TimeUnit.SECONDS));
         session.write(bytes("answer"));
         session.close(CloseMode.GRACEFUL);
         assertFalse(session.isOpen());
-        assertTrue("told at once", deaf.told.await(5, TimeUnit.SECONDS));
+        assertTrue("disconnect is reported at once", handler.disconnectSeen.await(5, TimeUnit.SECONDS));
         ByteBuffer answer = ByteBuffer.allocate(100);
         while (client.read(answer) >= 0) {
-            // The answer, whole.
+            // Reads the complete response.
         }
         assertEquals("answer".length(), answer.position());
         assertTrue("not reset", client.write(bytes("one more request")) > 0);
-        assertEquals("what is sent on it is not read", 0, session.read(ByteBuffer.allocate(10)));
+        assertEquals("input after the close is not read", 0, session.read(ByteBuffer.allocate(10)));
         client.close();
-        assertTrue(deaf.closed.await(5, TimeUnit.SECONDS));
-        assertEquals("nothing of it reaches the handler", 1, deaf.inputs.get());
+        assertTrue(handler.closed.await(5, TimeUnit.SECONDS));
+        assertEquals("later input does not reach the handler", 1, handler.inputs.get());
     }
 
-    /** A client that rests behind the end does not hold its connection for ever. */
+    /** A client that does not close its side cannot keep its connection open forever. */
     @Test
-    public void theLingerIsBounded() throws Exception {
+    public void lingerTimeIsBounded() throws Exception {
         session.close(CloseMode.GRACEFUL);
         assertEquals(-1, client.read(ByteBuffer.allocate(10)));
-        assertTrue(deaf.closed.await(5, TimeUnit.SECONDS));
+        assertTrue(handler.closed.await(5, TimeUnit.SECONDS));
     }
 
-    private static final class Deaf implements IOEventHandler {
+    private static final class NonReadingHandler implements IOEventHandler {
         final CompletableFuture<IOSession> opened = new CompletableFuture<>();
-        final CountDownLatch heard = new CountDownLatch(1);
-        /** Told of the end, and of the socket's close. */
+        final CountDownLatch inputSeen = new CountDownLatch(1);
+        /** Counts the disconnect at the shutdown and the one when the socket is closed. */
         final CountDownLatch closed = new CountDownLatch(2);
 
         final AtomicInteger inputs = new AtomicInteger();
-        final CountDownLatch told = new CountDownLatch(1);
+        final CountDownLatch disconnectSeen = new CountDownLatch(1);
 
         @Override
         public void connected(IOSession session) {
@@ -105,7 +105,7 @@
         public void inputReady(IOSession session, ByteBuffer source) {
             inputs.incrementAndGet();
             session.clearEvent(EventMask.READ);
-            heard.countDown();
+            inputSeen.countDown();
         }
 
         @Override
@@ -121,7 +121,7 @@
 
         @Override
         public void disconnected(IOSession session) {
-            told.countDown();
+            disconnectSeen.countDown();
             closed.countDown();
         }
     }
