--- a/balancer/src/main/java/calicochute/frontend/ClientConnection.java
+++ b/balancer/src/main/java/calicochute/frontend/ClientConnection.java
@@ -36,232 +36,247 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * One client's connection: HttpCore's own, with what it does not guard. It notices a client that closes while it is
- * owed an answer, bounds the time a request may take to arrive, and reads nothing ahead of an answer. All on the
- * frontend's I/O thread.
+ * One client connection. On top of HttpCore's handling it notices a client that disconnects while a response is owed,
+ * bounds the time a request may take to arrive, and accepts no further request before the response. Runs on the
+ * frontend's I/O thread unless a method says otherwise.
  */
 final class ClientConnection extends ServerHttp1IOEventHandler {
-    static final Http1Config LIMITS = Http1Config.custom()
+    static final Http1Config HTTP_CONFIG = Http1Config.custom()
             .setBufferSize(Bounds.BUFFER)
             .setMaxLineLength(Bounds.LINE)
             .setMaxHeaderCount(Bounds.FIELDS)
             .setInitialWindowSize(Bounds.WINDOW)
             .build();
-    /** From a connection's start, or a later request's first byte, to the end of the request's head. */
-    private static final long REQUEST_MS = 2400;
-    /** A body may stand still for so long, and comes at so many bytes in a millisecond from then on. */
-    private static final long STILL_MS = 2000;
-
-    private static final long RATE = 16;
-    /** A client may leave a long answer unread for so long. */
-    private static final long UNREAD_MS = 15_000;
-    /** A connection with no request open is kept this long. */
-    private static final long IDLE_MS = 10_000;
-    /** A client that has connected speaks at once; one that has had its answer may pause for a while. */
-    private static final long SILENT_MS = 250;
-
-    private static final long RESTING_MS = 2000;
-    /** An answer just given is still on its way out. */
-    private static final long SETTLE_MS = 50;
-    /** What has had its last answer is ended this much later, if the client has not done so. */
-    private static final long LINGER_MS = 250;
+    /** Time for a request head, from the start of the connection or from the first byte of a later request. */
+    private static final long HEAD_TIMEOUT_MS = 2400;
+    /** How long a request body may stall, and the grace before its average rate is checked. */
+    private static final long BODY_STALL_MS = 2000;
+
+    /** Average rate that a request body has to reach, in bytes per millisecond. */
+    private static final long MIN_BODY_BYTES_PER_MS = 16;
+    /** How long a client may stop reading a streamed response. */
+    private static final long RESPONSE_STALL_MS = 15_000;
+    /** How long a connection without an open request is kept. */
+    private static final long IDLE_TIMEOUT_MS = 10_000;
+    /** How long a connection without input counts as new; a client usually sends its request right after connecting. */
+    private static final long NEW_CONNECTION_MS = 250;
+
+    /** From this idle time on a connection has the priority {@link Priority#LONG_IDLE}. */
+    private static final long LONG_IDLE_MS = 2000;
+    /** How long after a response the connection still counts as busy: the response may still be in transit. */
+    private static final long RESPONSE_SETTLE_MS = 50;
+    /** How long after its last response the connection is closed if the client has not closed it. */
+    private static final long FINAL_RESPONSE_LINGER_MS = 250;
 
     private static final HttpProcessor PROCESSOR =
             HttpProcessorBuilder.create().add(new RequestValidateHost()).build();
 
-    /** What handlers and the guard of one connection share with it; they are made before it is. */
+    /** State that a connection shares with its request handlers and its head parser, which are created before it. */
     static final class State {
         final Frontend frontend;
         final ProtocolIOSession session;
-        volatile SessionHandler latest;
-        /** A request is due or under way; false from its end until the next one's first byte. */
-        volatile boolean receiving = true;
-        /** Something has come on this connection. */
-        private volatile boolean heard;
-        /** Nothing more is a request: something here was refused, came before an earlier answer, or that says close. */
-        volatile boolean last;
-        /** What is still on its way out in pieces ends unfinished. */
-        private volatile boolean cut;
-        /** When the last answer was given, or 0. */
-        private volatile long lastGiven;
-
-        long since = System.nanoTime();
-        /** The body under way: when its head had come, its bytes, how long we did not read it, and since when. */
-        private long bodySince;
-
-        private long bodyMoved;
+        volatile SessionHandler latestHandler;
+        /** Whether a request is expected or arriving; false from its end until the next request's first byte. */
+        volatile boolean receivingRequest = true;
+        /** Whether any input was received on this connection. */
+        private volatile boolean inputReceived;
+        /**
+         * Whether further input is discarded, because a request was rejected, sent before an earlier response, or the
+         * response said {@code Connection: close}.
+         */
+        volatile boolean noMoreRequests;
+        /** Whether the streamed response is to be aborted. */
+        private volatile boolean abortResponse;
+        /** When the last response of the connection was given, in {@link System#nanoTime}; 0 before that. */
+        private volatile long lastResponseNanos;
+
+        /** When the connection or its current request started, in {@link System#nanoTime}. */
+        long requestStartNanos = System.nanoTime();
+        /** When the head of the current request was complete; 0 while there is no body. */
+        private long bodyStartNanos;
+
+        /** When bytes of the body last arrived, or reading was resumed. */
+        private long bodyProgressNanos;
+
         private long bodyBytes;
+        /** How long this side has not read the body in total. */
         private long pausedNanos;
-        private volatile long pausedSince;
+        /** Since when this side has not been reading the body; 0 while it reads. */
+        private volatile long pausedSinceNanos;
 
         State(Frontend frontend, ProtocolIOSession session) {
             this.frontend = frontend;
             this.session = session;
         }
 
-        /** True while a session of this connection is worked on and its answer has not been begun. */
-        boolean owesAnswer() {
-            SessionHandler handler = latest;
-            return handler != null && handler.owesAnswer();
+        /**
+         * Whether a session of this connection is being processed and its response has not begun, or is being streamed.
+         */
+        boolean owesResponse() {
+            SessionHandler handler = latestHandler;
+            return handler != null && handler.owesResponse();
         }
 
         /**
-         * True while a request that has come whole has not had the last byte of its answer. Guards against the end of
-         * idle connections that crosses an answer on its way to the I/O thread: it was given, and would be lost.
+         * Whether a complete request still waits for the last byte of its response. Without this check, closing idle
+         * connections could lose a response that was given but has not reached the I/O thread.
          */
         boolean busy() {
-            SessionHandler handler = latest;
-            return owesAnswer() || !receiving && handler != null && handler.unwritten();
+            SessionHandler handler = latestHandler;
+            return owesResponse() || !receivingRequest && handler != null && handler.responseUnwritten();
         }
 
-        /** The head of a request has come: from here on its body's pace counts. */
-        void headRead() {
-            bodySince = System.nanoTime();
-            bodyMoved = bodySince;
+        /** The head of a request is complete; the pace of its body is measured from here. */
+        void headReceived() {
+            bodyStartNanos = System.nanoTime();
+            bodyProgressNanos = bodyStartNanos;
             bodyBytes = 0;
             pausedNanos = 0;
-            pausedSince = 0;
+            pausedSinceNanos = 0;
         }
 
-        void bodyRead(int bytes) {
+        void bodyReceived(int bytes) {
             bodyBytes += bytes;
-            bodyMoved = System.nanoTime();
+            bodyProgressNanos = System.nanoTime();
         }
 
         /**
-         * Whether this side does not read, since what came before has nowhere to go; any thread may call. Asked under
-         * the lock: of two threads the later one would else have the word with the older answer.
+         * Updates whether this side has stopped reading because earlier bytes were not forwarded yet; any thread may
+         * call. The condition is evaluated under the lock: otherwise, of two threads, the later one could store the
+         * older result.
          */
-        synchronized void paused(BooleanSupplier usedUp) {
-            boolean now = usedUp.getAsBoolean();
-            if (now && pausedSince == 0) {
-                pausedSince = System.nanoTime();
-            } else if (!now && pausedSince != 0) {
-                bodyMoved = System.nanoTime();
-                pausedNanos += bodyMoved - pausedSince;
-                pausedSince = 0;
+        synchronized void updatePaused(BooleanSupplier windowExhausted) {
+            boolean exhausted = windowExhausted.getAsBoolean();
+            if (exhausted && pausedSinceNanos == 0) {
+                pausedSinceNanos = System.nanoTime();
+            } else if (!exhausted && pausedSinceNanos != 0) {
+                bodyProgressNanos = System.nanoTime();
+                pausedNanos += bodyProgressNanos - pausedSinceNanos;
+                pausedSinceNanos = 0;
             }
         }
 
-        /** How long the client may yet say nothing, in milliseconds; not positive if it is too slow. */
-        private synchronized long patienceMs() {
-            if (bodySince == 0) {
-                return REQUEST_MS - ageMs();
+        /** How long the client may stay silent, in milliseconds; not positive if it is too slow. */
+        private synchronized long remainingMs() {
+            if (bodyStartNanos == 0) {
+                return HEAD_TIMEOUT_MS - requestAgeMs();
             }
-            if (pausedSince != 0) {
-                return IDLE_MS;
+            if (pausedSinceNanos != 0) {
+                return IDLE_TIMEOUT_MS;
             }
-            long took = (System.nanoTime() - bodySince - pausedNanos) / 1_000_000;
-            return Math.min(STILL_MS, STILL_MS + bodyBytes / RATE - took);
+            long elapsedMs = (System.nanoTime() - bodyStartNanos - pausedNanos) / 1_000_000;
+            return Math.min(BODY_STALL_MS, BODY_STALL_MS + bodyBytes / MIN_BODY_BYTES_PER_MS - elapsedMs);
         }
 
         /**
-         * How long a head that has begun to come may yet take, in milliseconds; not positive if none has or it took too
-         * long.
+         * Remaining time for a partly received head, in milliseconds; not positive if there is none or its time is
+         * over.
          */
-        private synchronized long headMs() {
-            return receiving && heard && bodySince == 0 ? REQUEST_MS - ageMs() : 0;
+        private synchronized long remainingHeadMs() {
+            return receivingRequest && inputReceived && bodyStartNanos == 0 ? HEAD_TIMEOUT_MS - requestAgeMs() : 0;
         }
 
         /**
-         * How long a body that comes may yet stand still, in milliseconds; not positive if none comes or it was too
-         * slow.
+         * How long an arriving body may still stall, in milliseconds; not positive if there is none or it is too slow.
          */
-        synchronized long bodyMs() {
-            return !receiving || bodySince == 0 || pausedSince != 0
+        synchronized long remainingBodyMs() {
+            return !receivingRequest || bodyStartNanos == 0 || pausedSinceNanos != 0
                     ? 0
-                    : Math.min(patienceMs(), STILL_MS - (System.nanoTime() - bodyMoved) / 1_000_000);
+                    : Math.min(remainingMs(), BODY_STALL_MS - (System.nanoTime() - bodyProgressNanos) / 1_000_000);
         }
 
-        /** A long answer goes out: the client's reading is awaited. */
-        void passing() {
-            session.setSocketTimeout(Timeout.ofMilliseconds(UNREAD_MS));
+        /** A streamed response has begun: the client has to read it in time. */
+        void streamingStarted() {
+            session.setSocketTimeout(Timeout.ofMilliseconds(RESPONSE_STALL_MS));
         }
 
-        /** An answer's last byte is on its way. */
-        void answered() {
-            if (last) {
-                ending();
-            } else if (!receiving) {
-                session.setSocketTimeout(Timeout.ofMilliseconds(IDLE_MS));
+        /** The last byte of a response was passed to HttpCore. */
+        void responseProduced() {
+            if (noMoreRequests) {
+                startFinalLinger();
+            } else if (!receivingRequest) {
+                session.setSocketTimeout(Timeout.ofMilliseconds(IDLE_TIMEOUT_MS));
             }
         }
 
-        /** Ends the connection if an answer in pieces is to be cut, where the client can tell; on the I/O thread. */
-        boolean endsCut() {
-            SessionHandler handler = latest;
-            if (!cut || handler == null || !handler.passes()) {
+        /**
+         * Closes the connection if its streamed response is to be aborted, so that the client can tell; on the I/O
+         * thread.
+         */
+        boolean closeIfAborting() {
+            SessionHandler handler = latestHandler;
+            if (!abortResponse || handler == null || !handler.streamingResponse()) {
                 return false;
             }
             session.close(CloseMode.GRACEFUL);
             return true;
         }
 
-        long ageMs() {
-            return (System.nanoTime() - since) / 1_000_000;
+        long requestAgeMs() {
+            return (System.nanoTime() - requestStartNanos) / 1_000_000;
         }
 
-        /** Ends the connection after the answer that is due; what the client still sends is dropped. */
-        void refuse() {
-            last = true;
-            ending();
+        /** Closes the connection after the pending response; further input is discarded. */
+        void closeAfterResponse() {
+            noMoreRequests = true;
+            startFinalLinger();
         }
 
-        private void ending() {
-            lastGiven = System.nanoTime();
-            session.setSocketTimeout(Timeout.ofMilliseconds(LINGER_MS));
+        private void startFinalLinger() {
+            lastResponseNanos = System.nanoTime();
+            session.setSocketTimeout(Timeout.ofMilliseconds(FINAL_RESPONSE_LINGER_MS));
         }
 
-        /** A request has come whole: from here on the balancer, not the client, is awaited. */
-        void received() {
-            receiving = false;
-            bodySince = 0;
-            session.setSocketTimeout(Timeout.ofMilliseconds(IDLE_MS));
+        /** The request is complete: from here on the balancer, not the client, has to act. */
+        void requestReceived() {
+            receivingRequest = false;
+            bodyStartNanos = 0;
+            session.setSocketTimeout(Timeout.ofMilliseconds(IDLE_TIMEOUT_MS));
         }
     }
 
-    /** How much a connection is needed where room is short, the least first. */
-    enum Need {
-        /** Shut down, and held open for what its client may still send. */
-        SHUT,
-        /** Nothing came for a while. */
+    /** Priority of keeping a connection when file descriptors are short, lowest first. */
+    enum Priority {
+        /** Shut down, kept open only to discard what the client still sends. */
+        LINGERING,
+        /** No input was received for a while after connecting. */
         SILENT,
-        /** Its last answer is long over. */
-        RESTING,
-        /** Its last answer is over. */
-        ANSWERED,
-        /** Just accepted. */
+        /** Idle for a long time after its last response. */
+        LONG_IDLE,
+        /** Idle since its last response. */
+        IDLE,
+        /** Accepted a moment ago, without input yet. */
         NEW,
-        /** Half a head has come, and not its end for a while. */
-        HALF,
-        /** An answer, or what has begun to come is waited for. */
-        OWED
+        /** A partial head was received and did not complete for a while. */
+        PARTIAL_HEAD,
+        /** A request is arriving or its response is owed. */
+        BUSY
     }
 
     private final State state;
-    private LingeringSession ending;
-    private boolean spoilt;
+    private LingeringSession lingeringSession;
+    private boolean badInputCounted;
 
-    private ClientConnection(State state, Callback<Exception> onFault) {
+    private ClientConnection(State state, Callback<Exception> onException) {
         super(
                 new ServerHttp1StreamDuplexer(
                         state.session,
                         PROCESSOR,
                         (request, context) -> {
                             SessionHandler handler = new SessionHandler(state);
-                            state.latest = handler;
-                            return new BasicAsyncServerExpectationDecorator(handler, onFault);
+                            state.latestHandler = handler;
+                            return new BasicAsyncServerExpectationDecorator(handler, onException);
                         },
                         "http",
-                        LIMITS,
+                        HTTP_CONFIG,
                         CharCodingConfig.DEFAULT,
                         DefaultConnectionReuseStrategy.INSTANCE,
-                        new RequestGuard(state),
+                        new RequestHeadParser(state),
                         DefaultHttpResponseWriterFactory.INSTANCE.create(),
                         DefaultContentLengthStrategy.INSTANCE,
                         DefaultContentLengthStrategy.INSTANCE,
                         null,
-                        onFault) {
+                        onException) {
                     @Override
                     protected ContentDecoder createContentDecoder(
                             long length,
@@ -273,57 +288,59 @@
                     }
                 });
         this.state = state;
-        state.session.setSocketTimeout(Timeout.ofMilliseconds(REQUEST_MS));
+        state.session.setSocketTimeout(Timeout.ofMilliseconds(HEAD_TIMEOUT_MS));
     }
 
-    static ClientConnection on(ProtocolIOSession session, Frontend frontend, Callback<Exception> onFault) {
-        return new ClientConnection(new State(frontend, session), onFault);
+    static ClientConnection create(ProtocolIOSession session, Frontend frontend, Callback<Exception> onException) {
+        return new ClientConnection(new State(frontend, session), onException);
     }
 
     @Override
     public void connected(IOSession session) throws IOException {
-        ending = (LingeringSession) session;
+        lingeringSession = (LingeringSession) session;
         super.connected(session);
         state.frontend.opened(this);
     }
 
     /**
-     * Guards against work for a client that has gone: HttpCore takes the end of its input for a half-closed connection
-     * and waits for the answer to be written. Ending the connection tells the session's handler.
+     * Detects a client that disconnected, so that no work is done for it: HttpCore treats the end of input as a
+     * half-closed connection and waits until the response is written. Closing the connection notifies the session
+     * handler.
      */
     @Override
     public void inputReady(IOSession session, ByteBuffer source) throws IOException {
-        if (state.last) {
-            drop((LingeringSession) session);
+        if (state.noMoreRequests) {
+            discardInput((LingeringSession) session);
             return;
         }
-        if (!state.receiving && !state.owesAnswer()) {
-            state.receiving = true;
-            state.since = System.nanoTime();
-            state.bodySince = 0;
+        if (!state.receivingRequest && !state.owesResponse()) {
+            state.receivingRequest = true;
+            state.requestStartNanos = System.nanoTime();
+            state.bodyStartNanos = 0;
         }
-        state.heard = true;
+        state.inputReceived = true;
         super.inputReady(session, source);
-        if (state.receiving) {
-            // Guards against a client that sends a byte now and then: HttpCore's own time-out starts anew with each.
-            long left = state.patienceMs();
-            if (left <= 0) {
+        if (state.receivingRequest) {
+            // HttpCore's own timeout restarts with every byte, so a client that sends a byte now and then would never
+            // time out.
+            long remainingMs = state.remainingMs();
+            if (remainingMs <= 0) {
                 close(Counter.CLIENTS_CLOSED_SLOW);
             } else {
-                session.setSocketTimeout(Timeout.ofMilliseconds(left));
+                session.setSocketTimeout(Timeout.ofMilliseconds(remainingMs));
             }
         }
-        if (!isOpen() && state.owesAnswer()) {
+        if (!isOpen() && state.owesResponse()) {
             session.close(CloseMode.IMMEDIATE);
         }
     }
 
     /**
-     * Reads on for the client's end, which nobody sees on a connection that is not read: a session it leaves behind
-     * would be sent on. What comes is no request and is dropped.
+     * Keeps reading to notice when the client closes, which is not seen on a connection that is not read; otherwise its
+     * session would still be dispatched. The input is discarded.
      */
-    private void drop(LingeringSession session) throws IOException {
-        switch (session.discardInput(state.owesAnswer())) {
+    private void discardInput(LingeringSession session) throws IOException {
+        switch (session.discardInput(state.owesResponse())) {
             case RESET -> {
                 if (session.discardLimitExceeded()) {
                     state.frontend.counters().count(Counter.CLIENTS_CLOSED_FLOODING);
@@ -332,8 +349,10 @@
             }
             case NONE -> session.clearEvent(EventMask.READ);
             default -> {
-                // Guards against a client that sends on for ever: HttpCore's own time-out starts anew with each byte.
-                if (state.lastGiven != 0 && (System.nanoTime() - state.lastGiven) / 1_000_000 >= LINGER_MS) {
+                // HttpCore's own timeout restarts with every byte, so a client that keeps sending would never time
+                // out.
+                if (state.lastResponseNanos != 0
+                        && (System.nanoTime() - state.lastResponseNanos) / 1_000_000 >= FINAL_RESPONSE_LINGER_MS) {
                     session.close(CloseMode.GRACEFUL);
                 }
             }
@@ -341,17 +360,17 @@
     }
 
     /**
-     * What can't be read behind a head has no answer to come in: the connection ends, with a count. A client that is
-     * gone is none.
+     * A malformed body cannot be answered: the connection is closed and the error counted. A disconnected client is not
+     * an error.
      */
     @Override
     public void exception(IOSession session, Exception cause) {
-        if (state.receiving
-                && !spoilt
+        if (state.receivingRequest
+                && !badInputCounted
                 && !(cause instanceof SocketException
                         || cause instanceof ClosedChannelException
                         || cause instanceof ConnectionClosedException)) {
-            spoilt = true;
+            badInputCounted = true;
             state.frontend.counters().count(Counter.SESSIONS_BAD_INPUT);
         }
         super.exception(session, cause);
@@ -359,37 +378,40 @@
 
     @Override
     public void timeout(IOSession session, Timeout timeout) throws IOException {
-        if (state.endsCut()) {
+        if (state.closeIfAborting()) {
             return;
         }
-        if (!state.last && !state.owesAnswer() && bytesWait()) {
-            // They are read next, and answered.
-            state.session.setSocketTimeout(Timeout.ofMilliseconds(IDLE_MS));
+        if (!state.noMoreRequests && !state.owesResponse() && hasUnreadInput()) {
+            // The pending input is read next and the request answered.
+            state.session.setSocketTimeout(Timeout.ofMilliseconds(IDLE_TIMEOUT_MS));
             return;
         }
-        long left = Math.max(state.headMs(), state.bodyMs());
-        if (left > 0) {
-            // Guards against the end of idle connections that crosses a request half of which has come: its own time
-            // runs.
-            session.setSocketTimeout(Timeout.ofMilliseconds(left));
+        long remainingMs = Math.max(state.remainingHeadMs(), state.remainingBodyMs());
+        if (remainingMs > 0) {
+            // A partly received request keeps its own timeout, even if the connection is asked to close as idle at
+            // the same time.
+            session.setSocketTimeout(Timeout.ofMilliseconds(remainingMs));
             return;
         }
-        SessionHandler handler = state.latest;
-        if (state.receiving && state.pausedSince != 0) {
+        SessionHandler handler = state.latestHandler;
+        if (state.receivingRequest && state.pausedSinceNanos != 0) {
             return;
         }
-        if (handler != null && handler.clientStalls() || state.receiving && state.owesAnswer()) {
-            // It does not read its answer, or has stopped in the middle of its body; ending the connection tells the
+        if (handler != null && handler.clientStalled() || state.receivingRequest && state.owesResponse()) {
+            // The client does not read its response or stopped sending its body; closing the connection notifies the
             // session.
             state.frontend.counters().count(Counter.CLIENTS_CLOSED_SLOW);
             session.close(CloseMode.IMMEDIATE);
         } else if (!state.busy()) {
-            close(state.receiving ? Counter.CLIENTS_CLOSED_SLOW : Counter.CLIENTS_CLOSED_IDLE);
+            close(state.receivingRequest ? Counter.CLIENTS_CLOSED_SLOW : Counter.CLIENTS_CLOSED_IDLE);
         }
     }
 
-    /** Guards against a request that crosses the connection's end: true if bytes have come that were not read yet. */
-    boolean bytesWait() {
+    /**
+     * Whether input was received that is not read yet. Checked before closing, so that a request that arrives at the
+     * same time is not lost.
+     */
+    boolean hasUnreadInput() {
         try {
             return ((SocketChannel) state.session.channel())
                             .socket()
@@ -401,63 +423,71 @@
         }
     }
 
-    /** A request's body comes, and in time. */
-    boolean bodyComes() {
-        return state.bodyMs() > 0;
+    /** Whether a request body is arriving in time. */
+    boolean receivingBody() {
+        return state.remainingBodyMs() > 0;
     }
 
-    /** Asks the I/O thread to end it if nothing is asked or owed on it; any thread may call. */
-    void endIfIdle() {
-        Need need = need();
-        if (need != Need.SHUT && need.compareTo(Need.NEW) < 0) {
+    /** Asks the I/O thread to close the connection if no request is open on it; any thread may call. */
+    void closeIfIdle() {
+        Priority priority = priority();
+        if (priority != Priority.LINGERING && priority.compareTo(Priority.NEW) < 0) {
             state.session.setSocketTimeout(Timeout.ONE_MILLISECOND);
         }
     }
 
     /**
-     * Asks the I/O thread to end an answer in pieces that is not out yet, and with it the connection; any thread may
+     * Asks the I/O thread to abort a streamed response that is not finished, by closing the connection; any thread may
      * call.
      */
-    void cutAnswer() {
-        SessionHandler handler = state.latest;
-        if (handler != null && handler.passes()) {
-            state.cut = true;
+    void abortStreamedResponse() {
+        SessionHandler handler = state.latestHandler;
+        if (handler != null && handler.streamingResponse()) {
+            state.abortResponse = true;
             state.session.setSocketTimeout(Timeout.ONE_MILLISECOND);
         }
     }
 
-    Need need() {
-        if (ending.lingering()) {
-            return Need.SHUT;
-        }
-        if (state.receiving && !state.owesAnswer() && (state.latest == null || state.headMs() > 0)) {
-            boolean young = state.ageMs() < SILENT_MS;
-            return state.heard ? young ? Need.OWED : Need.HALF : young ? Need.NEW : Need.SILENT;
-        }
-        long idle = idleMs();
-        return idle >= RESTING_MS ? Need.RESTING : idle >= SETTLE_MS ? Need.ANSWERED : Need.OWED;
+    Priority priority() {
+        if (lingeringSession.lingering()) {
+            return Priority.LINGERING;
+        }
+        if (state.receivingRequest
+                && !state.owesResponse()
+                && (state.latestHandler == null || state.remainingHeadMs() > 0)) {
+            boolean recent = state.requestAgeMs() < NEW_CONNECTION_MS;
+            return state.inputReceived
+                    ? recent ? Priority.BUSY : Priority.PARTIAL_HEAD
+                    : recent ? Priority.NEW : Priority.SILENT;
+        }
+        long idleMs = idleMs();
+        return idleMs >= LONG_IDLE_MS
+                ? Priority.LONG_IDLE
+                : idleMs >= RESPONSE_SETTLE_MS ? Priority.IDLE : Priority.BUSY;
     }
 
-    /** Ends it for another one, which needs its descriptor now. */
-    void makeRoom() {
+    /** Closes the connection to free its file descriptor for another one. */
+    void closeForDescriptor() {
         state.frontend.counters().count(Counter.CLIENTS_CLOSED_FOR_ROOM);
-        ending.closeNow();
+        lingeringSession.closeNow();
     }
 
-    /** How long nothing was asked or owed on it; negative while something is. */
+    /** How long no request was open on the connection; negative while one is. */
     long idleMs() {
-        return state.receiving || state.busy() ? -1 : System.currentTimeMillis() - state.session.getLastEventTime();
+        return state.receivingRequest || state.busy()
+                ? -1
+                : System.currentTimeMillis() - state.session.getLastEventTime();
     }
 
-    void close(Counter why) {
-        state.frontend.counters().count(why);
+    void close(Counter counter) {
+        state.frontend.counters().count(counter);
         state.session.close(CloseMode.GRACEFUL);
     }
 
     @Override
     public void disconnected(IOSession session) {
-        // A connection that is shut holds its descriptor until it is closed, and is counted as long.
-        if (!(session instanceof LingeringSession shut && shut.lingering())) {
+        // A lingering connection holds its descriptor until it is closed, so it counts until then.
+        if (!(session instanceof LingeringSession lingering && lingering.lingering())) {
             state.frontend.closed(this);
         }
         super.disconnected(session);
--- a/balancer/src/main/java/calicochute/frontend/Frontend.java
+++ b/balancer/src/main/java/calicochute/frontend/Frontend.java
@@ -22,33 +22,35 @@
 import org.apache.hc.core5.function.Callback;
 import org.apache.hc.core5.reactor.IOEventHandlerFactory;
 
-/** The clients' side: an HTTP server whose requests become exchanges. One I/O thread carries all connections. */
+/** The client side: an HTTP server whose requests become exchanges. One I/O thread serves all connections. */
 public final class Frontend implements AutoCloseable {
-    private static final String READY = "/ready";
-    private static final String COUNTERS = "/counters";
+    private static final String READY_PATH = "/ready";
+    private static final String COUNTERS_PATH = "/counters";
     private static final int BACKLOG = 1024;
-    private final SessionReader reader;
+    private final SessionParser parser;
     private final DecisionQueue clock;
     private final SessionListener sessions;
     private final Counters counters;
     private final BooleanSupplier ready;
-    private final Callback<Exception> onFault = e -> Log.info("client-connection", String.valueOf(e.getMessage()));
+    private final Callback<Exception> onException = e -> Log.info("client-connection", String.valueOf(e.getMessage()));
     private final InetSocketAddress address;
     private final ServerSocketChannel inherited;
-    private volatile ConnectionAcceptor listening;
-    private final int most;
-    private final Room room;
-    private final int window;
-    private final ReadAhead readAhead;
-    private final ResetWatch resets;
-    /** Clients' connections, the oldest first. */
+    private volatile ConnectionAcceptor acceptor;
+    private final int maxConnections;
+    private final ConnectionLimit connectionLimit;
+    private final int windowBytes;
+    private final ReadAheadBudget readAhead;
+    private final ResetDetector resetDetector;
+    /** Open client connections, oldest first. */
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-    private volatile int connected;
+    private volatile int openConnections;
     private final Supplier<Presence> presence;
 
     /**
-     * @param inherited the socket that listens for clients already, or null to listen at the configuration's address
+     * Creates a frontend that does not listen yet.
+     *
+     * @param inherited an already listening socket, or null to listen at the configured address
      */
     public Frontend(
             Configuration configuration,
@@ -60,83 +62,83 @@
             Supplier<Presence> presence,
             Supplier<Succession> settings)
             throws IOException {
-        reader = new SessionReader(settings);
+        parser = new SessionParser(settings);
         this.clock = clock;
         this.sessions = sessions;
         this.counters = counters;
         this.ready = ready;
         this.presence = presence;
-        most = configuration.bounds().clientConnections();
-        room = new Room(most);
-        window = configuration.bounds().window();
-        readAhead = new ReadAhead(configuration.bounds().ahead());
-        resets = new ResetWatch(clock);
+        maxConnections = configuration.bounds().clientConnections();
+        connectionLimit = new ConnectionLimit(maxConnections);
+        windowBytes = configuration.bounds().window();
+        readAhead = new ReadAheadBudget(configuration.bounds().ahead());
+        resetDetector = new ResetDetector(clock);
         address = configuration.listen();
         this.inherited = inherited;
     }
 
-    /** Starts to listen and returns the address in use. */
+    /** Starts listening and returns the bound address. */
     public InetSocketAddress start() throws IOException {
-        IOEventHandlerFactory handlers = (session, attachment) -> ClientConnection.on(session, this, onFault);
-        listening = inherited == null
+        IOEventHandlerFactory handlers = (session, attachment) -> ClientConnection.create(session, this, onException);
+        acceptor = inherited == null
                 ? ConnectionAcceptor.bind(
-                        address, BACKLOG, most + Bounds.AHEAD, "frontend", handlers, onFault, counters)
-                : ConnectionAcceptor.adopt(inherited, most + Bounds.AHEAD, "frontend", handlers, onFault, counters);
-        listening.onDescriptorShortage(this::lacking);
-        return listening.start();
+                        address, BACKLOG, maxConnections + Bounds.AHEAD, "frontend", handlers, onException, counters)
+                : ConnectionAcceptor.adopt(
+                        inherited, maxConnections + Bounds.AHEAD, "frontend", handlers, onException, counters);
+        acceptor.onDescriptorShortage(this::handleDescriptorShortage);
+        return acceptor.start();
     }
 
-    /** Takes no more connections; what is being answered goes on to its end. */
+    /** Stops accepting connections; open requests are answered. */
     public void stopAccepting() throws InterruptedException {
-        listening.stopAccepting();
+        acceptor.stopAccepting();
     }
 
-    /**
-     * Has each connection looked at on which nothing is asked or owed: its I/O thread ends it if nothing has come in.
-     */
-    public synchronized void endIdle() {
-        connections.forEach(ClientConnection::endIfIdle);
+    /** Asks the I/O thread to close each connection that has no open request and no pending input. */
+    public synchronized void closeIdle() {
+        connections.forEach(ClientConnection::closeIfIdle);
     }
 
-    /** Ends each answer in pieces that its client has not taken yet, unfinished, where the client can tell. */
-    public synchronized void cutAnswers() {
-        connections.forEach(ClientConnection::cutAnswer);
+    /** Aborts each streamed response that is not finished, by closing its connection. */
+    public synchronized void abortStreamedResponses() {
+        connections.forEach(ClientConnection::abortStreamedResponse);
     }
 
     @Override
     public void close() {
-        listening.close();
-        resets.close();
+        acceptor.close();
+        resetDetector.close();
     }
 
-    boolean answersItself(String path) {
-        return path.equals(READY) || path.equals(COUNTERS);
+    /** Whether the frontend answers this path itself instead of dispatching a session. */
+    boolean isOwnPath(String path) {
+        return path.equals(READY_PATH) || path.equals(COUNTERS_PATH);
     }
 
-    /** The text of a page of our own; null while not ready. */
-    String page(String path) {
-        return path.equals(COUNTERS)
+    /** The text of one of the frontend's own pages; null for the readiness page while not ready. */
+    String ownPage(String path) {
+        return path.equals(COUNTERS_PATH)
                 ? counters.text()
                 : ready.getAsBoolean() && presence.get().ready() ? "ready\n" : null;
     }
 
-    /** How far ahead of its server a long request is read. */
-    int window() {
-        return window;
+    /** How many bytes of a streamed request are read ahead of its server. */
+    int windowBytes() {
+        return windowBytes;
     }
 
-    /** What may be read beyond that while no server has been given anything. */
-    ReadAhead readAhead() {
+    /** Budget for reading beyond the window while no server has received part of the request. */
+    ReadAheadBudget readAhead() {
         return readAhead;
     }
 
-    /** Sees resets where nothing is read. */
-    ResetWatch resets() {
-        return resets;
+    /** Detects resets on connections that are not being read. */
+    ResetDetector resetDetector() {
+        return resetDetector;
     }
 
-    SessionReader reader() {
-        return reader;
+    SessionParser parser() {
+        return parser;
     }
 
     long now() {
@@ -152,33 +154,33 @@
     }
 
     /**
-     * Counts a client's connection in, and ends another one if there are too many; the newcomer itself only above what
-     * was promised: where descriptors are fewer it has its own already.
+     * Registers a connection and closes another one if there are too many. The new connection itself is closed only
+     * above the configured maximum: when descriptors are short it already has its own.
      */
     synchronized void opened(ClientConnection connection) {
         counters.count(Counter.CLIENTS_ACCEPTED);
         connections.add(connection);
-        connected = connections.size();
-        if (connected > room.at(now())) {
-            ClientConnection least = leastNeeded(Set.of(connection));
-            if (least != null) {
-                least.makeRoom();
-            } else if (connected > most) {
-                connection.makeRoom();
+        openConnections = connections.size();
+        if (openConnections > connectionLimit.limitAt(now())) {
+            ClientConnection candidate = lowestPriority(Set.of(connection));
+            if (candidate != null) {
+                candidate.closeForDescriptor();
+            } else if (openConnections > maxConnections) {
+                connection.closeForDescriptor();
             }
         }
     }
 
     /**
-     * Something could not be opened or accepted; any thread may say so. If it is for lack of descriptors the clients
-     * that are least needed end; true if one may soon be had.
+     * Called when something could not be opened or accepted; any thread may call. If file descriptors are exhausted,
+     * closes the connections of the lowest priority; returns true if a descriptor may soon be free.
      */
-    public boolean lacking() {
-        return outOfDescriptors() && makeRoom();
+    public boolean handleDescriptorShortage() {
+        return descriptorsExhausted() && freeDescriptors();
     }
 
-    /** The exception's own text depends on the language of the system. */
-    private static boolean outOfDescriptors() {
+    /** Tests this directly because the text of the exception depends on the system's language. */
+    private static boolean descriptorsExhausted() {
         try {
             SocketChannel.open().close();
             return false;
@@ -187,59 +189,65 @@
         }
     }
 
-    /** Descriptors lack: true if some will soon be free. */
-    synchronized boolean makeRoom() {
-        if (!room.lacks(now(), connected)) {
+    /** Frees descriptors; returns true if some will soon be free. */
+    synchronized boolean freeDescriptors() {
+        if (!connectionLimit.reduceOnShortage(now(), openConnections)) {
             return true;
         }
-        Set<ClientConnection> ended = new HashSet<>();
-        for (int over = connected - room.at(now()); over > 0; over--) {
-            ClientConnection least = leastNeeded(ended);
-            if (least == null) {
+        Set<ClientConnection> closed = new HashSet<>();
+        for (int excess = openConnections - connectionLimit.limitAt(now()); excess > 0; excess--) {
+            ClientConnection candidate = lowestPriority(closed);
+            if (candidate == null) {
                 break;
             }
-            least.makeRoom();
-            ended.add(least);
+            candidate.closeForDescriptor();
+            closed.add(candidate);
         }
-        Log.warn("descriptors-lacking", "clients=" + connected + " ended=" + ended.size());
-        return !ended.isEmpty();
+        Log.warn("descriptors-lacking", "clients=" + openConnections + " ended=" + closed.size());
+        return !closed.isEmpty();
     }
 
     synchronized void closed(ClientConnection connection) {
         connections.remove(connection);
-        connected = connections.size();
+        openConnections = connections.size();
     }
 
     /**
-     * Guards against descriptors running out: the one least needed, of equal ones the one that has been so the longest;
-     * never one that is owed an answer, nor one of those. Null if there is none.
+     * The connection to close when descriptors are short: the one of the lowest priority, of equal ones the one idle
+     * the longest. Connections that are busy or excluded are never chosen; null if there is no other.
      */
-    private ClientConnection leastNeeded(Set<ClientConnection> but) {
-        ClientConnection least = null;
-        ClientConnection.Need need = ClientConnection.Need.OWED;
+    private ClientConnection lowestPriority(Set<ClientConnection> excluded) {
+        ClientConnection candidate = null;
+        ClientConnection.Priority candidatePriority = ClientConnection.Priority.BUSY;
         for (ClientConnection connection : connections) {
-            ClientConnection.Need other = but.contains(connection) ? ClientConnection.Need.OWED : connection.need();
-            // Bytes that wait are half a request as well: looked for only where it matters.
-            boolean less =
-                    other == need ? least != null && connection.idleMs() > least.idleMs() : other.compareTo(need) < 0;
-            if (less && (other == ClientConnection.Need.SHUT || !connection.bytesWait())) {
-                least = connection;
-                need = other;
+            ClientConnection.Priority priority =
+                    excluded.contains(connection) ? ClientConnection.Priority.BUSY : connection.priority();
+            // Unread input is a partial request too; checked last because it needs a system call.
+            boolean preferred = priority == candidatePriority
+                    ? candidate != null && connection.idleMs() > candidate.idleMs()
+                    : priority.compareTo(candidatePriority) < 0;
+            if (preferred && (priority == ClientConnection.Priority.LINGERING || !connection.hasUnreadInput())) {
+                candidate = connection;
+                candidatePriority = priority;
             }
         }
-        return least;
+        return candidate;
     }
 
-    public int connected() {
-        return connected;
+    /** Number of open client connections, lingering ones included. */
+    public int openConnections() {
+        return openConnections;
     }
 
-    boolean endsIdle() {
+    boolean closesIdleConnections() {
         return presence.get().endsIdle(now());
     }
 
-    /** Whether an answer is to be its connection's last: at the end, and when room is getting short. */
-    boolean closing() {
-        return presence.get().lastAnswers() || connected > room.at(now()) * 3 / 4;
+    /**
+     * Whether responses close their connections: while the process stops, and above three quarters of the connection
+     * limit.
+     */
+    boolean closesAfterResponse() {
+        return presence.get().lastAnswers() || openConnections > connectionLimit.limitAt(now()) * 3 / 4;
     }
 }
--- a/balancer/src/main/java/calicochute/frontend/RequestGuard.java
+++ b/balancer/src/main/java/calicochute/frontend/RequestHeadParser.java
@@ -19,15 +19,16 @@
 import org.apache.hc.core5.http.nio.NHttpMessageParser;
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 
-/** Reads the heads of requests on one client's connection, and none that could be read in two ways. */
-final class RequestGuard implements NHttpMessageParser<HttpRequest> {
-    private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
-    private static final int HEAD_LIMIT = 2 * Bounds.LINE;
+/** Parses request heads on one client connection and rejects ambiguous ones. */
+final class RequestHeadParser implements NHttpMessageParser<HttpRequest> {
+    private static final Pattern CONTENT_LENGTH = Pattern.compile("[0-9]{1,18}");
+    /** Longest request head, in bytes. */
+    private static final int MAX_HEAD_BYTES = 2 * Bounds.LINE;
     /**
-     * A path as it came: HttpCore's own factory takes the first part of one that begins with // for a host, and leaves
-     * it out.
+     * Keeps the request target unchanged: HttpCore's own factory takes the first segment of a target that starts with
+     * // for a host and drops it.
      */
-    private static final HttpRequestFactory<HttpRequest> AS_IT_CAME = new DefaultHttpRequestFactory() {
+    private static final HttpRequestFactory<HttpRequest> RAW_TARGET_FACTORY = new DefaultHttpRequestFactory() {
         @Override
         public HttpRequest newHttpRequest(String method, String target) {
             return target.startsWith("/")
@@ -37,11 +38,11 @@
     };
 
     private final NHttpMessageParser<HttpRequest> parser = new CompleteHeadParser<>(
-            new DefaultHttpRequestParserFactory(ClientConnection.LIMITS, AS_IT_CAME, null).create());
+            new DefaultHttpRequestParserFactory(ClientConnection.HTTP_CONFIG, RAW_TARGET_FACTORY, null).create());
     private final ClientConnection.State state;
     private int headBytes;
 
-    RequestGuard(ClientConnection.State state) {
+    RequestHeadParser(ClientConnection.State state) {
         this.state = state;
     }
 
@@ -53,54 +54,55 @@
 
     @Override
     public HttpRequest parse(SessionInputBuffer buffer, boolean endOfStream) throws IOException, HttpException {
-        // Guards against requests by the hundred on one connection: clients have one open at a time, so what comes
-        // before its answer is dropped, and the connection ends with that answer.
-        if (state.last || buffer.hasData() && state.owesAnswer()) {
-            state.last = true;
+        // Clients have one request open at a time. Pipelined requests would let one connection open hundreds, so
+        // input before the response is discarded and the connection closes after that response.
+        if (state.noMoreRequests || buffer.hasData() && state.owesResponse()) {
+            state.noMoreRequests = true;
             return null;
         }
-        int before = buffer.length();
+        int bytesBefore = buffer.length();
         try {
             HttpRequest request = parser.parse(buffer, endOfStream);
-            headBytes += before - buffer.length();
-            if (headBytes > HEAD_LIMIT) {
-                throw new RequestHeaderFieldsTooLargeException("head over " + HEAD_LIMIT + " bytes");
+            headBytes += bytesBefore - buffer.length();
+            if (headBytes > MAX_HEAD_BYTES) {
+                throw new RequestHeaderFieldsTooLargeException("head over " + MAX_HEAD_BYTES + " bytes");
             }
             if (request != null) {
                 check(request);
             }
             return request;
         } catch (MessageConstraintException e) {
-            throw refused(new RequestHeaderFieldsTooLargeException(e.getMessage()));
+            throw rejected(new RequestHeaderFieldsTooLargeException(e.getMessage()));
         } catch (HttpException e) {
-            throw refused(e);
+            throw rejected(e);
         }
     }
 
-    private HttpException refused(HttpException e) {
-        state.refuse();
+    private HttpException rejected(HttpException e) {
+        state.closeAfterResponse();
         state.frontend.counters().count(Counter.SESSIONS_BAD_INPUT);
-        Log.warn("bad-input", "unreadable: " + e.getMessage());
+        Log.warn("bad-input", "malformed request: " + e.getMessage());
         return e;
     }
 
     /**
-     * Guards against a request within a request: where two readers may differ on a body's end, the second one would
-     * take what is left for a request of its own.
+     * Prevents request smuggling: if two parsers disagree on where a body ends, the second one reads the rest as
+     * another request.
      */
     private static void check(HttpRequest request) throws ProtocolException {
         if (!request.getPath().startsWith("/") || request.getScheme() != null && request.getAuthority() == null) {
             throw new ProtocolException("the target is neither a path nor a URL");
         }
         Header[] lengths = request.getHeaders("Content-Length");
-        Header[] codings = request.getHeaders("Transfer-Encoding");
-        if (lengths.length + codings.length > 1) {
+        Header[] transferEncodings = request.getHeaders("Transfer-Encoding");
+        if (lengths.length + transferEncodings.length > 1) {
             throw new ProtocolException("more than one length");
         }
-        if (lengths.length == 1 && !LENGTH.matcher(lengths[0].getValue()).matches()) {
+        if (lengths.length == 1
+                && !CONTENT_LENGTH.matcher(lengths[0].getValue()).matches()) {
             throw new ProtocolException("Content-Length is no length");
         }
-        if (codings.length == 1 && !codings[0].getValue().equalsIgnoreCase("chunked")) {
+        if (transferEncodings.length == 1 && !transferEncodings[0].getValue().equalsIgnoreCase("chunked")) {
             throw new ProtocolException("Transfer-Encoding is not chunked");
         }
         for (Header header : request.getHeaders()) {
--- a/balancer/src/main/java/calicochute/frontend/SessionHandler.java
+++ b/balancer/src/main/java/calicochute/frontend/SessionHandler.java
@@ -31,84 +31,84 @@
 import org.apache.hc.core5.io.CloseMode;
 
 /**
- * One request on a client's connection: hands it over as an exchange, whole if it is short and in pieces if not, and
- * writes the answer likewise.
+ * One request on a client connection: passes it on as an exchange, buffered if it is short and streamed if it is long,
+ * and writes the response the same way.
  */
-final class SessionHandler implements AsyncServerExchangeHandler, ResponseSender, ResetWatch.Watched {
-    /** In seconds, as precise as it is written: rounded to 0 it would say to come back at once. */
-    private static final double LEAST_AWAY = 0.001;
+final class SessionHandler implements AsyncServerExchangeHandler, ResponseSender, ResetDetector.Watcher {
+    /** The smallest Retry-After that three decimals can express; 0 would ask for an immediate retry. */
+    private static final double MIN_RETRY_AFTER_SECONDS = 0.001;
 
     private final ClientConnection.State connection;
     private final Frontend frontend;
-    private final Pipe body = new Pipe();
-    private final AtomicLong granted = new AtomicLong();
-    private final ReadAhead.Part beyond;
+    private final Pipe requestBody = new Pipe();
+    private final AtomicLong grantedBytes = new AtomicLong();
+    private final ReadAheadBudget.Share readAheadShare;
     private volatile CapacityChannel capacity;
-    private long declared = -1;
+    private long declaredLength = -1;
     private HttpRequest request;
-    private ResponseChannel channel;
+    private ResponseChannel responseChannel;
     private HttpContext context;
     private volatile Exchange exchange;
-    private volatile boolean answering;
-    private volatile Pipe answer = new Pipe();
-    private boolean hooked;
-    /** An answer in pieces has begun and its end has not been told. */
-    private volatile boolean passing;
+    private volatile boolean responding;
+    private volatile Pipe responseBody = new Pipe();
+    private boolean readyListenerSet;
+    /** Whether a streamed response has begun and its end was not reported yet. */
+    private volatile boolean streamingResponse;
 
-    private volatile boolean produced;
+    private volatile boolean responseProduced;
     private volatile boolean released;
-    private int cutRounds;
+    private int roundsAfterTruncation;
 
     SessionHandler(ClientConnection.State connection) {
         this.connection = connection;
         frontend = connection.frontend;
-        beyond = frontend.readAhead().part();
+        readAheadShare = frontend.readAhead().newShare();
     }
 
     @Override
-    public void handleRequest(HttpRequest head, EntityDetails entity, ResponseChannel out, HttpContext ctx)
+    public void handleRequest(HttpRequest head, EntityDetails entity, ResponseChannel out, HttpContext httpContext)
             throws HttpException, IOException {
         request = head;
-        channel = out;
-        context = ctx;
-        connection.headRead();
+        responseChannel = out;
+        context = httpContext;
+        connection.headReceived();
         if (entity == null) {
-            arrived();
+            completeRequest();
         } else if (entity.getContentLength() > Bounds.LONGEST_BODY) {
-            // At the head: a client that says it will send too much need not do so first.
-            refuse(tooLong());
+            // Rejected at the head, so that the client need not send the body first.
+            reject(bodyTooLong());
         } else {
-            declared = entity.getContentLength();
+            declaredLength = entity.getContentLength();
         }
     }
 
     @Override
-    public void updateCapacity(CapacityChannel to) throws IOException {
-        body.setCreditListener(bytes -> {
-            beyond.keep(body.withheldCredit());
-            grant(to, bytes);
+    public void updateCapacity(CapacityChannel channel) throws IOException {
+        requestBody.setCreditListener(bytes -> {
+            readAheadShare.releaseAllBut(requestBody.withheldCredit());
+            grant(channel, bytes);
         });
-        capacity = to;
-        if (!waits()) {
-            connection.paused(this::windowUsedUp);
-        } else if (!readAhead()) {
-            connection.paused(this::windowUsedUp);
-            frontend.resets().add((SocketChannel) connection.session.channel(), this);
+        capacity = channel;
+        if (!wantsWatching()) {
+            connection.updatePaused(this::windowUsedUp);
+        } else if (!grantReadAhead()) {
+            connection.updatePaused(this::windowUsedUp);
+            frontend.resetDetector().watch((SocketChannel) connection.session.channel(), this);
         }
     }
 
-    /** Nothing of a long body has been handed on yet, and someone waits for its answer. */
+    /** Whether a client waits for the response and no part of the body was passed on yet. */
     @Override
-    public boolean waits() {
-        return exchange != null && exchange.awaitsResponse() && !body.readStarted() && !released;
+    public boolean wantsWatching() {
+        return exchange != null && exchange.awaitsResponse() && !requestBody.readStarted() && !released;
     }
 
     /**
-     * Guards against a dispatch for a client that has gone: as long as none has begun its end has to be seen, and it
-     * comes behind what it had sent before. False if there is no room for more.
+     * Reads further so that a client that disconnects before the first dispatch is noticed: the disconnect is seen only
+     * after all input before it. Returns false if the budget is used up.
      */
-    private boolean readAhead() {
-        int more = beyond.more(body::grantAhead);
+    private boolean grantReadAhead() {
+        int more = readAheadShare.reserveMore(requestBody::grantAhead);
         if (more > 0) {
             grant(capacity, more);
         }
@@ -116,46 +116,46 @@
     }
 
     @Override
-    public void again() {
+    public void polledWithoutReset() {
         if (windowUsedUp()) {
-            readAhead();
+            grantReadAhead();
         }
     }
 
     @Override
-    public void reset() {
+    public void connectionReset() {
         connection.session.close(CloseMode.IMMEDIATE);
     }
 
-    private void grant(CapacityChannel to, int bytes) {
-        granted.addAndGet(bytes);
-        connection.paused(this::windowUsedUp);
+    private void grant(CapacityChannel channel, int bytes) {
+        grantedBytes.addAndGet(bytes);
+        connection.updatePaused(this::windowUsedUp);
         try {
-            to.update(bytes);
+            channel.update(bytes);
         } catch (IOException e) {
             Log.info("client-connection", String.valueOf(e.getMessage()));
         }
     }
 
     private boolean windowUsedUp() {
-        return body.totalBytes() - granted.get() >= Bounds.WINDOW;
+        return requestBody.totalBytes() - grantedBytes.get() >= Bounds.WINDOW;
     }
 
     @Override
     public void consume(ByteBuffer data) throws IOException {
-        connection.bodyRead(data.remaining());
+        connection.bodyReceived(data.remaining());
         try {
-            if (body.totalBytes() + data.remaining() > Bounds.LONGEST_BODY) {
+            if (requestBody.totalBytes() + data.remaining() > Bounds.LONGEST_BODY) {
                 data.position(data.limit());
-                if (answering) {
+                if (responding) {
                     throw new IOException("body over " + Bounds.LONGEST_BODY + " bytes");
                 }
-                refuse(tooLong());
+                reject(bodyTooLong());
             } else {
-                body.put(data);
-                if (exchange == null && !answering && body.totalBytes() > Bounds.BODY) {
-                    body.shrinkWindow(Bounds.WINDOW - frontend.window());
-                    begin(new Body.Streamed(body, declared));
+                requestBody.put(data);
+                if (exchange == null && !responding && requestBody.totalBytes() > Bounds.BODY) {
+                    requestBody.shrinkWindow(Bounds.WINDOW - frontend.windowBytes());
+                    startSession(new Body.Streamed(requestBody, declaredLength));
                 }
             }
         } catch (HttpException e) {
@@ -165,35 +165,35 @@
 
     @Override
     public void streamEnd(List<? extends Header> trailers) throws HttpException, IOException {
-        arrived();
+        completeRequest();
     }
 
-    private static SessionReader.BadInput tooLong() {
-        return new SessionReader.BadInput(413, "body over " + Bounds.LONGEST_BODY + " bytes");
+    private static SessionParser.BadInputException bodyTooLong() {
+        return new SessionParser.BadInputException(413, "body over " + Bounds.LONGEST_BODY + " bytes");
     }
 
-    private void refuse(SessionReader.BadInput e) throws HttpException, IOException {
+    private void reject(SessionParser.BadInputException e) throws HttpException, IOException {
         frontend.counters().count(Counter.SESSIONS_BAD_INPUT);
         Log.warn("bad-input", "status=" + e.status + " " + e.getMessage());
-        // Guards against floods: whoever sends what can't be used starts again on a new connection.
-        connection.refuse();
+        // A client that sends unusable input has to open a new connection, which limits floods.
+        connection.closeAfterResponse();
         respond(e.status, List.of(), (e.getMessage() + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The last byte of the request has come. */
-    private void arrived() throws HttpException, IOException {
-        connection.received();
-        body.complete();
+    /** The last byte of the request was received. */
+    private void completeRequest() throws HttpException, IOException {
+        connection.requestReceived();
+        requestBody.complete();
         if (exchange != null) {
             frontend.sessions().requestCompleted(exchange);
-        } else if (!answering) {
-            begin(new Body.Buffered(body.toByteArray()));
+        } else if (!responding) {
+            startSession(new Body.Buffered(requestBody.toByteArray()));
         }
     }
 
-    private void begin(Body from) throws HttpException, IOException {
-        if (frontend.answersItself(request.getPath())) {
-            String text = frontend.page(request.getPath());
+    private void startSession(Body body) throws HttpException, IOException {
+        if (frontend.isOwnPath(request.getPath())) {
+            String text = frontend.ownPage(request.getPath());
             respond(
                     text == null ? 503 : 200,
                     List.of(),
@@ -201,20 +201,20 @@
             return;
         }
         try {
-            exchange = frontend.reader().read(request, from, frontend.now(), this);
-        } catch (SessionReader.BadInput e) {
-            refuse(e);
+            exchange = frontend.parser().parse(request, body, frontend.now(), this);
+        } catch (SessionParser.BadInputException e) {
+            reject(e);
             return;
         }
         frontend.sessions().sessionStarted(exchange);
     }
 
     @Override
-    public void send(Response given) {
+    public void send(Response response) {
         try {
-            if (given instanceof Response.Served served) {
+            if (response instanceof Response.Served served) {
                 respond(200, served.fields(), served.body());
-            } else if (given instanceof Response.Denied denied) {
+            } else if (response instanceof Response.Denied denied) {
                 respond(
                         503,
                         denied.retryAfterMicros() <= 0
@@ -224,18 +224,18 @@
                                         String.format(
                                                 Locale.ROOT,
                                                 "%.3f",
-                                                Math.max(LEAST_AWAY, denied.retryAfterMicros() / 1e6)))),
+                                                Math.max(MIN_RETRY_AFTER_SECONDS, denied.retryAfterMicros() / 1e6)))),
                         new byte[0]);
-            } else if (given instanceof Response.Failed failed) {
+            } else if (response instanceof Response.Failed failed) {
                 respond(failed.deadlineExceeded() ? 504 : 502, List.of(), new byte[0]);
-            } else if (given instanceof Response.Rejected rejected) {
+            } else if (response instanceof Response.Rejected rejected) {
                 respond(rejected.status(), List.of(), new byte[0]);
             } else {
-                connection.refuse();
+                connection.closeAfterResponse();
                 respond(409, List.of(), "X-Txn is still being worked on\n".getBytes(StandardCharsets.US_ASCII));
             }
         } catch (HttpException | IOException | IllegalStateException e) {
-            // The client's connection has ended meanwhile; its handler is told by failed().
+            // The client connection was closed meanwhile; failed() is called for that.
             Log.info("answer-not-sent", String.valueOf(e.getMessage()));
         }
     }
@@ -244,119 +244,118 @@
         respond(status, fields, new Body.Buffered(bytes));
     }
 
-    private void respond(int status, List<Field> fields, Body from) throws HttpException, IOException {
-        HttpResponse response = new BasicHttpResponse(status);
+    private void respond(int status, List<Field> fields, Body body) throws HttpException, IOException {
+        HttpResponse httpResponse = new BasicHttpResponse(status);
         for (Field field : fields) {
-            response.addHeader(field.name(), field.value());
+            httpResponse.addHeader(field.name(), field.value());
         }
-        if (connection.last || frontend.closing() && !connection.receiving) {
-            response.addHeader("Connection", "close");
-            // Before the answer begins: a request that is read behind it would be sent on and end with the connection.
-            connection.last = true;
+        if (connection.noMoreRequests || frontend.closesAfterResponse() && !connection.receivingRequest) {
+            httpResponse.addHeader("Connection", "close");
+            // Set before the response begins: a request read after it would be dispatched and then lost with the
+            // connection.
+            connection.noMoreRequests = true;
         }
         long length;
-        if (from instanceof Body.Streamed streamed) {
-            answer = streamed.pipe();
+        if (body instanceof Body.Streamed streamed) {
+            responseBody = streamed.pipe();
             length = streamed.length();
-            passing = true;
+            streamingResponse = true;
         } else {
-            byte[] bytes = ((Body.Buffered) from).bytes();
-            Pipe own = new Pipe();
-            own.put(ByteBuffer.wrap(bytes));
-            own.complete();
-            answer = own;
+            byte[] bytes = ((Body.Buffered) body).bytes();
+            Pipe pipe = new Pipe();
+            pipe.put(ByteBuffer.wrap(bytes));
+            pipe.complete();
+            responseBody = pipe;
             length = bytes.length;
         }
-        answering = true;
-        // What is still held of a request that is answered before its end is not wanted any more; the rest is read and
-        // dropped.
-        body.cancel();
+        responding = true;
+        // If the response comes before the end of the request, the rest of the request is read and discarded.
+        requestBody.cancel();
         if (length >= 0) {
-            response.addHeader("Content-Length", Long.toString(length));
+            httpResponse.addHeader("Content-Length", Long.toString(length));
         } else {
-            response.addHeader("Transfer-Encoding", "chunked");
+            httpResponse.addHeader("Transfer-Encoding", "chunked");
         }
-        channel.sendResponse(response, length == 0 ? null : new BasicEntityDetails(length, null), context);
+        responseChannel.sendResponse(httpResponse, length == 0 ? null : new BasicEntityDetails(length, null), context);
     }
 
     @Override
     public int available() {
-        return produced || !answering ? 0 : answer.drained() || answer.truncated() ? 1 : answer.bufferedBytes();
+        return responseProduced || !responding
+                ? 0
+                : responseBody.drained() || responseBody.truncated() ? 1 : responseBody.bufferedBytes();
     }
 
     @Override
     public void produce(DataStreamChannel out) throws IOException {
-        if (produced || connection.endsCut()) {
+        if (responseProduced || connection.closeIfAborting()) {
             return;
         }
-        if (!hooked) {
-            hooked = true;
-            answer.setReadyListener(out::requestOutput);
-            if (passing) {
-                connection.passing();
+        if (!readyListenerSet) {
+            readyListenerSet = true;
+            responseBody.setReadyListener(out::requestOutput);
+            if (streamingResponse) {
+                connection.streamingStarted();
             }
         }
-        answer.writeTo(out::write);
-        if (answer.truncated()) {
-            // Guards against a client that takes a part for the whole: the connection ends with the message unfinished,
-            // but
-            // only once what there was has left HttpCore's own buffer.
-            if (++cutRounds > 2) {
+        responseBody.writeTo(out::write);
+        if (responseBody.truncated()) {
+            // Closes the connection with the message unfinished, so that the client does not take a part for the
+            // whole, but only after all received bytes have left HttpCore's own buffer.
+            if (++roundsAfterTruncation > 2) {
                 connection.session.close(CloseMode.GRACEFUL);
             }
-        } else if (answer.drained()) {
-            produced = true;
+        } else if (responseBody.drained()) {
+            responseProduced = true;
             out.endStream();
-            passed(true);
-            connection.answered();
+            endStreaming(true);
+            connection.responseProduced();
         }
     }
 
-    private void passed(boolean whole) {
-        if (passing) {
-            passing = false;
-            frontend.sessions().responseEnded(exchange, whole);
+    private void endStreaming(boolean complete) {
+        if (streamingResponse) {
+            streamingResponse = false;
+            frontend.sessions().responseEnded(exchange, complete);
         }
     }
 
-    /** True from the hand-over of a session until its answer is begun, or over if it goes in pieces. */
-    boolean owesAnswer() {
-        return exchange != null && !answering || passing;
+    /** Whether a session was passed on and its response has not begun, or is being streamed. */
+    boolean owesResponse() {
+        return exchange != null && !responding || streamingResponse;
     }
 
-    /** An answer in pieces has begun and its client has not taken all of it. */
-    boolean passes() {
-        return passing;
+    /** Whether a streamed response has begun and the client has not received all of it. */
+    boolean streamingResponse() {
+        return streamingResponse;
     }
 
-    /** The client does not read an answer that there is. */
-    boolean clientStalls() {
-        return passing && answer.bufferedBytes() > 0;
+    /** Whether the client does not read a streamed response although bytes are available. */
+    boolean clientStalled() {
+        return streamingResponse && responseBody.bufferedBytes() > 0;
     }
 
     @Override
     public void failed(Exception cause) {
-        body.abort();
-        if (passing) {
-            answer.cancel();
-            passed(false);
-        } else if (owesAnswer()) {
+        requestBody.abort();
+        if (streamingResponse) {
+            responseBody.cancel();
+            endStreaming(false);
+        } else if (owesResponse()) {
             frontend.sessions().clientGone(exchange);
         }
     }
 
-    /**
-     * True from the hand-over of a session, or an answer of our own, until HttpCore has written the answer's last byte.
-     */
-    boolean unwritten() {
-        return (exchange != null || answering) && !released;
+    /** Whether a session was passed on, or an own response begun, and HttpCore has not written its last byte. */
+    boolean responseUnwritten() {
+        return (exchange != null || responding) && !released;
     }
 
     @Override
     public void releaseResources() {
         released = true;
-        beyond.close();
-        // Guards against an end that HttpCore tells in no other way.
-        passed(produced);
+        readAheadShare.close();
+        // Covers ends that HttpCore reports in no other way.
+        endStreaming(responseProduced);
     }
 }
--- a/balancer/src/main/java/calicochute/node/Node.java
+++ b/balancer/src/main/java/calicochute/node/Node.java
@@ -109,11 +109,13 @@
         staff = new Staff(queue, membership, figures, fleet);
         frontend = new Frontend(
                 configuration, inherited, queue, this, counters, membership::any, staff::presence, () -> succession);
-        staff.endsIdle(frontend::endIdle);
+        staff.endsIdle(frontend::closeIdle);
         deadlines =
                 new DeadlineGuards(queue, () -> staff.presence().answersBy(succession::longestDeadline), this::overdue);
-        connector.onDescriptorShortage(frontend::lacking);
-        admin = configuration.admin() == null ? null : new AdminServer(staff, counters, frontend::lacking);
+        connector.onDescriptorShortage(frontend::handleDescriptorShortage);
+        admin = configuration.admin() == null
+                ? null
+                : new AdminServer(staff, counters, frontend::handleDescriptorShortage);
         lives = new Lives(shared);
         // Where processes follow each other on one socket.
         heritage = inherited == null || shared == null
@@ -447,7 +449,7 @@
             open.values().stream()
                     .filter(e -> e.streamingResponse() && !e.responseAborted())
                     .forEach(this::cutByStop);
-            frontend.cutAnswers();
+            frontend.abortStreamedResponses();
         });
     }
 
@@ -484,7 +486,7 @@
         frontend.stopAccepting();
         long stopped = System.nanoTime();
         // What was accepted last counts as connected only once the I/O thread has it.
-        while ((unanswered > 0 || frontend.connected() > 0 || System.nanoTime() - stopped < TAKEN_OVER_NANOS)
+        while ((unanswered > 0 || frontend.openConnections() > 0 || System.nanoTime() - stopped < TAKEN_OVER_NANOS)
                 && System.nanoTime() - stopped < LONGEST_END_NANOS) {
             Thread.sleep(10);
         }
--- a/balancer/src/test/java/calicochute/frontend/IdleEndTest.java
+++ b/balancer/src/test/java/calicochute/frontend/IdleCloseTest.java
@@ -29,9 +29,10 @@
 import org.apache.hc.core5.util.Timeout;
 import org.junit.jupiter.api.Test;
 
-/** The end of idle connections that is asked for while requests come on them, or on others. */
-class IdleEndTest {
-    private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+/** Closes idle connections while requests arrive on the same or on other connections. */
+class IdleCloseTest {
+    private static final InetSocketAddress LOOPBACK_ANY_PORT =
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final DecisionQueue QUEUE = new DecisionQueue() {
         @Override
         public long now() {
@@ -45,13 +46,13 @@
 
         @Override
         public Timer schedule(long micros, Runnable task) {
-            throw new AssertionError("no alarm is needed here");
+            throw new AssertionError("no timer is expected");
         }
     };
-    private static final SessionListener NONE = new SessionListener() {
+    private static final SessionListener NO_SESSIONS = new SessionListener() {
         @Override
         public void sessionStarted(Exchange exchange) {
-            throw new AssertionError("no session is sent here");
+            throw new AssertionError("no session is expected");
         }
 
         @Override
@@ -72,10 +73,11 @@
 
     private static Frontend frontend(Counters counters) throws IOException {
         return new Frontend(
-                new Configuration("n0", ANY, null, ANY, Bounds.of(64, false, 64), 0, "", null, null),
+                new Configuration(
+                        "n0", LOOPBACK_ANY_PORT, null, LOOPBACK_ANY_PORT, Bounds.of(64, false, 64), 0, "", null, null),
                 null,
                 QUEUE,
-                NONE,
+                NO_SESSIONS,
                 counters,
                 () -> true,
                 Presence::serving,
@@ -83,88 +85,88 @@
     }
 
     private static void await(BooleanSupplier condition) throws InterruptedException {
-        long latest = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < latest, "waited in vain");
+            assertTrue(System.nanoTime() < deadlineNanos, "condition was not met in time");
             Thread.sleep(1);
         }
     }
 
     /**
-     * Asked for just before the body began, heard just behind it: the body keeps its own time, and its request is
-     * answered.
+     * Guards against closing a connection whose close as idle was requested just before a body began and is handled
+     * just after: the body keeps its own timeout and the request is answered.
      */
     @Test
-    void aBodyThatHasJustBegunIsNotEnded() throws Exception {
+    void connectionReceivingABodyIsNotClosedAsIdle() throws Exception {
         Counters counters = new Counters();
         Frontend frontend = frontend(counters);
         CompletableFuture<ProtocolIOSession> session = new CompletableFuture<>();
         CompletableFuture<ClientConnection> connection = new CompletableFuture<>();
-        ConnectionAcceptor listening = ConnectionAcceptor.bind(
-                ANY,
+        ConnectionAcceptor acceptor = ConnectionAcceptor.bind(
+                LOOPBACK_ANY_PORT,
                 5,
                 5,
                 "test",
                 (opened, attachment) -> {
-                    ClientConnection made = ClientConnection.on(opened, frontend, e -> {});
+                    ClientConnection created = ClientConnection.create(opened, frontend, e -> {});
                     session.complete(opened);
-                    connection.complete(made);
-                    return made;
+                    connection.complete(created);
+                    return created;
                 },
                 e -> {},
                 counters);
-        InetSocketAddress address = listening.start();
+        InetSocketAddress address = acceptor.start();
         try (Socket client = new Socket(address.getAddress(), address.getPort())) {
             client.setSoTimeout(30_000);
             OutputStream out = client.getOutputStream();
             out.write("POST /counters HTTP/1.1\r\nHost: a\r\nContent-Length: 20000\r\n\r\n"
                     .getBytes(StandardCharsets.US_ASCII));
             out.write(new byte[10_000]);
-            await(() -> connection.join().bodyComes());
-            // What endIfIdle does, behind its own look; more than once, so that one falls behind the I/O thread's own
-            // set for certain.
+            await(() -> connection.join().receivingBody());
+            // Does what closeIfIdle does after its own check, several times, so that at least one call happens after
+            // the I/O thread has set its own timeout.
             for (int i = 0; i < 3; i++) {
                 session.join().setSocketTimeout(Timeout.ONE_MILLISECOND);
                 await(() -> !session.join().isOpen()
                         || session.join().getSocketTimeout().toMilliseconds() > 1);
             }
             out.write(new byte[10_000]);
-            byte[] begun = client.getInputStream().readNBytes(15);
-            assertEquals("HTTP/1.1 200 OK", new String(begun, StandardCharsets.US_ASCII));
+            byte[] statusLine = client.getInputStream().readNBytes(15);
+            assertEquals("HTTP/1.1 200 OK", new String(statusLine, StandardCharsets.US_ASCII));
             assertEquals(0, counters.get(Counter.CLIENTS_CLOSED_SLOW) + counters.get(Counter.CLIENTS_CLOSED_IDLE));
         } finally {
-            listening.stopAccepting();
-            CompletableFuture.runAsync(listening::close);
+            acceptor.stopAccepting();
+            CompletableFuture.runAsync(acceptor::close);
         }
     }
 
-    private static void isAnswered(Socket client) throws IOException {
+    private static void assertAnswered(Socket client) throws IOException {
         assertEquals("HTTP/1.1 200 OK", new String(client.getInputStream().readNBytes(15), StandardCharsets.US_ASCII));
     }
 
     /**
-     * Where descriptors lack idle ones end; none does on which a request comes, nor one that comes up then, though the
-     * room has shrunk.
+     * A descriptor shortage closes idle connections only: none that is receiving a request, and no new one, although
+     * the limit was reduced.
      */
     @Test
-    void whereDescriptorsLackOnlyIdleOnesEnd() throws Exception {
+    void descriptorShortageClosesOnlyIdleConnections() throws Exception {
         Counters counters = new Counters();
         Frontend frontend = frontend(counters);
-        List<ClientConnection> made = new CopyOnWriteArrayList<>();
+        List<ClientConnection> created = new CopyOnWriteArrayList<>();
         List<Socket> clients = new ArrayList<>();
-        ConnectionAcceptor listening = ConnectionAcceptor.bind(
-                ANY,
+        ConnectionAcceptor acceptor = ConnectionAcceptor.bind(
+                LOOPBACK_ANY_PORT,
                 50,
                 50,
                 "test",
                 (opened, attachment) -> {
-                    ClientConnection connection = ClientConnection.on(opened, frontend, e -> {});
-                    made.add(connection);
+                    ClientConnection connection = ClientConnection.create(opened, frontend, e -> {});
+                    created.add(connection);
                     return connection;
                 },
                 e -> {},
                 counters);
-        InetSocketAddress address = listening.start();
+        InetSocketAddress address = acceptor.start();
         try {
             for (int i = 0; i < 12; i++) {
                 Socket client = new Socket(address.getAddress(), address.getPort());
@@ -175,25 +177,25 @@
                                 .getBytes(StandardCharsets.US_ASCII));
                 client.getOutputStream().write(new byte[10_000]);
             }
-            await(() -> made.size() == clients.size() && made.stream().allMatch(ClientConnection::bodyComes));
-            assertFalse(frontend.makeRoom());
+            await(() -> created.size() == clients.size() && created.stream().allMatch(ClientConnection::receivingBody));
+            assertFalse(frontend.freeDescriptors());
             try (Socket newcomer = new Socket(address.getAddress(), address.getPort())) {
                 newcomer.setSoTimeout(30_000);
                 newcomer.getOutputStream()
                         .write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                isAnswered(newcomer);
+                assertAnswered(newcomer);
             }
             for (Socket client : clients) {
                 client.getOutputStream().write(new byte[10_000]);
-                isAnswered(client);
+                assertAnswered(client);
             }
             assertEquals(0, counters.get(Counter.CLIENTS_CLOSED_FOR_ROOM));
         } finally {
             for (Socket client : clients) {
                 client.close();
             }
-            listening.stopAccepting();
-            CompletableFuture.runAsync(listening::close);
+            acceptor.stopAccepting();
+            CompletableFuture.runAsync(acceptor::close);
         }
     }
 }
