--- a/balancer/src/main/java/calicochute/connection/Connector.java
+++ b/balancer/src/main/java/calicochute/connection/Connector.java
@@ -37,12 +37,14 @@
 
 /** Opens connections to backend servers and other servers; one I/O thread serves all of them. */
 public final class Connector implements AutoCloseable {
+    /** Limits of HttpCore's parser, from {@link Bounds}. */
     static final Http1Config HTTP_CONFIG = Http1Config.custom()
             .setBufferSize(Bounds.BUFFER)
             .setMaxLineLength(Bounds.LINE)
             .setMaxHeaderCount(Bounds.FIELDS)
             .setInitialWindowSize(Bounds.WINDOW)
             .build();
+
     private static final HttpProcessor PROCESSOR = HttpProcessorBuilder.create().build();
     /**
      * If file descriptors are exhausted, the shortage handler frees some and the connect is retried, as nothing was
--- a/balancer/src/main/java/calicochute/exchange/Exchange.java
+++ b/balancer/src/main/java/calicochute/exchange/Exchange.java
@@ -16,7 +16,9 @@
     public final String clientId;
 
     public final Message message;
+    /** Index of the request class in the settings. */
     public final int classIndex;
+    /** Index of the tenant in the settings, or -1 if no tenants are configured. */
     public final int tenantIndex;
     /** The limits of the settings in force when the session began; they apply until it ends. */
     public final Limits limits;
@@ -69,11 +71,12 @@
     }
 
     /** Records that the last byte of the request was received. */
-    public void completeRequest(long now) {
+    public void completeRequest(long nowMicros) {
         requestComplete = true;
-        receivedAt = now;
+        receivedAt = nowMicros;
     }
 
+    /** When the last request byte was received; until then, when the session began. */
     public long receivedAt() {
         return receivedAt;
     }
@@ -108,8 +111,8 @@
     }
 
     /** Adds the next dispatch, which must be sent before {@code notAfter}. Dispatches are numbered from 0. */
-    public Dispatch addDispatch(String server, long now, long notAfter) {
-        Dispatch dispatch = new Dispatch(this, dispatches.size(), server, now, notAfter);
+    public Dispatch addDispatch(String server, long nowMicros, long notAfter) {
+        Dispatch dispatch = new Dispatch(this, dispatches.size(), server, nowMicros, notAfter);
         dispatches.add(dispatch);
         return dispatch;
     }
@@ -128,10 +131,12 @@
         return dispatches.size();
     }
 
+    /** Whether any dispatch has no outcome yet. */
     public boolean anyPending() {
         return dispatches.stream().anyMatch(Dispatch::pending);
     }
 
+    /** Whether any server may have executed the session. */
     public boolean mayHaveExecuted() {
         return firstPossiblyExecuted() != null;
     }
--- a/balancer/src/main/java/calicochute/frontend/ClientConnection.java
+++ b/balancer/src/main/java/calicochute/frontend/ClientConnection.java
@@ -41,6 +41,7 @@
  * frontend's I/O thread unless a method says otherwise.
  */
 final class ClientConnection extends ServerHttp1IOEventHandler {
+    /** Limits of HttpCore's parser, from {@link Bounds}. */
     static final Http1Config HTTP_CONFIG = Http1Config.custom()
             .setBufferSize(Bounds.BUFFER)
             .setMaxLineLength(Bounds.LINE)
@@ -448,6 +449,7 @@
         }
     }
 
+    /** The current priority of keeping this connection; any thread may call. */
     Priority priority() {
         if (lingeringSession.lingering()) {
             return Priority.LINGERING;
--- a/balancer/src/main/java/calicochute/frontend/Frontend.java
+++ b/balancer/src/main/java/calicochute/frontend/Frontend.java
@@ -26,7 +26,7 @@
 public final class Frontend implements AutoCloseable {
     private static final String READY_PATH = "/ready";
     private static final String COUNTERS_PATH = "/counters";
-    private static final int BACKLOG = 1024;
+    private static final int BACKLOG_CONNECTIONS = 1024;
     private final SessionParser parser;
     private final DecisionQueue clock;
     private final SessionListener sessions;
@@ -82,7 +82,13 @@
         IOEventHandlerFactory handlers = (session, attachment) -> ClientConnection.create(session, this, onException);
         acceptor = inherited == null
                 ? ConnectionAcceptor.bind(
-                        address, BACKLOG, maxConnections + Bounds.AHEAD, "frontend", handlers, onException, counters)
+                        address,
+                        BACKLOG_CONNECTIONS,
+                        maxConnections + Bounds.AHEAD,
+                        "frontend",
+                        handlers,
+                        onException,
+                        counters)
                 : ConnectionAcceptor.adopt(
                         inherited, maxConnections + Bounds.AHEAD, "frontend", handlers, onException, counters);
         acceptor.onDescriptorShortage(this::handleDescriptorShortage);
@@ -141,7 +147,7 @@
         return parser;
     }
 
-    long now() {
+    long nowMicros() {
         return clock.now();
     }
 
@@ -161,7 +167,7 @@
         counters.count(Counter.CLIENTS_ACCEPTED);
         connections.add(connection);
         openConnections = connections.size();
-        if (openConnections > connectionLimit.limitAt(now())) {
+        if (openConnections > connectionLimit.limitAt(nowMicros())) {
             ClientConnection candidate = lowestPriority(Set.of(connection));
             if (candidate != null) {
                 candidate.closeForDescriptor();
@@ -191,11 +197,11 @@
 
     /** Frees descriptors; returns true if some will soon be free. */
     synchronized boolean freeDescriptors() {
-        if (!connectionLimit.reduceOnShortage(now(), openConnections)) {
+        if (!connectionLimit.reduceOnShortage(nowMicros(), openConnections)) {
             return true;
         }
         Set<ClientConnection> closed = new HashSet<>();
-        for (int excess = openConnections - connectionLimit.limitAt(now()); excess > 0; excess--) {
+        for (int excess = openConnections - connectionLimit.limitAt(nowMicros()); excess > 0; excess--) {
             ClientConnection candidate = lowestPriority(closed);
             if (candidate == null) {
                 break;
@@ -240,7 +246,7 @@
     }
 
     boolean closesIdleConnections() {
-        return presence.get().endsIdle(now());
+        return presence.get().endsIdle(nowMicros());
     }
 
     /**
@@ -248,6 +254,6 @@
      * limit.
      */
     boolean closesAfterResponse() {
-        return presence.get().lastAnswers() || openConnections > connectionLimit.limitAt(now()) * 3 / 4;
+        return presence.get().lastAnswers() || openConnections > connectionLimit.limitAt(nowMicros()) * 3 / 4;
     }
 }
--- a/balancer/src/main/java/calicochute/frontend/RequestHeadParser.java
+++ b/balancer/src/main/java/calicochute/frontend/RequestHeadParser.java
@@ -78,11 +78,11 @@
         }
     }
 
-    private HttpException rejected(HttpException e) {
+    private HttpException rejected(HttpException exception) {
         state.closeAfterResponse();
         state.frontend.counters().count(Counter.SESSIONS_BAD_INPUT);
-        Log.warn("bad-input", "malformed request: " + e.getMessage());
-        return e;
+        Log.warn("bad-input", "malformed request: " + exception.getMessage());
+        return exception;
     }
 
     /**
@@ -107,8 +107,8 @@
         }
         for (Header header : request.getHeaders()) {
             for (int i = 0; i < header.getValue().length(); i++) {
-                char c = header.getValue().charAt(i);
-                if (c < ' ' && c != '\t' || c == 0x7f) {
+                char character = header.getValue().charAt(i);
+                if (character < ' ' && character != '\t' || character == 0x7f) {
                     throw new ProtocolException("control character in " + header.getName());
                 }
             }
--- a/balancer/src/main/java/calicochute/frontend/SessionHandler.java
+++ b/balancer/src/main/java/calicochute/frontend/SessionHandler.java
@@ -41,10 +41,14 @@
     private final ClientConnection.State connection;
     private final Frontend frontend;
     private final Pipe requestBody = new Pipe();
+    /** Request body bytes granted beyond the initial window of {@link Bounds#WINDOW}. */
     private final AtomicLong grantedBytes = new AtomicLong();
+
     private final ReadAheadBudget.Share readAheadShare;
     private volatile CapacityChannel capacity;
+    /** Content length of the request body; -1 if it is unknown. */
     private long declaredLength = -1;
+
     private HttpRequest request;
     private ResponseChannel responseChannel;
     private HttpContext context;
@@ -57,6 +61,10 @@
 
     private volatile boolean responseProduced;
     private volatile boolean released;
+    /**
+     * How often output was requested after a truncated response body was written; on the third time the connection is
+     * closed.
+     */
     private int roundsAfterTruncation;
 
     SessionHandler(ClientConnection.State connection) {
@@ -66,10 +74,10 @@
     }
 
     @Override
-    public void handleRequest(HttpRequest head, EntityDetails entity, ResponseChannel out, HttpContext httpContext)
+    public void handleRequest(HttpRequest head, EntityDetails entity, ResponseChannel channel, HttpContext httpContext)
             throws HttpException, IOException {
         request = head;
-        responseChannel = out;
+        responseChannel = channel;
         context = httpContext;
         connection.headReceived();
         if (entity == null) {
@@ -108,11 +116,11 @@
      * after all input before it. Returns false if the budget is used up.
      */
     private boolean grantReadAhead() {
-        int more = readAheadShare.reserveMore(requestBody::grantAhead);
-        if (more > 0) {
-            grant(capacity, more);
+        int reserved = readAheadShare.reserveMore(requestBody::grantAhead);
+        if (reserved > 0) {
+            grant(capacity, reserved);
         }
-        return more > 0;
+        return reserved > 0;
     }
 
     @Override
@@ -172,12 +180,12 @@
         return new SessionParser.BadInputException(413, "body over " + Bounds.LONGEST_BODY + " bytes");
     }
 
-    private void reject(SessionParser.BadInputException e) throws HttpException, IOException {
+    private void reject(SessionParser.BadInputException badInput) throws HttpException, IOException {
         frontend.counters().count(Counter.SESSIONS_BAD_INPUT);
-        Log.warn("bad-input", "status=" + e.status + " " + e.getMessage());
+        Log.warn("bad-input", "status=" + badInput.status + " " + badInput.getMessage());
         // A client that sends unusable input has to open a new connection, which limits floods.
         connection.closeAfterResponse();
-        respond(e.status, List.of(), (e.getMessage() + "\n").getBytes(StandardCharsets.UTF_8));
+        respond(badInput.status, List.of(), (badInput.getMessage() + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
     /** The last byte of the request was received. */
@@ -201,7 +209,7 @@
             return;
         }
         try {
-            exchange = frontend.parser().parse(request, body, frontend.now(), this);
+            exchange = frontend.parser().parse(request, body, frontend.nowMicros(), this);
         } catch (SessionParser.BadInputException e) {
             reject(e);
             return;
@@ -287,18 +295,18 @@
     }
 
     @Override
-    public void produce(DataStreamChannel out) throws IOException {
+    public void produce(DataStreamChannel channel) throws IOException {
         if (responseProduced || connection.closeIfAborting()) {
             return;
         }
         if (!readyListenerSet) {
             readyListenerSet = true;
-            responseBody.setReadyListener(out::requestOutput);
+            responseBody.setReadyListener(channel::requestOutput);
             if (streamingResponse) {
                 connection.streamingStarted();
             }
         }
-        responseBody.writeTo(out::write);
+        responseBody.writeTo(channel::write);
         if (responseBody.truncated()) {
             // Closes the connection with the message unfinished, so that the client does not take a part for the
             // whole, but only after all received bytes have left HttpCore's own buffer.
@@ -307,7 +315,7 @@
             }
         } else if (responseBody.drained()) {
             responseProduced = true;
-            out.endStream();
+            channel.endStream();
             endStreaming(true);
             connection.responseProduced();
         }
--- a/balancer/src/main/java/calicochute/frontend/SessionParser.java
+++ b/balancer/src/main/java/calicochute/frontend/SessionParser.java
@@ -33,7 +33,9 @@
             "expect",
             "x-remaining-ms");
 
+    /** The client's ID for a session: 16 hex digits. */
     private static final Pattern CLIENT_ID = Pattern.compile("[0-9a-fA-F]{16}");
+
     private static final long MAX_CLIENT_TIMEOUT_MS = 3_600_000;
     private final AtomicLong lastId = new AtomicLong();
     private final Supplier<Succession> settings;
@@ -53,17 +55,20 @@
         this.settings = settings;
     }
 
-    Exchange parse(HttpRequest request, Body body, long now, ResponseSender responseSender) throws BadInputException {
+    /** Creates the exchange of a request, or throws if the request is not a valid session. */
+    Exchange parse(HttpRequest request, Body body, long nowMicros, ResponseSender responseSender)
+            throws BadInputException {
         String clientId = singleHeader(request, "X-Txn", true);
         if (!CLIENT_ID.matcher(clientId).matches()) {
             throw new BadInputException(400, "X-Txn is not 16 hex digits");
         }
         // Read once: a session keeps the settings it began with.
         Succession currentSettings = settings.get();
-        int classIndex = requireKnown(currentSettings.classIndex(singleHeader(request, "X-Lane", true), now), "X-Lane");
+        int classIndex =
+                requireKnown(currentSettings.classIndex(singleHeader(request, "X-Lane", true), nowMicros), "X-Lane");
         boolean hasTenants = !currentSettings.current().tenants().isEmpty();
         String tenant = singleHeader(request, "X-Org", hasTenants);
-        int tenantIndex = hasTenants ? requireKnown(currentSettings.tenantIndex(tenant, now), "X-Org") : -1;
+        int tenantIndex = hasTenants ? requireKnown(currentSettings.tenantIndex(tenant, nowMicros), "X-Org") : -1;
         long clientTimeoutMicros = 1000 * parseTimeoutMs(singleHeader(request, "X-Remaining-Ms", true));
         RequestClass requestClass = currentSettings.classes().get(classIndex);
         if (!request.getMethod().equals(requestClass.effect() == Effect.REPEATABLE ? "GET" : "POST")) {
@@ -84,7 +89,7 @@
                 tenantIndex,
                 currentSettings.current().limits(),
                 "1".equals(singleHeader(request, "X-Resent", false)),
-                now,
+                nowMicros,
                 clientTimeoutMicros,
                 responseSender);
     }
--- a/balancer/src/main/java/calicochute/listening/CloseState.java
+++ b/balancer/src/main/java/calicochute/listening/CloseState.java
@@ -52,6 +52,7 @@
         return state == State.LINGERING;
     }
 
+    /** Whether more input was discarded than {@link #MAX_DISCARDED_BYTES}. */
     synchronized boolean discardLimitExceeded() {
         return discardedBytes > MAX_DISCARDED_BYTES;
     }
--- a/balancer/src/main/java/calicochute/listening/ConnectionAcceptor.java
+++ b/balancer/src/main/java/calicochute/listening/ConnectionAcceptor.java
@@ -35,16 +35,21 @@
  * there is no file descriptor.
  */
 public final class ConnectionAcceptor {
+    /** Pause after a failed accept, and longest wait for a permit before the stop flag is checked. */
     private static final long RETRY_DELAY_MS = 50;
     /**
-     * For this long after a shortage of file descriptors, connections are accepted one at a time, so that the freed
-     * descriptors are not all taken at once.
+     * For this long after a shortage of file descriptors, connections are accepted one at a time with pauses, so that
+     * the freed descriptors are not all taken at once.
      */
     private static final long THROTTLE_NANOS = 1_000_000_000L;
 
+    /** Pause between two connections accepted during {@link #THROTTLE_NANOS}. */
     private static final long THROTTLE_DELAY_MS = 2;
+
     private static final int SCRATCH_BYTES = 4096;
+    /** How long {@link #stopAccepting} waits for the accepting thread. */
     private static final long STOP_TIMEOUT_MS = 1000;
+
     private static final IOReactorConfig REACTOR_CONFIG = IOReactorConfig.custom()
             .setIoThreadCount(1)
             .setTcpNoDelay(true)
--- a/balancer/src/main/java/calicochute/listening/LingeringSession.java
+++ b/balancer/src/main/java/calicochute/listening/LingeringSession.java
@@ -37,10 +37,12 @@
         this.scratch = scratch;
     }
 
+    /** Whether the connection is shut down for writing and still open for reading. */
     public boolean lingering() {
         return closeState.lingering();
     }
 
+    /** Whether the client sent too much unwanted input. */
     public boolean discardLimitExceeded() {
         return closeState.discardLimitExceeded();
     }
--- a/balancer/src/test/java/calicochute/connection/ConnectorTest.java
+++ b/balancer/src/test/java/calicochute/connection/ConnectorTest.java
@@ -41,8 +41,8 @@
                     c -> {});
             try (Socket socket = server.accept()) {
                 socket.setSoTimeout(20_000);
-                InputStream in = socket.getInputStream();
-                in.readNBytes("GET /1 HTTP/1.1\r\n\r\n".length());
+                InputStream input = socket.getInputStream();
+                input.readNBytes("GET /1 HTTP/1.1\r\n\r\n".length());
                 CountDownLatch ioThreadBlocked = new CountDownLatch(1);
                 CountDownLatch unblockIoThread = new CountDownLatch(1);
                 socket.getOutputStream()
@@ -70,7 +70,7 @@
                 CallResult result = results.poll(20, TimeUnit.SECONDS);
                 assertTrue(
                         result.response() == null && !result.requestStarted() && connection.receivedUnsolicitedData());
-                assertEquals("nothing was sent", -1, in.read());
+                assertEquals("nothing was sent", -1, input.read());
             }
         }
     }
--- a/balancer/src/test/java/calicochute/exchange/PipeTest.java
+++ b/balancer/src/test/java/calicochute/exchange/PipeTest.java
@@ -30,26 +30,26 @@
             throws IOException {
         Pipe pipe = new Pipe();
         Random random = new Random(steps.size());
-        ByteArrayOutputStream in = new ByteArrayOutputStream();
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        ByteArrayOutputStream written = new ByteArrayOutputStream();
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
         int[] credit = {WINDOW};
         pipe.setCreditListener(bytes -> credit[0] += bytes);
         pipe.shrinkWindow(shrunkBy);
         for (int step : steps) {
-            byte[] piece = new byte[Math.min(step, credit[0])];
-            random.nextBytes(piece);
-            in.write(piece);
-            credit[0] -= piece.length;
-            pipe.put(ByteBuffer.wrap(piece));
+            byte[] chunk = new byte[Math.min(step, credit[0])];
+            random.nextBytes(chunk);
+            written.write(chunk);
+            credit[0] -= chunk.length;
+            pipe.put(ByteBuffer.wrap(chunk));
             assertTrue(pipe.bufferedBytes() <= WINDOW);
-            pipe.writeTo(sinkWithCapacity(out, random.nextInt(40)));
+            pipe.writeTo(sinkWithCapacity(received, random.nextInt(40)));
             assertTrue(credit[0] + pipe.bufferedBytes() <= WINDOW);
             assertTrue(credit[0] + pipe.bufferedBytes() >= WINDOW - shrunkBy);
         }
         pipe.complete();
-        pipe.writeTo(sinkWithCapacity(out, Integer.MAX_VALUE));
+        pipe.writeTo(sinkWithCapacity(received, Integer.MAX_VALUE));
         assertTrue(pipe.drained());
-        assertArrayEquals(in.toByteArray(), out.toByteArray());
+        assertArrayEquals(written.toByteArray(), received.toByteArray());
     }
 
     private static Pipe.Sink sinkWithCapacity(ByteArrayOutputStream target, int capacity) {
--- a/balancer/src/test/java/calicochute/frontend/IdleCloseTest.java
+++ b/balancer/src/test/java/calicochute/frontend/IdleCloseTest.java
@@ -45,7 +45,7 @@
         }
 
         @Override
-        public Timer schedule(long micros, Runnable task) {
+        public Timer schedule(long delayMicros, Runnable task) {
             throw new AssertionError("no timer is expected");
         }
     };
@@ -66,7 +66,7 @@
         }
 
         @Override
-        public void responseEnded(Exchange exchange, boolean whole) {
+        public void responseEnded(Exchange exchange, boolean complete) {
             sessionStarted(exchange);
         }
     };
--- a/balancer/src/test/java/calicochute/frontend/ReadAheadBudgetTest.java
+++ b/balancer/src/test/java/calicochute/frontend/ReadAheadBudgetTest.java
@@ -32,10 +32,10 @@
             int i = step / 3;
             switch (step % 3) {
                 case 0 -> {
-                    for (int more = shares.get(i).reserveMore(bytes -> true);
-                            more > 0;
-                            more = shares.get(i).reserveMore(bytes -> true)) {
-                        reserved[i] += more;
+                    for (int reservedMore = shares.get(i).reserveMore(bytes -> true);
+                            reservedMore > 0;
+                            reservedMore = shares.get(i).reserveMore(bytes -> true)) {
+                        reserved[i] += reservedMore;
                     }
                 }
                 case 1 -> assertEquals(0, shares.get(i).reserveMore(bytes -> false));
--- a/balancer/src/test/java/calicochute/listening/LingeringSessionTest.java
+++ b/balancer/src/test/java/calicochute/listening/LingeringSessionTest.java
@@ -63,15 +63,15 @@
     public void responseIsDeliveredDespiteUnreadInput() throws Exception {
         client.write(bytes("a request sent during the close"));
         assertTrue(handler.inputSeen.await(5, TimeUnit.SECONDS));
-        session.write(bytes("answer"));
+        session.write(bytes("response"));
         session.close(CloseMode.GRACEFUL);
         assertFalse(session.isOpen());
         assertTrue("disconnect is reported at once", handler.disconnectSeen.await(5, TimeUnit.SECONDS));
-        ByteBuffer answer = ByteBuffer.allocate(100);
-        while (client.read(answer) >= 0) {
+        ByteBuffer response = ByteBuffer.allocate(100);
+        while (client.read(response) >= 0) {
             // Reads the complete response.
         }
-        assertEquals("answer".length(), answer.position());
+        assertEquals("response".length(), response.position());
         assertTrue("not reset", client.write(bytes("one more request")) > 0);
         assertEquals("input after the close is not read", 0, session.read(ByteBuffer.allocate(10)));
         client.close();
