--- a/balancer/src/main/java/calicochute/backend/BackendServer.java
+++ b/balancer/src/main/java/calicochute/backend/BackendServer.java
@@ -1,56 +1,60 @@
 package calicochute.backend;
 
 import calicochute.connection.Connection;
-import calicochute.pool.Pool;
+import calicochute.pool.ConnectionPool;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** One backend server's address and the connections to it that are free. */
+/** The address of one backend server, its idle connections and those being established. */
 final class BackendServer {
     final InetSocketAddress address;
-    final Pool<Connection> pool;
-    /** Those that wait for a connection: the first takes the first that there is, whoever opened it. */
-    final ArrayDeque<Errand> waiting = new ArrayDeque<>();
-
-    final Set<Opening> openings = new LinkedHashSet<>();
-    /** No longer listed, or listed at another address: nothing is kept for it any more. */
-    boolean gone;
-    /** Discovery or an operator wants it out: no call is begun on it. */
-    boolean unwanted;
-    /** When it last started, as far as was told; 0 for long ago. */
-    long startedAt;
-
-    BackendServer(InetSocketAddress address, Pool.Rules rules) {
+    final ConnectionPool<Connection> pool;
+    /**
+     * Executions waiting for a connection, in order: the first one gets the next connection, whichever execution had it
+     * opened.
+     */
+    final ArrayDeque<DispatchExecution> waitingExecutions = new ArrayDeque<>();
+
+    final Set<PendingConnection> pendingConnections = new LinkedHashSet<>();
+    /** Whether the server was removed from the list or its address changed; its connections are not reused. */
+    boolean removed;
+    /** Whether discovery or an operator excluded the server: no call is started on it. */
+    boolean excluded;
+    /** Latest known start of the server, in microseconds; 0 if it is unknown. */
+    long startedAtMicros;
+
+    BackendServer(InetSocketAddress address, ConnectionPool.Rules rules) {
         this.address = address;
-        pool = new Pool<>(rules, Connection::isOpen);
+        pool = new ConnectionPool<>(rules, Connection::isOpen);
     }
 
-    int lateOpenings() {
-        return (int) openings.stream().filter(Opening::late).count();
+    int countOverdue() {
+        return (int)
+                pendingConnections.stream().filter(PendingConnection::overdue).count();
     }
 
-    /** Whether more wait than connections are on their way in time. */
-    boolean wantsOpening() {
-        return waiting.size() > openings.size() - lateOpenings();
+    /** Whether more executions wait than connections are being established in time. */
+    boolean needsConnection() {
+        return waitingExecutions.size() > pendingConnections.size() - countOverdue();
     }
 
-    /** A connection could not be opened: whom no other one is on its way for has none to wait for. */
-    void openingFailed() {
-        while (wantsOpening()) {
-            waiting.poll().unconnected();
+    /** Handles a failed connect: executions for which no connection is being established fail. */
+    void connectFailed() {
+        while (needsConnection()) {
+            waitingExecutions.poll().connectFailed();
         }
     }
 
-    boolean keeps(long now) {
-        return !gone && pool.keeps(now);
+    boolean reusesConnections(long now) {
+        return !removed && pool.reusesConnections(now);
     }
 
-    /** Closes those free since that time or longer; tells how many. */
+    /** Closes connections idle since this time or longer; returns their number. */
     int closeIdleSince(long time) {
-        var old = pool.takeIdleSince(time);
-        old.forEach(Connection::close);
-        return old.size();
+        var expired = pool.removeIdleSince(time);
+        expired.forEach(Connection::close);
+        return expired.size();
     }
 }
--- a/balancer/src/main/java/calicochute/backend/BackendServers.java
+++ b/balancer/src/main/java/calicochute/backend/BackendServers.java
@@ -11,7 +11,7 @@
 import calicochute.exchange.Response;
 import calicochute.metrics.Counter;
 import calicochute.metrics.Counters;
-import calicochute.pool.Pool;
+import calicochute.pool.ConnectionPool;
 import calicochute.settings.Bounds;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
@@ -23,187 +23,210 @@
 import org.apache.hc.core5.http.HttpResponse;
 import org.apache.hc.core5.http.message.BasicHttpRequest;
 
-/** The servers' side: carries out dispatches over connections it keeps. All on the decision thread. */
+/** Executes dispatches over connections to the backend servers. All methods are called on the decision thread. */
 public final class BackendServers {
     /**
-     * How long an answer's connection rests before its next call: what a server sends behind an answer comes at once,
-     * and ends the connection if nothing is awaited on it yet.
+     * Delay between a response and the next call on its connection: data that a server sends after its response arrives
+     * immediately and then closes the idle connection instead of being taken for the response to the next call.
      */
-    private static final long SETTLE = 5_000;
-    /** Where something came later or where none should: how long they rest then, and for how long. */
-    private static final long LONG_SETTLE = 25_000;
+    private static final long REUSE_DELAY_MICROS = 5_000;
+    /** Reuse delay for a server that sent unsolicited data, and how long that delay applies. */
+    private static final long LONG_REUSE_DELAY_MICROS = 25_000;
 
-    private static final long CAUTION = 60_000_000;
-    /** Free connections to a server beyond which none is opened ahead, and how long none is after one that failed. */
-    private static final int MOST_FREE = 16;
+    private static final long LONG_REUSE_DELAY_PERIOD_MICROS = 60_000_000;
+    /**
+     * Number of idle connections to a server from which on no spare is opened, and how long none is opened after one
+     * failed.
+     */
+    private static final int MAX_IDLE_FOR_SPARE = 16;
 
-    private static final long SPARE_BAN = 20_000_000;
-    /** An end this soon after an answer is no idle time; and how long idle times of servers are remembered. */
-    private static final long WITH_ANSWER = 50_000;
+    private static final long SPARE_BACKOFF_MICROS = 20_000_000;
+    /** A close this soon after a response shows no idle timeout; and how long observed idle timeouts are used. */
+    private static final long IMMEDIATE_CLOSE_MICROS = 50_000;
 
-    private static final long IDLE_MEMORY = 20_000_000;
-    private static final Pool.Rules POOL =
-            new Pool.Rules(Errand.FRESH, SETTLE, MOST_FREE, SPARE_BAN, LONG_SETTLE, CAUTION, WITH_ANSWER, IDLE_MEMORY);
-    static final String TIME_LEFT = "X-Remaining-Ms";
-    /** Idle connections are looked at no more often. */
-    private static final long SWEEP = 10_000;
+    private static final long OBSERVATION_PERIOD_MICROS = 20_000_000;
+    private static final ConnectionPool.Rules POOL_RULES = new ConnectionPool.Rules(
+            DispatchExecution.NEW_CONNECTION_DELAY_MICROS,
+            REUSE_DELAY_MICROS,
+            MAX_IDLE_FOR_SPARE,
+            SPARE_BACKOFF_MICROS,
+            LONG_REUSE_DELAY_MICROS,
+            LONG_REUSE_DELAY_PERIOD_MICROS,
+            IMMEDIATE_CLOSE_MICROS,
+            OBSERVATION_PERIOD_MICROS);
+    static final String REMAINING_TIME_HEADER = "X-Remaining-Ms";
+    /** Minimum time between two checks of the idle connections. */
+    private static final long MIN_SWEEP_INTERVAL_MICROS = 10_000;
 
     private final DecisionQueue queue;
     private final Counters counters;
-    private final int window;
-    private final Connections connections;
+    private final int windowBytes;
+    private final ConnectionManager connections;
     private final DispatchListener listener;
     private final Map<String, BackendServer> servers = new HashMap<>();
-    private final Map<Dispatch, Errand> out = new HashMap<>();
+    private final Map<Dispatch, DispatchExecution> activeDispatches = new HashMap<>();
     private DecisionQueue.Timer nextSweep;
 
+    /**
+     * Creates an instance without servers; {@code connectionIdleMicros} is the time after which a server drops an idle
+     * connection.
+     */
     public BackendServers(
             Connector connector,
             DecisionQueue queue,
             Counters counters,
-            long connectTimeout,
-            long connectionIdle,
+            long connectTimeoutMicros,
+            long connectionIdleMicros,
             Bounds bounds,
             DispatchListener listener) {
         this.queue = queue;
         this.counters = counters;
-        connections = new Connections(connector, queue, counters, bounds.serverConnections(), servers::values);
-        connections.retune(connectTimeout, connectionIdle);
-        window = bounds.window();
+        connections = new ConnectionManager(connector, queue, counters, bounds.serverConnections(), servers::values);
+        connections.updateTimeouts(connectTimeoutMicros, connectionIdleMicros);
+        windowBytes = bounds.window();
         this.listener = listener;
-        nextSweep = queue.schedule(sweepEvery(), this::sweep);
+        nextSweep = queue.schedule(sweepIntervalMicros(), this::sweep);
     }
 
     /**
-     * New settings; what is under way goes on as it began. Connections free for longer than they allow are closed at
-     * once.
+     * Applies new settings; calls in progress are not affected. Connections idle for longer than the new settings allow
+     * are closed immediately.
      */
-    public void retune(long connectTimeout, long connectionIdle) {
-        connections.retune(connectTimeout, connectionIdle);
+    public void updateTimeouts(long connectTimeoutMicros, long connectionIdleMicros) {
+        connections.updateTimeouts(connectTimeoutMicros, connectionIdleMicros);
         nextSweep.cancel();
         sweep();
     }
 
-    /** Learns or changes a server's address; connections to the one it had are not used again. */
-    public void address(String server, InetSocketAddress address) {
+    /** Adds a server or changes its address; connections to its old address are not reused. */
+    public void setAddress(String server, InetSocketAddress address) {
         BackendServer known = servers.get(server);
         if (known == null || !address.equals(known.address)) {
-            forget(server);
-            servers.put(server, new BackendServer(address, POOL));
+            remove(server);
+            servers.put(server, new BackendServer(address, POOL_RULES));
         }
     }
 
-    /** Whether calls may be begun on a server that is known. */
-    public void wanted(String server, boolean wanted) {
+    /** Sets whether calls may be started on a known server. */
+    public void setEligible(String server, boolean eligible) {
         BackendServer known = servers.get(server);
         if (known != null) {
-            known.unwanted = !wanted;
+            known.excluded = !eligible;
         }
     }
 
-    /** A server's newest start: what was picked for an earlier one is not sent any more. */
-    public void started(String server, long at) {
+    /**
+     * Records the latest start of a server, in microseconds: a dispatch assigned to an earlier start is not sent any
+     * more.
+     */
+    public void recordStart(String server, long startedAtMicros) {
         BackendServer known = servers.get(server);
         if (known != null) {
-            known.startedAt = Math.max(known.startedAt, at);
+            known.startedAtMicros = Math.max(known.startedAtMicros, startedAtMicros);
         }
     }
 
-    /** Forgets a server that is gone; what is out there ends by itself. */
-    public void forget(String server) {
+    /** Removes a server; calls in progress on it continue. */
+    public void remove(String server) {
         BackendServer known = servers.remove(server);
         if (known != null) {
-            known.gone = true;
-            connections.count(known.closeIdleSince(Long.MAX_VALUE));
+            known.removed = true;
+            connections.countClosedIdle(known.closeIdleSince(Long.MAX_VALUE));
         }
     }
 
-    /** Forgets all servers but these. */
-    public void keepOnly(Set<String> listed) {
-        servers.keySet().stream().filter(s -> !listed.contains(s)).toList().forEach(this::forget);
+    /** Removes all servers but these. */
+    public void retainOnly(Set<String> listed) {
+        servers.keySet().stream().filter(id -> !listed.contains(id)).toList().forEach(this::remove);
     }
 
-    public boolean knows(String server) {
+    /** Whether the server is known. */
+    public boolean hasServer(String server) {
         return servers.containsKey(server);
     }
 
-    /** Sends the session to its dispatch's server and waits at most so many microseconds for the answer. */
-    public void send(Dispatch dispatch, long timeout) {
+    /** Executes a dispatch: sends its request to its server and waits at most this long for the response. */
+    public void send(Dispatch dispatch, long timeoutMicros) {
         counters.count(Counter.DISPATCHES_SENT);
         Message message = dispatch.exchange.message;
-        Errand errand = new Errand(
+        DispatchExecution execution = new DispatchExecution(
                 connections,
-                window,
+                windowBytes,
                 servers.get(dispatch.server),
-                request(message, timeout),
+                buildRequest(message, timeoutMicros),
                 dispatch,
-                timeout,
-                new Errand.Course() {
+                timeoutMicros,
+                new DispatchExecution.Listener() {
                     @Override
-                    public void written() {
+                    public void requestWritten() {
                         listener.dispatchWritten();
                     }
 
                     @Override
-                    public void begun(HttpResponse head, Body.Streamed body) {
-                        listener.dispatchBegun(dispatch, new Response.Served(passed(head), body));
+                    public void responseStarted(HttpResponse head, Body.Streamed body) {
+                        listener.dispatchResponseStarted(dispatch, new Response.Served(responseFields(head), body));
                     }
 
                     @Override
-                    public void ended(Outcome outcome, CallResult reply) {
-                        out.remove(dispatch);
-                        // One that had begun has had its answer.
+                    public void ended(Outcome outcome, CallResult result) {
+                        activeDispatches.remove(dispatch);
+                        // A streamed response was already passed on.
                         listener.dispatchEnded(
-                                dispatch, outcome, dispatch.exchange.closed() ? null : answer(outcome, reply));
+                                dispatch, outcome, dispatch.exchange.closed() ? null : finalResponse(outcome, result));
                     }
                 });
-        out.put(dispatch, errand);
-        errand.start();
+        activeDispatches.put(dispatch, execution);
+        execution.start();
     }
 
-    /** Stops waiting: closes the connection that the dispatch is out on. */
+    /** Cancels a dispatch: closes the connection that its call uses. */
     public void cancel(Dispatch dispatch) {
-        Errand errand = out.get(dispatch);
-        if (errand != null) {
-            errand.cancel();
+        DispatchExecution execution = activeDispatches.get(dispatch);
+        if (execution != null) {
+            execution.cancel();
         }
     }
 
     /**
-     * The dispatch's session is over: what has not begun must not begin, whatever the module knows and may withdraw.
+     * Handles the end of the dispatch's session: a call that has not started must not start, even if the decision
+     * module does not cancel the dispatch.
      */
-    public void sessionOver(Dispatch dispatch) {
-        Errand errand = out.get(dispatch);
-        if (errand != null) {
-            errand.sessionOver();
+    public void sessionEnded(Dispatch dispatch) {
+        DispatchExecution execution = activeDispatches.get(dispatch);
+        if (execution != null) {
+            execution.sessionEnded();
         }
     }
 
     /** Closes the idle connections to a server. */
-    public void closeIdle(String server) {
+    public void closeIdleConnections(String server) {
         BackendServer known = servers.get(server);
         if (known != null) {
-            connections.count(known.closeIdleSince(Long.MAX_VALUE));
+            connections.countClosedIdle(known.closeIdleSince(Long.MAX_VALUE));
         }
     }
 
+    /** Closes connections that are idle for too long. */
     private void sweep() {
-        servers.values().forEach(connections::closeTooOld);
-        nextSweep = queue.schedule(sweepEvery(), this::sweep);
+        servers.values().forEach(connections::closeExpired);
+        nextSweep = queue.schedule(sweepIntervalMicros(), this::sweep);
     }
 
-    /** Guards against a thread that does nothing else where servers drop connections almost at once. */
-    private long sweepEvery() {
-        return Math.max(SWEEP, connections.idleTime() / 2);
+    /**
+     * The lower limit keeps the decision thread from doing nothing but sweeps if servers drop idle connections almost
+     * immediately.
+     */
+    private long sweepIntervalMicros() {
+        return Math.max(MIN_SWEEP_INTERVAL_MICROS, connections.maxIdleMicros() / 2);
     }
 
-    private static HttpRequest request(Message message, long timeout) {
-        // The target as it came, not taken apart for a host.
+    private static HttpRequest buildRequest(Message message, long timeoutMicros) {
+        // The target is passed on unchanged rather than parsed for a host.
         HttpRequest request = new BasicHttpRequest(message.method(), null, null, message.target());
         for (Field field : message.fields()) {
             request.addHeader(field.name(), field.value());
         }
-        request.addHeader(TIME_LEFT, Long.toString(Math.max(1, timeout / 1000)));
+        request.addHeader(REMAINING_TIME_HEADER, Long.toString(Math.max(1, timeoutMicros / 1000)));
         if (message.body() instanceof Body.Streamed body) {
             request.addHeader(
                     body.length() < 0 ? "Transfer-Encoding" : "Content-Length",
@@ -215,21 +238,21 @@
         return request;
     }
 
-    /** The session's final answer, where the reply settles it. */
-    private Response answer(Outcome outcome, CallResult reply) {
-        if (outcome == Outcome.CANCELLED && reply != null) {
+    /** The session's final response, or null if the result does not settle it. */
+    private Response finalResponse(Outcome outcome, CallResult result) {
+        if (outcome == Outcome.CANCELLED && result != null) {
             counters.count(Counter.DISPATCHES_REJECTED);
-            return new Response.Rejected(reply.status());
+            return new Response.Rejected(result.status());
         }
-        return outcome == Outcome.OK ? served(reply) : null;
+        return outcome == Outcome.OK ? completeResponse(result) : null;
     }
 
-    private static Response.Served served(CallResult reply) {
-        return new Response.Served(passed(reply.response()), new Body.Buffered(reply.body()));
+    private static Response.Served completeResponse(CallResult result) {
+        return new Response.Served(responseFields(result.response()), new Body.Buffered(result.body()));
     }
 
-    private static List<Field> passed(HttpResponse head) {
-        Header type = head.getFirstHeader("Content-Type");
-        return type == null ? List.of() : List.of(new Field("Content-Type", type.getValue()));
+    private static List<Field> responseFields(HttpResponse head) {
+        Header contentType = head.getFirstHeader("Content-Type");
+        return contentType == null ? List.of() : List.of(new Field("Content-Type", contentType.getValue()));
     }
 }
--- a/balancer/src/main/java/calicochute/backend/DispatchListener.java
+++ b/balancer/src/main/java/calicochute/backend/DispatchListener.java
@@ -4,14 +4,17 @@
 import calicochute.exchange.Dispatch;
 import calicochute.exchange.Response;
 
-/** Hears on the decision thread how dispatches ended, each exactly once; and on an I/O thread what was sent. */
+/**
+ * Receives the events of dispatches. The end of each dispatch is reported exactly once; all methods but
+ * {@link #dispatchWritten} are called on the decision thread.
+ */
 public interface DispatchListener {
-    /** {@code answer} is the session's final answer where this settles it, else null. */
-    void dispatchEnded(Dispatch dispatch, Outcome outcome, Response answer);
+    /** The dispatch ended; {@code response} is the session's final response if this settles it, else null. */
+    void dispatchEnded(Dispatch dispatch, Outcome outcome, Response response);
 
-    /** The session's final answer has begun and is passed on in pieces; {@link #dispatchEnded} tells how it ended. */
-    void dispatchBegun(Dispatch dispatch, Response answer);
+    /** The final response of the session has begun and is streamed; {@link #dispatchEnded} tells how it ended. */
+    void dispatchResponseStarted(Dispatch dispatch, Response response);
 
-    /** A dispatch's last byte has been written; on an I/O thread. */
+    /** The last byte of a dispatch was written; called on an I/O thread. */
     void dispatchWritten();
 }
--- a/balancer/src/main/java/calicochute/discovery/ServerList.java
+++ b/balancer/src/main/java/calicochute/discovery/ServerList.java
@@ -16,23 +16,24 @@
 import java.util.Map;
 import org.apache.hc.core5.net.InetAddressUtils;
 
-/** One answer of discovery: a whole list or the changes since the last, with the servers' addresses. */
+/** One response of discovery: a full list or the changes since the last one, with the addresses of the servers. */
 public record ServerList(
-        long generation, boolean whole, List<Backend> entries, Map<String, InetSocketAddress> addresses) {
-    /** Numbers beyond it turn over once they are microseconds. */
-    private static final BigDecimal GREATEST = BigDecimal.valueOf(1L << 53);
+        long generation, boolean full, List<Backend> entries, Map<String, InetSocketAddress> addresses) {
+    /** Upper limit of numbers: far larger ones overflow when they are converted to microseconds. */
+    private static final BigDecimal MAX_NUMBER = BigDecimal.valueOf(1L << 53);
 
     /**
-     * Changes from before a list of this generation. A whole list is never too old: where discovery began anew, it is
-     * the only way to what is listed now. Nor is an answer that changes nothing.
+     * Whether this is a set of changes older than the current generation. A full list is never too old: it is the only
+     * way to the current state if discovery has started over. A response without changes is not too old either.
      */
-    boolean changesOlderThan(long held) {
-        return !whole && !entries.isEmpty() && generation < held;
+    boolean isOlderUpdate(long currentGeneration) {
+        return !full && !entries.isEmpty() && generation < currentGeneration;
     }
 
     /**
-     * Reads discovery's JSON; anything else is refused as a whole. Of two entries with one id the last counts: among
-     * changes it is the newer. Two ids may have one address; one without a zone is in none of the named ones.
+     * Parses the JSON response of discovery; anything that is not valid is rejected as a whole. Of two entries with one
+     * id the last one counts, because among changes it is the newer. Two ids may have the same address; an entry
+     * without a zone belongs to none of the named zones.
      */
     public static ServerList parse(String json) throws SettingsException {
         try {
@@ -40,24 +41,24 @@
             Map<String, Backend> entries = new LinkedHashMap<>();
             Map<String, InetSocketAddress> addresses = new HashMap<>();
             for (JsonElement element : root.getAsJsonArray("instances")) {
-                JsonObject o = element.getAsJsonObject();
-                String id = o.get("instanceId").getAsString();
-                BackendState state = state(o.get("lifecycle").getAsString());
+                JsonObject instance = element.getAsJsonObject();
+                String id = instance.get("instanceId").getAsString();
+                BackendState state = state(instance.get("lifecycle").getAsString());
                 if (state == BackendState.GONE) {
                     addresses.remove(id);
                 } else {
-                    addresses.put(id, address(o.get("hostPort").getAsString()));
+                    addresses.put(id, address(instance.get("hostPort").getAsString()));
                 }
                 entries.put(
                         id,
                         new Backend(
                                 id,
-                                text(o, "zone"),
-                                o.has("cell") ? o.get("cell").getAsInt() : 0,
-                                o.has("weight") ? o.get("weight").getAsDouble() : 1,
+                                text(instance, "zone"),
+                                instance.has("cell") ? instance.get("cell").getAsInt() : 0,
+                                instance.has("weight") ? instance.get("weight").getAsDouble() : 1,
                                 state,
-                                o.has("startedAtMs") ? number(o, "startedAtMs") * 1000 : 0,
-                                text(o, "machineType")));
+                                instance.has("startedAtMs") ? number(instance, "startedAtMs") * 1000 : 0,
+                                text(instance, "machineType")));
             }
             return new ServerList(
                     number(root, "generation"),
@@ -74,7 +75,7 @@
     }
 
     /**
-     * Guards against a name lookup on the decision thread, however long that takes: lists hold numbers, never names.
+     * Accepts numeric addresses only, as lists contain no host names: a name lookup would block the decision thread.
      */
     private static InetSocketAddress address(String text) throws SettingsException {
         String host = text.substring(0, Math.max(0, text.lastIndexOf(':')));
@@ -87,8 +88,8 @@
 
     private static long number(JsonObject from, String name) throws SettingsException {
         BigDecimal number = from.get(name).getAsBigDecimal();
-        if (number.abs().compareTo(GREATEST) > 0) {
-            throw new SettingsException(name + " is over " + GREATEST + ": " + number);
+        if (number.abs().compareTo(MAX_NUMBER) > 0) {
+            throw new SettingsException(name + " is over " + MAX_NUMBER + ": " + number);
         }
         return number.longValue();
     }
@@ -97,12 +98,12 @@
         return from.has(name) ? from.get(name).getAsString() : "";
     }
 
-    private static BackendState state(String word) throws SettingsException {
-        return switch (word) {
+    private static BackendState state(String value) throws SettingsException {
+        return switch (value) {
             case "Ready" -> BackendState.READY;
             case "Terminating" -> BackendState.DRAINING;
             case "Gone" -> BackendState.GONE;
-            default -> throw new SettingsException(Code.SERVER_LIST, "lifecycle", "unknown word '" + word + "'");
+            default -> throw new SettingsException(Code.SERVER_LIST, "lifecycle", "unknown lifecycle '" + value + "'");
         };
     }
 }
--- a/balancer/src/main/java/calicochute/node/Membership.java
+++ b/balancer/src/main/java/calicochute/node/Membership.java
@@ -6,8 +6,8 @@
 import calicochute.decision.Balancer.BackendList;
 import calicochute.decision.Balancer.BackendState;
 import calicochute.decision.Balancer.ListKind;
-import calicochute.discovery.ListListener;
 import calicochute.discovery.ServerList;
+import calicochute.discovery.ServerListListener;
 import calicochute.exchange.DecisionQueue;
 import calicochute.fleet.FleetPart;
 import calicochute.metrics.Figures;
@@ -28,7 +28,7 @@
  * What the module is told of backend servers: discovery's word with the operators' on top. The file that holds the
  * latter is read and written on a thread of its own; all else happens on the decision thread.
  */
-final class Membership implements ListListener {
+final class Membership implements ServerListListener {
     /** How often the file is looked at: another process of this balancer may have changed it. */
     private static final long LOOK_MS = 100;
 
@@ -79,28 +79,28 @@
     }
 
     @Override
-    public void listed(ServerList list) {
+    public void serverListReceived(ServerList list) {
         Log.info(
                 "list",
-                "generation=" + list.generation() + " whole=" + list.whole() + " entries="
+                "generation=" + list.generation() + " whole=" + list.full() + " entries="
                         + list.entries().size());
-        list(list.whole() ? ListKind.FULL : ListKind.CHANGES, list);
+        list(list.full() ? ListKind.FULL : ListKind.CHANGES, list);
     }
 
     @Override
-    public void unavailable() {
+    public void discoveryUnavailable() {
         subscribed = false;
         module.accept(new BackendList(ListKind.UNAVAILABLE, List.of()));
     }
 
     private void list(ListKind kind, ServerList list) {
-        list.addresses().forEach(backend::address);
+        list.addresses().forEach(backend::setAddress);
         List<Backend> entries = overlay.told(kind != ListKind.CHANGES, list.entries());
         tell(kind, entries);
         if (kind != ListKind.CHANGES) {
-            backend.keepOnly(list.addresses().keySet());
+            backend.retainOnly(list.addresses().keySet());
         }
-        list.entries().stream().filter(e -> e.state() == BackendState.GONE).forEach(e -> backend.forget(e.id()));
+        list.entries().stream().filter(e -> e.state() == BackendState.GONE).forEach(e -> backend.remove(e.id()));
         any |= !list.addresses().isEmpty();
     }
 
@@ -108,8 +108,8 @@
         subscribed = kind != ListKind.RESTORED;
         // Before the module acts on it: what waits for a connection is looked at once more before its first byte.
         entries.forEach(e -> {
-            backend.wanted(e.id(), e.state() == BackendState.READY);
-            backend.started(e.id(), e.startedAt());
+            backend.setEligible(e.id(), e.state() == BackendState.READY);
+            backend.recordStart(e.id(), e.startedAt());
         });
         fleet.listed(kind, entries);
         module.accept(new BackendList(kind, entries));
--- a/balancer/src/main/java/calicochute/node/ModuleActions.java
+++ b/balancer/src/main/java/calicochute/node/ModuleActions.java
@@ -3,7 +3,7 @@
 import calicochute.backend.BackendServers;
 import calicochute.decision.Balancer;
 import calicochute.decision.Balancer.Outcome;
-import calicochute.discovery.Discovery;
+import calicochute.discovery.DiscoveryClient;
 import calicochute.exchange.DecisionQueue;
 import calicochute.exchange.Dispatch;
 import calicochute.exchange.Exchange;
@@ -19,7 +19,7 @@
     private final Map<Long, Exchange> open;
 
     private final BackendServers backend;
-    private final Discovery discovery;
+    private final DiscoveryClient discovery;
     private final DecisionQueue queue;
     private final Counters counters;
 
@@ -27,7 +27,7 @@
             Node node,
             Map<Long, Exchange> open,
             BackendServers backend,
-            Discovery discovery,
+            DiscoveryClient discovery,
             DecisionQueue queue,
             Counters counters) {
         this.node = node;
@@ -48,7 +48,7 @@
         long now = queue.now();
         long notAfter = node.repeatableUntil(exchange);
         boolean legal = !exchange.closed()
-                && backend.knows(server)
+                && backend.hasServer(server)
                 && timeout > 0
                 && now < notAfter
                 && exchange.dispatchCount() < exchange.limits.maxAttempts();
@@ -99,7 +99,7 @@
 
     @Override
     public void subscribe(boolean on) {
-        discovery.subscribe(on);
+        discovery.setSubscribed(on);
     }
 
     @Override
@@ -114,7 +114,7 @@
 
     @Override
     public void closeIdle(String server) {
-        backend.closeIdle(server);
+        backend.closeIdleConnections(server);
     }
 
     @Override
--- a/balancer/src/main/java/calicochute/node/Node.java
+++ b/balancer/src/main/java/calicochute/node/Node.java
@@ -7,7 +7,7 @@
 import calicochute.decision.Balancer;
 import calicochute.decision.Balancer.Outcome;
 import calicochute.decision.Balancer.Settings;
-import calicochute.discovery.Discovery;
+import calicochute.discovery.DiscoveryClient;
 import calicochute.discovery.ServerList;
 import calicochute.exchange.Body;
 import calicochute.exchange.DecisionQueue;
@@ -58,7 +58,7 @@
     private final DecisionQueue queue;
     private final Connector connector = new Connector();
     private final BackendServers backend;
-    private final Discovery discovery;
+    private final DiscoveryClient discovery;
     private final Membership membership;
     private final Frontend frontend;
     private final AdminServer admin;
@@ -102,7 +102,7 @@
                 configuration.bounds(),
                 this);
         membership = new Membership(backend, figures, queue, new OutageFile(shared, settings.tier()), this::tell);
-        discovery = new Discovery(connector, queue, counters, configuration.discovery(), membership, settings);
+        discovery = new DiscoveryClient(connector, queue, counters, configuration.discovery(), membership, settings);
         fleet = FleetStart.of(configuration, queue, () -> succession, this::tell);
         actions = new ModuleActions(this, open, backend, discovery, queue, counters);
         membership.also(fleet);
@@ -160,7 +160,7 @@
         queue.post(() -> {
             succession = next;
             next.classes().forEach(c -> figures.listClass(c.name()));
-            backend.retune(changed.settings().limits().connectTimeout(), changed.connectionIdle());
+            backend.updateTimeouts(changed.settings().limits().connectTimeout(), changed.connectionIdle());
             tell(new Balancer.Retuned(next.forModule()));
             counters.count(Counter.RELOADS);
             figures.reloaded(true);
@@ -170,8 +170,8 @@
                             + changed.settings().classes().stream()
                                     .map(Balancer.RequestClass::name)
                                     .toList());
-            discovery.move(changed.discovery());
-            discovery.retune(changed.settings());
+            discovery.moveTo(changed.discovery());
+            discovery.updateSettings(changed.settings());
             if (staff.presence().state() == Presence.State.ENDING) {
                 // The platform ends this process by the deadlines it has just told.
                 endBy();
@@ -191,11 +191,11 @@
 
     private void restore(ServerList known) {
         if (known != null) {
-            discovery.startFrom(known.generation());
+            discovery.resumeFrom(known.generation());
         }
         membership.restored(known == null ? new ServerList(0, true, List.of(), Map.of()) : known);
         if (!configuration.settings().subscribes()) {
-            discovery.begin();
+            discovery.start();
         }
     }
 
@@ -336,7 +336,7 @@
      */
     private void sessionOver(Exchange exchange) {
         tell(new Balancer.ClientGone(exchange.id));
-        exchange.pendingDispatches().forEach(backend::sessionOver);
+        exchange.pendingDispatches().forEach(backend::sessionEnded);
     }
 
     void answer(Exchange exchange, Response answer) {
@@ -404,7 +404,7 @@
     }
 
     @Override
-    public void dispatchBegun(Dispatch dispatch, Response answer) {
+    public void dispatchResponseStarted(Dispatch dispatch, Response answer) {
         Exchange exchange = dispatch.exchange;
         exchange.setStreamingResponse(true);
         if (!exchange.respond(answer)) {
--- /dev/null
+++ b/balancer/src/main/java/calicochute/pool/package-info.java
@@ -0,0 +1,2 @@
+/** The pool of idle connections to one backend server. */
+package calicochute.pool;
--- a/balancer/src/test/java/calicochute/backend/BackendServersTest.java
+++ b/balancer/src/test/java/calicochute/backend/BackendServersTest.java
@@ -27,120 +27,119 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Dispatches step by step: the test is the decision thread, on real connections. */
-class BackendServersTest extends ByHand {
-    /** A dispatch's time runs from its sending, however long this side takes to prepare it. */
+/** Tests of dispatches step by step: the test is the decision thread, on real connections. */
+class BackendServersTest extends BackendTestBase {
+    /** The time limit of a dispatch counts from its creation, however long this side takes to prepare the call. */
     @Test
-    void theTimeOutIsDueOnTimeAfterASlowStart() {
+    void timeoutCountsFromDispatchCreation() {
         try (Connector connector = new Connector()) {
             BackendServers servers = servers(connector, 1);
             Dispatch dispatch = dispatch();
             queue.now();
             servers.send(dispatch, 100_000);
-            assertEquals(dispatch.sentAt + 100_000, queue.dueAt.get(1), "the first alarm is the sweep's");
+            assertEquals(dispatch.sentAt + 100_000, queue.dueTimes.get(1), "the first timer is the sweep");
         }
     }
 
-    private void checkHeldBack(long timeout, boolean kept, Consumer<BackendServers> takeOut)
+    private void checkNotSent(long timeoutMicros, boolean reused, Consumer<BackendServers> makeIneligible)
             throws IOException, InterruptedException {
         try (Connector connector = new Connector();
                 ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             connector.start();
             listener.setSoTimeout(30_000);
             BackendServers servers = servers(connector, listener.getLocalPort());
-            servers.send(dispatch(), timeout);
+            servers.send(dispatch(), timeoutMicros);
             Socket socket = listener.accept();
             socket.setSoTimeout(30_000);
             queue.posted.poll(30, TimeUnit.SECONDS).run();
-            takeOut.accept(servers);
-            queue.alarms.get(queue.alarms.size() - 1).run();
+            makeIneligible.accept(servers);
+            queue.timerTasks.get(queue.timerTasks.size() - 1).run();
             assertEquals(List.of(Outcome.MOOT), outcomes);
-            if (kept) {
+            if (reused) {
                 servers.send(dispatch("/next"), 100_000);
-                BufferedReader in =
+                BufferedReader reader =
                         new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
                 assertEquals(
                         "GET /next HTTP/1.1",
-                        in.readLine(),
-                        "nothing was sent before, and the connection serves the next");
+                        reader.readLine(),
+                        "nothing was sent before, and the connection is reused");
             } else {
-                assertTrue(endedUnused(socket), "nothing was sent, and the connection ended");
+                assertTrue(closedWithoutData(socket), "nothing was sent, and the connection was closed");
             }
             socket.close();
         }
     }
 
     /**
-     * What waits for its connection is not begun once its server or its session is out, in each of the ways they can
-     * be.
+     * A dispatch that waits for its connection is not sent once its server or its session is not eligible any more, for
+     * each reason.
      */
     @ParameterizedTest
     @ValueSource(
             strings = {
-                "out by hand or draining",
-                "not on a whole list",
-                "gone",
+                "excluded",
+                "not on a full list",
+                "removed",
                 "moved",
-                "started anew",
+                "restarted",
                 "client gone",
-                "session answered",
+                "response sent",
                 "too late to be repeated",
-                "out of time"
+                "timed out"
             })
-    void aCallThatWaitedIsHeldBack(String how) throws Exception {
-        boolean kept = Set.of(
-                        "client gone", "session answered", "too late to be repeated", "out of time", "started anew")
-                .contains(how);
-        checkHeldBack(how.startsWith("too late") ? 10_000_000 : 100_000, kept, servers -> {
-            switch (how) {
-                case "not on a whole list" -> servers.keepOnly(Set.of());
-                case "gone" -> servers.forget("s");
-                case "started anew" -> servers.started("s", 1);
+    void waitingDispatchIsNotSent(String reason) throws Exception {
+        boolean reused = Set.of("client gone", "response sent", "too late to be repeated", "timed out", "restarted")
+                .contains(reason);
+        checkNotSent(reason.startsWith("too late") ? 10_000_000 : 100_000, reused, servers -> {
+            switch (reason) {
+                case "not on a full list" -> servers.retainOnly(Set.of());
+                case "removed" -> servers.remove("s");
+                case "restarted" -> servers.recordStart("s", 1);
                 case "client gone" -> exchange.markClientGone();
-                case "session answered" -> exchange.respond(new Response.Failed(true));
-                case "too late to be repeated" -> queue.now += WINDOW;
-                case "out of time" -> queue.now += 100_000;
-                case "moved" -> servers.address("s", new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
-                default -> servers.wanted("s", false);
+                case "response sent" -> exchange.respond(new Response.Failed(true));
+                case "too late to be repeated" -> queue.now += SEND_WINDOW_MICROS;
+                case "timed out" -> queue.now += 100_000;
+                case "moved" -> servers.setAddress("s", new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
+                default -> servers.setEligible("s", false);
             }
         });
     }
 
     /**
-     * A handshake that is late is not lost: after half the time a second is tried beside it, and both serve what comes
-     * next.
+     * A late handshake is not lost: after half the connect timeout a second connection is opened, and both serve later
+     * dispatches.
      */
     @Test
-    void connectionsThatComeUpLateServeTheNext() throws Exception {
+    void overdueConnectionsServeLaterDispatches() throws Exception {
         try (Connector connector = new Connector();
                 ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             connector.start();
             listener.setSoTimeout(30_000);
-            List<Socket> ahead = fill(listener);
+            List<Socket> fillers = fillBacklog(listener);
             BackendServers servers = servers(connector, listener.getLocalPort(), 30_000_000);
             servers.send(dispatch(), 60_000_000);
-            int late = queue.alarms.size() - 2;
-            queue.alarms.get(late + 1).run();
-            queue.alarms.get(late).run();
+            int connectTimer = queue.timerTasks.size() - 2;
+            queue.timerTasks.get(connectTimer + 1).run();
+            queue.timerTasks.get(connectTimer).run();
             assertTrue(outcomes.isEmpty());
-            queue.alarms.get(late + 3).run();
+            queue.timerTasks.get(connectTimer + 3).run();
             assertEquals(List.of(Outcome.CONNECT_FAILED), outcomes);
-            for (Socket socket : ahead) {
+            for (Socket socket : fillers) {
                 listener.accept().close();
                 socket.close();
             }
-            try (Socket one = listener.accept();
-                    Socket other = listener.accept()) {
-                one.setSoTimeout(30_000);
-                other.setSoTimeout(30_000);
+            try (Socket first = listener.accept();
+                    Socket second = listener.accept()) {
+                first.setSoTimeout(30_000);
+                second.setSoTimeout(30_000);
                 runPosted();
                 runPosted();
                 servers.send(dispatch(), 60_000_000);
                 servers.send(dispatch(), 60_000_000);
                 assertEquals(
                         "GG",
-                        "" + (char) one.getInputStream().read()
-                                + (char) other.getInputStream().read());
+                        "" + (char) first.getInputStream().read()
+                                + (char) second.getInputStream().read());
             }
             assertEquals(
                     List.of(2L, 1L, 1L, 2L),
@@ -155,11 +154,11 @@
     }
 
     /**
-     * A server ended an idle connection: the next call is not written to one that is nearly as old, but still to a
-     * younger one.
+     * The server closed an idle connection: the next call does not use one that has been idle for nearly as long, but
+     * still uses a younger one.
      */
     @Test
-    void noCallIsWrittenToAConnectionAboutToEnd() throws Exception {
+    void connectionAboutToBeClosedIsNotUsed() throws Exception {
         try (Connector connector = new Connector();
                 ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             connector.start();
@@ -167,7 +166,7 @@
             BackendServers servers = servers(connector, listener.getLocalPort());
             Socket first = serve(servers, listener, null);
             queue.now += 300_000;
-            endedBy(first, 1);
+            closeAndAwaitEvent(first, 1);
             serve(servers, listener, null);
             queue.now += 200_000;
             Socket third = serve(servers, listener, null);
@@ -182,11 +181,11 @@
     }
 
     /**
-     * A reload with a shorter idle time counts at once: what has been free for longer is closed, and none is lent past
-     * it between two sweeps.
+     * A reload with a shorter idle time applies immediately: connections idle for longer are closed, and none is leased
+     * past it between two sweeps.
      */
     @Test
-    void aShorterIdleTimeCountsAtOnce() throws Exception {
+    void shorterIdleTimeAppliesImmediately() throws Exception {
         try (Connector connector = new Connector();
                 ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             connector.start();
@@ -196,42 +195,42 @@
             queue.now += 5_000_000;
             serve(servers, listener, first);
             queue.now += 5_000_000;
-            servers.retune(500_000, 6_000_000);
+            servers.updateTimeouts(500_000, 6_000_000);
             assertEquals(1, counters.get(Counter.CONNECTIONS_CLOSED_IDLE));
-            assertTrue(endedUnused(first));
+            assertTrue(closedWithoutData(first));
             Socket second = serve(servers, listener, null);
             queue.now += 1_500_000;
             serve(servers, listener, second);
             queue.now += 2_000_000;
             Socket third = serve(servers, listener, null);
-            assertEquals(2, counters.get(Counter.CONNECTIONS_CLOSED_IDLE), "no sweep has come yet");
-            servers.retune(500_000, 60_000_000);
+            assertEquals(2, counters.get(Counter.CONNECTIONS_CLOSED_IDLE), "no sweep has run yet");
+            servers.updateTimeouts(500_000, 60_000_000);
             queue.now += 10_000_000;
             serve(servers, listener, third);
             assertEquals(3, counters.get(Counter.CONNECTIONS_OPENED));
         }
     }
 
-    /** A server that ends its connections right behind its answers is trusted with none for a while. */
+    /** If a server closes its connections immediately after responses, none is reused for a while. */
     @Test
-    void connectionsAreNotKeptForAServerThatEndsThemAtOnce() throws Exception {
+    void immediateClosesDisableReuse() throws Exception {
         try (Connector connector = new Connector();
                 ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             connector.start();
             listener.setSoTimeout(30_000);
             BackendServers servers = servers(connector, listener.getLocalPort());
             for (int i = 1; i <= 6; i++) {
-                endedBy(serve(servers, listener, null), i);
+                closeAndAwaitEvent(serve(servers, listener, null), i);
             }
             for (int i = 0; i < 3; i++) {
-                assertTrue(endedUnused(serve(servers, listener, null)), "not kept");
+                assertTrue(closedWithoutData(serve(servers, listener, null)), "not reused");
             }
         }
     }
 
-    /** What waits for a connection of its own takes one that comes free before it. */
+    /** A dispatch that waits for a new connection takes one that is returned earlier. */
     @Test
-    void aConnectionThatComesFreeServesWhatWaits() throws Exception {
+    void returnedConnectionServesWaitingDispatch() throws Exception {
         try (Connector connector = new Connector();
                 ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             connector.start();
@@ -241,65 +240,66 @@
             try (Socket socket = listener.accept()) {
                 socket.setSoTimeout(30_000);
                 runPosted();
-                queue.alarms.get(queue.alarms.size() - 1).run();
-                BufferedReader in =
+                queue.timerTasks.get(queue.timerTasks.size() - 1).run();
+                BufferedReader reader =
                         new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-                assertEquals("GET / HTTP/1.1", in.readLine());
-                List<Socket> ahead = fill(listener);
+                assertEquals("GET / HTTP/1.1", reader.readLine());
+                List<Socket> fillers = fillBacklog(listener);
                 servers.send(dispatch(), 60_000_000);
                 socket.getOutputStream()
                         .write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                 while (outcomes.isEmpty()) {
                     runPosted();
                 }
-                queue.alarms.get(queue.alarms.size() - 1).run();
-                assertTrue(in.readLine().startsWith("X-Remaining-Ms"));
-                assertEquals("", in.readLine());
-                assertEquals("GET / HTTP/1.1", in.readLine());
-                for (Socket one : ahead) {
-                    one.close();
+                queue.timerTasks.get(queue.timerTasks.size() - 1).run();
+                assertTrue(reader.readLine().startsWith("X-Remaining-Ms"));
+                assertEquals("", reader.readLine());
+                assertEquals("GET / HTTP/1.1", reader.readLine());
+                for (Socket filler : fillers) {
+                    filler.close();
                 }
             }
         }
     }
 
     /**
-     * Late connections don't take the room of a dispatch: they are given up for it, and second ones leave half of it.
+     * Overdue connections do not use up the connection limit: they are cancelled for a dispatch, and second connections
+     * leave half of the limit.
      */
     @Test
-    void lateConnectionsGiveWay() throws Exception {
+    void overdueConnectionsAreCancelledForDispatches() throws Exception {
         try (Connector connector = new Connector();
                 ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             connector.start();
-            List<Socket> ahead = fill(listener);
+            List<Socket> fillers = fillBacklog(listener);
             BackendServers servers = servers(connector, listener.getLocalPort(), 30_000_000);
-            int room = Bounds.of(64, false, 64).serverConnections();
-            for (int i = 0; i <= room; i++) {
-                servers.address(
+            int limit = Bounds.of(64, false, 64).serverConnections();
+            for (int i = 0; i <= limit; i++) {
+                servers.setAddress(
                         "s" + i, new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort()));
-                int first = queue.alarms.size();
+                int firstTimer = queue.timerTasks.size();
                 dispatch();
                 servers.send(exchange.addDispatch("s" + i, queue.now(), Long.MAX_VALUE), 60_000_000);
                 while (!queue.posted.isEmpty()) {
                     runPosted();
                 }
-                assertEquals(i, outcomes.size(), "there is room for this one");
-                // Half of its time, all of it, and the connection's.
-                queue.alarms.get(first + 2).run();
-                queue.alarms.get(queue.alarms.size() - 1).run();
-                queue.alarms.get(first + 1).run();
+                assertEquals(i, outcomes.size(), "the limit leaves room for this one");
+                // Half of the connect timeout, all of it, and the timeout of the connection itself.
+                queue.timerTasks.get(firstTimer + 2).run();
+                queue.timerTasks.get(queue.timerTasks.size() - 1).run();
+                queue.timerTasks.get(firstTimer + 1).run();
                 assertEquals(i + 1, outcomes.size());
             }
-            assertEquals(room / 4, counters.get(Counter.CONNECTIONS_TRIED_AGAIN));
-            for (Socket socket : ahead) {
+            assertEquals(limit / 4, counters.get(Counter.CONNECTIONS_TRIED_AGAIN));
+            for (Socket socket : fillers) {
                 socket.close();
             }
         }
     }
 
-    /** Connections that servers end make room again: the bound is on those there are, not on those there were. */
+    /** Connections closed by servers do not count towards the limit, which applies to open connections only. */
     @Test
-    void endedConnectionsLeaveTheBound() throws Exception {
+    void closedConnectionsDoNotCountTowardsLimit() throws Exception {
         try (Connector connector = new Connector();
                 ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             connector.start();
@@ -309,25 +309,27 @@
                 servers.send(dispatch(), 100_000);
                 Socket socket = listener.accept();
                 queue.posted.poll(30, TimeUnit.SECONDS).run();
-                Runnable begin = queue.alarms.get(queue.alarms.size() - 1);
+                Runnable startCall = queue.timerTasks.get(queue.timerTasks.size() - 1);
                 socket.close();
                 queue.posted.poll(30, TimeUnit.SECONDS).run();
-                begin.run();
+                startCall.run();
                 assertEquals(i, outcomes.size());
             }
         }
     }
 
-    /**
-     * Servers that drop idle connections almost at once must not keep the decision thread sweeping and nothing else.
-     */
+    /** If servers drop idle connections almost immediately, the decision thread must not be kept busy by sweeps. */
     @Test
-    void sweepsAreSpacedHoweverShortTheIdleTime() {
+    void sweepIntervalHasLowerLimit() {
         try (Connector connector = new Connector()) {
             new BackendServers(connector, queue, new Counters(), 500_000, 1, Bounds.of(256, false, 64), null);
-            assertTrue(queue.dueAt.get(0) - queue.now() >= 10_000 - 2 * HandQueue.STEP, () -> "" + queue.dueAt);
-            queue.alarms.get(0).run();
-            assertTrue(queue.dueAt.get(1) - queue.now() >= 10_000 - 2 * HandQueue.STEP, () -> "" + queue.dueAt);
+            assertTrue(
+                    queue.dueTimes.get(0) - queue.now() >= 10_000 - 2 * ManualDecisionQueue.STEP_MICROS,
+                    () -> "" + queue.dueTimes);
+            queue.timerTasks.get(0).run();
+            assertTrue(
+                    queue.dueTimes.get(1) - queue.now() >= 10_000 - 2 * ManualDecisionQueue.STEP_MICROS,
+                    () -> "" + queue.dueTimes);
         }
     }
 }
--- a/balancer/src/test/java/calicochute/backend/ByHand.java
+++ b/balancer/src/test/java/calicochute/backend/BackendTestBase.java
@@ -30,24 +30,25 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** What tests of dispatches share in which the test itself is the decision thread, on real connections. */
-abstract class ByHand {
+/** Base of the tests of dispatches in which the test itself is the decision thread, on real connections. */
+abstract class BackendTestBase {
     /**
-     * A clock that goes on by a step at each look, as on a machine short of processor time; tasks are run by the test.
+     * A queue whose clock advances by a step at each reading, as on a machine short of processor time; the test runs
+     * the tasks.
      */
-    static final class HandQueue implements DecisionQueue {
-        static final long STEP = 3_000;
-        /** 0 for a clock that stands still unless the test moves it. */
-        long step = STEP;
+    static final class ManualDecisionQueue implements DecisionQueue {
+        static final long STEP_MICROS = 3_000;
+        /** 0 for a clock that only the test moves. */
+        long stepMicros = STEP_MICROS;
 
         final BlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
-        final List<Long> dueAt = new ArrayList<>();
-        final List<Runnable> alarms = new ArrayList<>();
+        final List<Long> dueTimes = new ArrayList<>();
+        final List<Runnable> timerTasks = new ArrayList<>();
         long now = 1_000_000;
 
         @Override
         public long now() {
-            return now += step;
+            return now += stepMicros;
         }
 
         @Override
@@ -57,16 +58,16 @@
 
         @Override
         public Timer schedule(long micros, Runnable task) {
-            dueAt.add(now + micros);
-            alarms.add(task);
+            dueTimes.add(now + micros);
+            timerTasks.add(task);
             return () -> {};
         }
     }
 
-    /** For how long a dispatch may be sent. */
-    static final long WINDOW = 1_000_000;
+    /** How long a dispatch may be sent, in microseconds. */
+    static final long SEND_WINDOW_MICROS = 1_000_000;
 
-    final HandQueue queue = new HandQueue();
+    final ManualDecisionQueue queue = new ManualDecisionQueue();
     final List<Outcome> outcomes = new ArrayList<>();
 
     Exchange exchange;
@@ -86,8 +87,8 @@
                 false,
                 queue.now(),
                 900_000,
-                a -> {});
-        return exchange.addDispatch("s", queue.now(), queue.now + WINDOW);
+                response -> {});
+        return exchange.addDispatch("s", queue.now(), queue.now + SEND_WINDOW_MICROS);
     }
 
     final Counters counters = new Counters();
@@ -96,31 +97,31 @@
         return servers(connector, port, 500_000);
     }
 
-    BackendServers servers(Connector connector, int port, long connectTimeout) {
+    BackendServers servers(Connector connector, int port, long connectTimeoutMicros) {
         BackendServers servers = new BackendServers(
                 connector,
                 queue,
                 counters,
-                connectTimeout,
+                connectTimeoutMicros,
                 30_000_000,
                 Bounds.of(64, false, 64),
                 new DispatchListener() {
                     @Override
-                    public void dispatchBegun(Dispatch dispatch, Response answer) {}
+                    public void dispatchResponseStarted(Dispatch dispatch, Response response) {}
 
                     @Override
-                    public void dispatchEnded(Dispatch dispatch, Outcome outcome, Response answer) {
+                    public void dispatchEnded(Dispatch dispatch, Outcome outcome, Response response) {
                         outcomes.add(outcome);
                     }
 
                     @Override
                     public void dispatchWritten() {}
                 });
-        servers.address("s", new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+        servers.setAddress("s", new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         return servers;
     }
 
-    static boolean endedUnused(Socket socket) throws IOException {
+    static boolean closedWithoutData(Socket socket) throws IOException {
         try {
             return socket.getInputStream().read() < 0;
         } catch (SocketException e) {
@@ -128,8 +129,8 @@
         }
     }
 
-    /** Connections to it don't come up until those before them are accepted. */
-    static List<Socket> fill(ServerSocket listener) throws IOException {
+    /** Fills the accept backlog: further connections are not established until these are accepted. */
+    static List<Socket> fillBacklog(ServerSocket listener) throws IOException {
         return List.of(
                 new Socket(listener.getInetAddress(), listener.getLocalPort()),
                 new Socket(listener.getInetAddress(), listener.getLocalPort()));
@@ -140,60 +141,63 @@
     }
 
     /**
-     * Sends one more, over this connection or, if null, over a new one, which is returned; it is answered and the
-     * connection is free again.
+     * Sends one more dispatch over the existing connection, or over a new one if that is null; the dispatch is answered
+     * and its connection, which is returned, is idle again.
      */
-    Socket serve(BackendServers servers, ServerSocket listener, Socket kept) throws Exception {
-        int before = outcomes.size();
+    Socket serve(BackendServers servers, ServerSocket listener, Socket existing) throws Exception {
+        int outcomeIndex = outcomes.size();
         servers.send(dispatch(), 60_000_000);
-        Socket socket = kept;
-        if (kept == null) {
+        Socket socket = existing;
+        if (existing == null) {
             socket = listener.accept();
             socket.setSoTimeout(30_000);
-            int sent = queue.alarms.size();
-            while (queue.alarms.size() == sent) {
+            int firstTimer = queue.timerTasks.size();
+            while (queue.timerTasks.size() == firstTimer) {
                 runPosted();
             }
-            queue.alarms.get(sent).run();
+            queue.timerTasks.get(firstTimer).run();
         }
-        answer(socket, before);
+        respond(socket, outcomeIndex);
         return socket;
     }
 
-    /** Reads a request up to the empty line behind its head. */
+    /** Reads a request up to the end of its head. */
     static void readRequest(Socket socket) throws IOException {
-        BufferedReader in =
+        BufferedReader reader =
                 new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-        assertEquals("GET / HTTP/1.1", in.readLine());
-        assertTrue(in.readLine().startsWith("X-Remaining-Ms: "));
-        assertEquals("", in.readLine());
+        assertEquals("GET / HTTP/1.1", reader.readLine());
+        assertTrue(reader.readLine().startsWith("X-Remaining-Ms: "));
+        assertEquals("", reader.readLine());
     }
 
-    /** Answers what has been sent there, as the outcome of that number. */
-    void answer(Socket socket, int before) throws Exception {
+    /** Responds to the request sent on the socket and awaits its outcome, which has this index. */
+    void respond(Socket socket, int outcomeIndex) throws Exception {
         readRequest(socket);
         socket.getOutputStream()
                 .write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        while (outcomes.size() == before) {
+        while (outcomes.size() == outcomeIndex) {
             runPosted();
         }
-        assertEquals(Outcome.OK, outcomes.get(before));
+        assertEquals(Outcome.OK, outcomes.get(outcomeIndex));
     }
 
-    /** The alarm set since then that is due in so long, on a clock that stands still. */
-    Runnable alarmIn(long micros, int since) {
-        for (int i = since; i < queue.alarms.size(); i++) {
-            if (queue.dueAt.get(i) == queue.now + micros) {
-                return queue.alarms.get(i);
+    /**
+     * The timer task scheduled since {@code firstTimer} that is due in this many microseconds, on a clock that stands
+     * still.
+     */
+    Runnable timerDueIn(long micros, int firstTimer) {
+        for (int i = firstTimer; i < queue.timerTasks.size(); i++) {
+            if (queue.dueTimes.get(i) == queue.now + micros) {
+                return queue.timerTasks.get(i);
             }
         }
-        throw new AssertionError("none is due in " + micros + " at " + queue.now + ": "
-                + queue.dueAt.subList(since, queue.dueAt.size()));
+        throw new AssertionError("no timer is due in " + micros + " us at " + queue.now + ": "
+                + queue.dueTimes.subList(firstTimer, queue.dueTimes.size()));
     }
 
-    void endedBy(Socket socket, int early) throws Exception {
+    void closeAndAwaitEvent(Socket socket, int expectedCloses) throws Exception {
         socket.close();
-        while (counters.get(Counter.CONNECTIONS_ENDED_EARLY) < early) {
+        while (counters.get(Counter.CONNECTIONS_ENDED_EARLY) < expectedCloses) {
             runPosted();
         }
     }
--- a/balancer/src/test/java/calicochute/discovery/ServerListTest.java
+++ b/balancer/src/test/java/calicochute/discovery/ServerListTest.java
@@ -12,7 +12,7 @@
             + "\"hostPort\":\"10.1.0.18:9000\",\"lifecycle\":\"Ready\"}]}";
 
     @Test
-    void numbersAreTaken() throws Exception {
+    void numericAddressesAreAccepted() throws Exception {
         assertEquals("10.1.0.18", ServerList.parse(LIST).addresses().get("a").getHostString());
         assertEquals(
                 9000,
@@ -22,22 +22,22 @@
                         .getPort());
     }
 
-    /** Read on the decision thread: a name would be looked up there, while all sessions wait. */
+    /** Lists may be parsed on the decision thread: a name lookup would block it and all sessions. */
     @Test
-    void namesAreNotLookedUp() {
+    void hostNamesAreRejected() {
         for (String host : List.of("localhost", "no-such-host.example", "1", "::1", "999.1.1.1", "")) {
             assertThrows(SettingsException.class, () -> ServerList.parse(LIST.replace("10.1.0.18", host)), host);
         }
     }
 
-    /** Wherever a list is cut or spoilt it is refused whole, with a plain error. */
+    /** A truncated or invalid list is rejected as a whole with a SettingsException. */
     @Test
-    void aPartIsNoList() {
+    void truncatedOrInvalidListIsRejected() {
         for (int end = 0; end < LIST.length(); end++) {
             String part = LIST.substring(0, end);
             assertThrows(SettingsException.class, () -> ServerList.parse(part), part);
         }
-        for (String wrong : List.of(
+        for (String invalid : List.of(
                 LIST + "x",
                 LIST.replace("[{", "[7,{"),
                 LIST.replace("\"a\"", "null"),
@@ -46,7 +46,7 @@
                 LIST.replace("Ready", "Later"),
                 LIST.replace("\"", "'"),
                 "[".repeat(100_000))) {
-            assertThrows(SettingsException.class, () -> ServerList.parse(wrong), wrong);
+            assertThrows(SettingsException.class, () -> ServerList.parse(invalid), invalid);
         }
     }
 }
--- a/balancer/src/test/java/calicochute/process/BadServerTest.java
+++ b/balancer/src/test/java/calicochute/process/BadServerTest.java
@@ -156,7 +156,7 @@
     /**
      * A server that ends each connection as it comes up. Where the program heard of it before it sent the request the
      * server has run nothing, and the session is denied; where not it may have run, and the session has failed. Which
-     * of the two is the machine's choice at each; EndedAtOnceTest has both orders by hand.
+     * of the two is the machine's choice at each; ImmediateCloseTest has both orders by hand.
      */
     private void checkEndedAtOnce(boolean resets) throws Exception {
         program.stop();
--- a/balancer/src/test/java/calicochute/process/DiscoveryCrossingsTest.java
+++ b/balancer/src/test/java/calicochute/process/DiscoveryCrossingsTest.java
@@ -17,8 +17,8 @@
 import org.junit.Test;
 
 /**
- * Calls to discovery that cross each other: {@code WatchClockTest} says when each goes out, and here is what becomes of
- * them.
+ * Calls to discovery that cross each other: {@code WatchScheduleTest} says when each goes out, and here is what becomes
+ * of them.
  */
 public class DiscoveryCrossingsTest {
     private final CountDownLatch release = new CountDownLatch(1);
--- a/balancer/src/test/java/calicochute/process/SilentWatchTest.java
+++ b/balancer/src/test/java/calicochute/process/SilentWatchTest.java
@@ -20,7 +20,8 @@
 import org.junit.Test;
 
 /**
- * Watches that fall silent: {@code WatchClockTest} says when that is noticed, and here is what follows, at each point.
+ * Watches that fall silent: {@code WatchScheduleTest} says when that is noticed, and here is what follows, at each
+ * point.
  */
 public class SilentWatchTest {
     private static final String ID = "9b1f03aa5c7e2d41";
--- a/balancer/src/test/java/calicochute/process/SpareTest.java
+++ b/balancer/src/test/java/calicochute/process/SpareTest.java
@@ -58,7 +58,7 @@
     /**
      * Guards against a server that takes one connection only: the end of a spare must not count as that of a kept
      * connection (after which none is kept for 20 s), and no spare follows another into the same refusal. The spare
-     * ends unused here; EndedAtOnceTest has the order in which a call went out on it first.
+     * ends unused here; ImmediateCloseTest has the order in which a call went out on it first.
      */
     @Test
     public void aServerThatRefusesSparesIsServedOverWhatItTakes() throws Exception {
