--- a/balancer/src/main/java/calicochute/backend/BackendServers.java
+++ b/balancer/src/main/java/calicochute/backend/BackendServers.java
@@ -30,21 +30,19 @@
      * immediately and then closes the idle connection instead of being taken for the response to the next call.
      */
     private static final long REUSE_DELAY_MICROS = 5_000;
-    /** Reuse delay for a server that sent unsolicited data, and how long that delay applies. */
+    /** Reuse delay for a server that sent unsolicited data. */
     private static final long LONG_REUSE_DELAY_MICROS = 25_000;
-
+    /** How long the long reuse delay applies. */
     private static final long LONG_REUSE_DELAY_PERIOD_MICROS = 60_000_000;
-    /**
-     * Number of idle connections to a server from which on no spare is opened, and how long none is opened after one
-     * failed.
-     */
+    /** Number of idle connections to a server from which on no spare is opened. */
     private static final int MAX_IDLE_FOR_SPARE = 16;
-
+    /** How long no spare is opened after one failed. */
     private static final long SPARE_BACKOFF_MICROS = 20_000_000;
-    /** A close this soon after a response shows no idle timeout; and how long observed idle timeouts are used. */
+    /** A close this soon after a response is not the idle timeout of the server. */
     private static final long IMMEDIATE_CLOSE_MICROS = 50_000;
-
+    /** How long observed idle times of a server are used. */
     private static final long OBSERVATION_PERIOD_MICROS = 20_000_000;
+
     private static final ConnectionPool.Rules POOL_RULES = new ConnectionPool.Rules(
             DispatchExecution.NEW_CONNECTION_DELAY_MICROS,
             REUSE_DELAY_MICROS,
@@ -54,6 +52,7 @@
             LONG_REUSE_DELAY_PERIOD_MICROS,
             IMMEDIATE_CLOSE_MICROS,
             OBSERVATION_PERIOD_MICROS);
+    /** Request header with the time left for the response, in milliseconds. */
     static final String REMAINING_TIME_HEADER = "X-Remaining-Ms";
     /** Minimum time between two checks of the idle connections. */
     private static final long MIN_SWEEP_INTERVAL_MICROS = 10_000;
--- a/balancer/src/main/java/calicochute/backend/DispatchExecution.java
+++ b/balancer/src/main/java/calicochute/backend/DispatchExecution.java
@@ -26,10 +26,11 @@
      * such a failure arrives within a round trip, a later one concerns the response.
      */
     private static final long CLOSED_CONNECTION_FAILURE_MICROS = 20_000;
-    /** Interval between two checks of streamed bodies, and how long a server may leave a request body unread. */
+    /** Interval between two checks of streamed bodies. */
     private static final long STREAM_CHECK_INTERVAL_MICROS = 500_000;
-
+    /** How long a server may leave a streamed request body unread. */
     private static final long MAX_UPLOAD_STALL_MICROS = 10_000_000;
+
     private final ConnectionManager connections;
     private final DecisionQueue queue;
     private final Counters counters;
@@ -49,9 +50,9 @@
     private ThroughputMonitor throughput;
     private boolean requestWritten;
     private Connection connection;
-    /** Whether the connection was leased from the pool, and for how long it had been idle. */
+    /** Whether the connection was leased from the pool rather than opened for this execution. */
     private boolean leased;
-
+    /** How long the leased connection had been idle. */
     private long idleMicros;
     /** The leased connection has carried no call yet. */
     private boolean spare;
@@ -61,6 +62,7 @@
 
     private DecisionQueue.Timer timeoutTimer;
     private DecisionQueue.Timer connectTimer;
+    /** In microseconds of the decision queue. */
     private long callStartedAt;
     /** Time limit of the dispatch, in microseconds. */
     private final long timeoutMicros;
--- a/balancer/src/main/java/calicochute/backend/ThroughputMonitor.java
+++ b/balancer/src/main/java/calicochute/backend/ThroughputMonitor.java
@@ -6,10 +6,11 @@
  * does not count as progress.
  */
 final class ThroughputMonitor {
-    /** How long a response may stall, and the minimum rate in bytes per millisecond. */
+    /** How long a response may stall. */
     private static final long MAX_STALL_MICROS = 5_000_000;
-
+    /** Minimum rate in the long run, in bytes per millisecond. */
     private static final long MIN_BYTES_PER_MILLI = 1;
+
     /** The stall that is still tolerated, in microseconds. */
     private long remainingStallMicros = MAX_STALL_MICROS;
 
--- a/balancer/src/main/java/calicochute/discovery/DiscoveryClient.java
+++ b/balancer/src/main/java/calicochute/discovery/DiscoveryClient.java
@@ -269,7 +269,7 @@
             // Sessions must not wait while a long list is parsed: 10,000 entries took 0.3 s in a new process.
             Thread thread = new Thread(
                     () -> {
-                        ParseResult parsed = new ParseResult(null, "could not be read");
+                        ParseResult parsed = new ParseResult(null, "list could not be parsed");
                         try {
                             parsed = parse(result);
                         } finally {
@@ -311,7 +311,7 @@
                 // Changes older than the current generation are rejected as a whole, as newer ones were applied
                 // already.
                 counters.count(Counter.DISCOVERY_OLDER);
-                fail(call, "changes of generation " + list.generation() + " where " + generation + " is held");
+                fail(call, "changes of generation " + list.generation() + " are older than generation " + generation);
             } else {
                 counters.count(Counter.DISCOVERY_ANSWERS);
                 failureReported = false;
--- a/balancer/src/main/java/calicochute/discovery/WatchSchedule.java
+++ b/balancer/src/main/java/calicochute/discovery/WatchSchedule.java
@@ -23,15 +23,16 @@
      */
     static final long UPDATE_DEADLINE_MICROS = 6_000_000;
 
+    /** The time of an action that is not due at any time. */
     static final long NEVER = Long.MAX_VALUE;
     /** Connect timeout of a connection to discovery. */
     static final long CONNECT_TIMEOUT_MICROS = 1_200_000;
     /**
-     * Limits of the wait of calls on an established watch. The wait is random so that balancers that received the same
+     * Shortest wait of a call on an established watch. The wait is random so that balancers that received the same
      * update do not call again at the same time.
      */
     static final long MIN_WAIT_MS = 2400;
-
+    /** Longest wait of a call on an established watch. */
     static final long MAX_WAIT_MS = 3200;
     /** How late a response may be on an established watch before another call starts beside it. */
     static final long RESPONSE_GRACE_MICROS = 700_000;
@@ -41,25 +42,25 @@
      */
     static final long INITIAL_WAIT_MS = 300;
     /**
-     * Limits of the time between the starts of unanswered calls. The lower limit is longer than the wait in discovery's
+     * Shortest time between the starts of an unanswered call and the next one: longer than the wait in discovery's
      * queue.
      */
     static final long MIN_RETRY_MICROS = 3_600_000;
-
+    /** Longest time between the starts of an unanswered call and the next one. */
     static final long MAX_RETRY_MICROS = 4_400_000;
     /**
-     * The same after the first call that follows a move or the silence of a watch: a second unanswered call must leave
-     * time for a third one.
+     * Shortest such time after the first call that follows a move or the silence of a watch: a second unanswered call
+     * must leave time for a third one.
      */
     static final long MIN_EARLY_RETRY_MICROS = 1_220_000;
-
+    /** Longest such time after the first call that follows a move or the silence of a watch. */
     static final long MAX_EARLY_RETRY_MICROS = 1_350_000;
     /**
-     * The same after the second call that follows a move, whose updates have to be known sooner: the third call starts
-     * beside two that may be waiting in discovery's queue.
+     * Shortest such time after the second call that follows a move, whose updates have to be known sooner: the third
+     * call starts beside two that may be waiting in discovery's queue.
      */
     static final long MIN_SECOND_RETRY_MICROS = 900_000;
-
+    /** Longest such time after the second call that follows a move. */
     static final long MAX_SECOND_RETRY_MICROS = 1_000_000;
     /** Spread of the starts of watches after a move to another address. */
     static final long MOVE_SPREAD_MICROS = 1_200_000;
@@ -70,9 +71,13 @@
     /** Longest pause after the first failure; doubled by each further failure, up to the longest pause. */
     static final long MAX_FIRST_PAUSE_MICROS = 2_500_000;
 
+    /** Number of calls in progress at a time. */
     private static final int MAX_PENDING_CALLS = 2;
+    /** The same while the third call after a move is due. */
     private static final int MAX_PENDING_CALLS_AFTER_MOVE = 3;
+    /** How often the pause is doubled. */
     private static final int MAX_DOUBLINGS = 5;
+
     private final SplittableRandom random;
     private long maxPauseMicros;
     /** Calls in progress, the oldest first. */
--- a/balancer/src/main/java/calicochute/pool/ConnectionPool.java
+++ b/balancer/src/main/java/calicochute/pool/ConnectionPool.java
@@ -51,14 +51,15 @@
     /** A lease had to wait since a spare was last considered. */
     private boolean spareWanted;
 
+    /** A spare is being opened. */
     private boolean spareOpening;
     /** No spare is opened before this time. */
     private long sparesBlockedUntil = Long.MIN_VALUE;
     /** The long reuse delay applies before this time. */
     private long longReuseDelayUntil = Long.MIN_VALUE;
-    /** Shortest idle time after which the server closed a connection, and the time until which it is valid. */
+    /** Shortest observed idle time after which the server closed a connection. */
     private long shortestIdleMicros;
-
+    /** Until when the shortest observed idle time is used. */
     private long shortestIdleValidUntil = Long.MIN_VALUE;
     /** Moving average of the share of idle connections that the server closed immediately after a response. */
     private double immediateCloseShare;
