--- a/lab/src/main/java/calicochute/lab/emulator/ClientHost.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ClientHost.java
@@ -63,12 +63,12 @@
     /** One timer at a time: the next arrival's. */
     private void next(List<Arrival> arrivals, int index, long start) {
         Arrival arrival = arrivals.get(index);
-        site.world.at(start + arrival.at(), () -> {
+        site.world.at(start + arrival.atMicros(), () -> {
             if (index + 1 < arrivals.size()) {
                 next(arrivals, index + 1, start);
             }
             Root root = new Root(
-                    arrival, start + arrival.at(), site.scenario.tiers().size());
+                    arrival, start + arrival.atMicros(), site.scenario.tiers().size());
             roots.add(root);
             open++;
             tryOnce(root, false);
@@ -160,7 +160,7 @@
             case FIXED -> habits.pause().micros();
             case DOUBLING -> habits.pause().micros() << Math.min(10, root.tries - 1);
         };
-        return root.arrival.honours() && result != null ? Math.max(own, result.retryAfter()) : own;
+        return root.arrival.honoursRetryAfter() && result != null ? Math.max(own, result.retryAfter()) : own;
     }
 
     private void close(Root root, Root.End end, long now) {
--- a/lab/src/main/java/calicochute/lab/emulator/DiscoveryHost.java
+++ b/lab/src/main/java/calicochute/lab/emulator/DiscoveryHost.java
@@ -73,7 +73,8 @@
     }
 
     private Entry entry(MachineSpec m, State state, long startedAt) {
-        return new Entry(m.id(), m.zone(), m.kind().name(), m.cell(), site.deployment.size(m), state, startedAt);
+        return new Entry(
+                m.id(), m.zone(), m.kind().name(), m.cell(), site.deployment.discoveryWeight(m), state, startedAt);
     }
 
     InetSocketAddress at(BalancerSpec balancer) {
--- a/lab/src/main/java/calicochute/lab/emulator/Emulation.java
+++ b/lab/src/main/java/calicochute/lab/emulator/Emulation.java
@@ -1,6 +1,5 @@
 package calicochute.lab.emulator;
 
-import calicochute.lab.chance.Streams;
 import calicochute.lab.emulator.Outcome.BalancerSample;
 import calicochute.lab.emulator.Outcome.ServerSample;
 import calicochute.lab.plan.Arrival;
@@ -8,6 +7,7 @@
 import calicochute.lab.plan.BalancerSpec;
 import calicochute.lab.plan.Deployment;
 import calicochute.lab.plan.TroublePlan;
+import calicochute.lab.random.RandomStreams;
 import calicochute.lab.scenario.Scenario;
 import calicochute.lab.scenario.Scenario.RequestClass;
 import calicochute.lab.server.MachineSpec;
@@ -49,7 +49,7 @@
     private final Scenario scenario;
     private final long seed;
     private final Path folder;
-    private final Streams streams;
+    private final RandomStreams streams;
     private final Site site;
     private final Progress progress;
     private final List<Arrival> arrivals;
@@ -91,7 +91,7 @@
         this.seed = seed;
         this.folder = Files.createDirectories(work);
         this.progress = progress;
-        streams = new Streams(seed);
+        streams = new RandomStreams(seed);
         Deployment deployment = Deployment.draw(scenario, streams);
         arrivals = ArrivalPlan.draw(deployment, streams);
         troubles = TroublePlan.draw(deployment, streams);
@@ -300,7 +300,7 @@
     /** What a request is worth: its class's worth for each unit of work, little beyond its tenant's share. */
     public static double worth(Scenario scenario, Root root) {
         RequestClass c = scenario.classes().get(root.arrival.classIndex());
-        return c.worth() * root.arrival.work() * (root.arrival.overShare() ? OVER_SHARE_WORTH : 1);
+        return c.worth() * root.arrival.workMicros() * (root.arrival.overShare() ? OVER_SHARE_WORTH : 1);
     }
 
     /** A planned stop of all; a balancer that does not end or ends wrongly has failed. */
@@ -345,7 +345,7 @@
                 ended,
                 startedAt,
                 scenario.length().micros(),
-                clients.roots().stream().filter(r -> r.arrival.at() >= 0).toList(),
+                clients.roots().stream().filter(r -> r.arrival.atMicros() >= 0).toList(),
                 troubles,
                 serverSamples,
                 usage,
--- a/lab/src/main/java/calicochute/lab/emulator/OverheadRun.java
+++ b/lab/src/main/java/calicochute/lab/emulator/OverheadRun.java
@@ -1,9 +1,9 @@
 package calicochute.lab.emulator;
 
-import calicochute.lab.chance.Streams;
 import calicochute.lab.plan.Arrival;
 import calicochute.lab.plan.BalancerSpec;
 import calicochute.lab.plan.Deployment;
+import calicochute.lab.random.RandomStreams;
 import calicochute.lab.scenario.Scenario;
 import calicochute.lab.server.MachineSpec;
 import java.io.IOException;
@@ -71,7 +71,7 @@
     /** @param relayCommand starts a relay when given its address and that of the server as two more arguments */
     public OverheadRun(Scenario scenario, Path folder, Emulation.Balancers start, List<String> relayCommand)
             throws IOException {
-        Streams streams = new Streams(1);
+        RandomStreams streams = new RandomStreams(1);
         site = new Site(Deployment.draw(scenario, streams), streams);
         this.folder = Files.createDirectories(folder);
         this.start = start;
@@ -207,7 +207,7 @@
             boolean counts,
             long[] open,
             CountDownLatch over) {
-        long next = at + Math.round(Streams.exponential(times, 1e6 / rate));
+        long next = at + Math.round(RandomStreams.exponential(times, 1e6 / rate));
         if (next >= end) {
             site.world.at(end, () -> awaitNone(open, over));
             return;
--- a/lab/src/main/java/calicochute/lab/emulator/ServerDoor.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ServerDoor.java
@@ -29,7 +29,7 @@
         this.server = server;
         this.site = site;
         this.zone = zone;
-        delay = site.deployment.delay(zone, server.spec().zone());
+        delay = site.deployment.oneWayDelayMicros(zone, server.spec().zone());
     }
 
     InetSocketAddress address() {
--- a/lab/src/main/java/calicochute/lab/emulator/ServerHost.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ServerHost.java
@@ -47,7 +47,7 @@
                 site.streams.of("noise " + spec.id(), 0),
                 Emulation.FALL_MULTIPLE,
                 Emulation.FALL_SPAN,
-                site.deployment.meanWork()
+                site.deployment.meanWorkMicros()
                         * site.scenario.tiers().get(spec.tier()).work(),
                 site.world.now());
         work = new ServerWork(this, site, model, chance);
--- a/lab/src/main/java/calicochute/lab/emulator/ServerWork.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ServerWork.java
@@ -145,7 +145,7 @@
         pump();
         long now = site.world.now();
         Root root = job.request.root();
-        job.own = root.arrival.work() * tier.work();
+        job.own = root.arrival.workMicros() * tier.work();
         job.callsLeft = callsOn ? root.arrival.calls().get(spec.tier()) : 0;
         job.rest = job.callsLeft > 0 ? job.own / 2 : 0;
         double extra = fresh ? tier.kinds().get(0).handshake().micros() : 0;
--- a/lab/src/main/java/calicochute/lab/emulator/Site.java
+++ b/lab/src/main/java/calicochute/lab/emulator/Site.java
@@ -1,9 +1,9 @@
 package calicochute.lab.emulator;
 
-import calicochute.lab.chance.Streams;
 import calicochute.lab.evenness.Dispatch;
 import calicochute.lab.plan.BalancerSpec;
 import calicochute.lab.plan.Deployment;
+import calicochute.lab.random.RandomStreams;
 import calicochute.lab.referee.ClassRule;
 import calicochute.lab.referee.Referee;
 import calicochute.lab.scenario.Scenario;
@@ -29,7 +29,7 @@
     final Sockets sockets = new Sockets(world);
     final Deployment deployment;
     final Scenario scenario;
-    final Streams streams;
+    final RandomStreams streams;
     final Referee referee;
     final Map<String, Request> requests = new HashMap<>();
     final Set<String> cutZones = new HashSet<>();
@@ -46,7 +46,7 @@
     private final byte[] network;
     private int lastHost;
 
-    Site(Deployment deployment, Streams streams) {
+    Site(Deployment deployment, RandomStreams streams) {
         this.deployment = deployment;
         this.scenario = deployment.scenario();
         this.streams = streams;
--- a/lab/src/main/java/calicochute/lab/emulator/Troubles.java
+++ b/lab/src/main/java/calicochute/lab/emulator/Troubles.java
@@ -46,8 +46,8 @@
         for (TroublePlan plan : plans) {
             World world = site.world;
             Trouble trouble = plan.trouble();
-            long from = start + plan.from();
-            long to = start + plan.to();
+            long from = start + plan.fromMicros();
+            long to = start + plan.toMicros();
             switch (trouble.kind()) {
                 case SLOW -> during(plan, from, to, s -> s.slow(trouble.factor()), s -> s.slow(1));
                 case HANG -> during(plan, from, to, s -> s.hang(true), s -> s.hang(false));
--- a/lab/src/main/java/calicochute/lab/experiment/FieldChange.java
+++ b/lab/src/main/java/calicochute/lab/experiment/FieldChange.java
@@ -2,7 +2,7 @@
 
 import calicochute.lab.scenario.Scenario;
 import calicochute.lab.scenario.ScenarioException;
-import calicochute.lab.scenario.ScenarioException.Complaint;
+import calicochute.lab.scenario.ScenarioException.Problem;
 import calicochute.lab.scenario.ScenarioReader;
 import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -40,12 +40,12 @@
             }
             return ScenarioReader.parse(file + " with " + field + " = " + value, mapper.writeValueAsString(root));
         } catch (JacksonException e) {
-            throw new ScenarioException(List.of(new Complaint(file, 0, field, "can't be set to " + value)));
+            throw new ScenarioException(List.of(new Problem(file, 0, field, "can't be set to " + value)));
         }
     }
 
     private ScenarioException unknown(String file) {
-        return new ScenarioException(List.of(new Complaint(file, 0, field, "is not in the scenario")));
+        return new ScenarioException(List.of(new Problem(file, 0, field, "is not in the scenario")));
     }
 
     private static int index(String step) {
--- a/lab/src/main/java/calicochute/lab/plan/ArrivalPlan.java
+++ b/lab/src/main/java/calicochute/lab/plan/ArrivalPlan.java
@@ -1,6 +1,6 @@
 package calicochute.lab.plan;
 
-import calicochute.lab.chance.Streams;
+import calicochute.lab.random.RandomStreams;
 import calicochute.lab.scenario.Scenario;
 import calicochute.lab.scenario.Scenario.RequestClass;
 import calicochute.lab.scenario.Scenario.Tier;
@@ -12,76 +12,80 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * All first tries of a run, drawn ahead: an open loop, which no answer speeds up or holds back. The usual traffic is a
- * Poisson process with a slow wave, behind a lead-in at negative times that rises to it; each traffic jump is a further
- * process from a stream of its own, so the usual requests are the same with it and without.
+ * Draws all first tries of a run in advance: an open-loop workload, whose arrivals do not depend on answers. The usual
+ * traffic is a Poisson process whose rate follows a slow sine wave, after a lead-in at negative times in which the rate
+ * rises linearly. Each traffic jump is an additional process with a random stream of its own, so that the usual
+ * requests are the same with and without it.
  */
 public final class ArrivalPlan {
-    private static final double WAVE_S = 25;
+    private static final double WAVE_PERIOD_SECONDS = 25;
     private final Deployment deployment;
     private final Scenario scenario;
-    private final Streams streams;
+    private final RandomStreams streams;
 
-    private ArrivalPlan(Deployment deployment, Streams streams) {
+    private ArrivalPlan(Deployment deployment, RandomStreams streams) {
         this.deployment = deployment;
         this.scenario = deployment.scenario();
         this.streams = streams;
     }
 
-    /** The arrivals, in order. */
-    public static List<Arrival> draw(Deployment deployment, Streams streams) {
-        return new ArrivalPlan(deployment, streams).all();
+    /** Draws the arrivals, in the order of their times. */
+    public static List<Arrival> draw(Deployment deployment, RandomStreams streams) {
+        return new ArrivalPlan(deployment, streams).drawAll();
     }
 
-    private List<Arrival> all() {
+    private List<Arrival> drawAll() {
         double mean = deployment.ratePerSecond();
         double length = scenario.length().seconds();
         List<Arrival> all = new ArrayList<>();
-        process("usual", 0, length, mean * (1 + scenario.load().swing()), t -> mean * wave(t), all);
-        double lead = scenario.leadIn().seconds();
-        process("lead-in", -lead, 0, mean, t -> mean * (t + lead) / lead, all);
+        addPoissonProcess("usual", 0, length, mean * (1 + scenario.load().swing()), t -> mean * wave(t), all);
+        double leadIn = scenario.leadIn().seconds();
+        addPoissonProcess("lead-in", -leadIn, 0, mean, t -> mean * (t + leadIn) / leadIn, all);
         for (int i = 0; i < scenario.troubles().size(); i++) {
             Trouble trouble = scenario.troubles().get(i);
             if (trouble.kind() == Trouble.Kind.JUMP && trouble.factor() > 1) {
-                double from = trouble.at().seconds();
+                double start = trouble.at().seconds();
                 double extra = mean * (trouble.factor() - 1);
-                process(
+                addPoissonProcess(
                         "jump " + i,
-                        from,
-                        Math.min(length, from + trouble.lasts().seconds()),
+                        start,
+                        Math.min(length, start + trouble.lasts().seconds()),
                         extra * (1 + scenario.load().swing()),
                         t -> extra * wave(t),
                         all);
             }
         }
-        all.sort(Comparator.comparingLong(Arrival::at));
-        return overShare(all);
+        all.sort(Comparator.comparingLong(Arrival::atMicros));
+        return numberAndMarkOverShare(all);
     }
 
-    private double wave(double t) {
-        return 1 + scenario.load().swing() * Math.sin(2 * Math.PI * t / WAVE_S);
+    private double wave(double seconds) {
+        return 1 + scenario.load().swing() * Math.sin(2 * Math.PI * seconds / WAVE_PERIOD_SECONDS);
     }
 
-    /** A Poisson process of changing rate, by thinning one of the highest rate (Lewis and Shedler 1979). */
-    private void process(
-            String name, double from, double to, double most, DoubleUnaryOperator rate, List<Arrival> into) {
+    /**
+     * Adds the arrivals of a Poisson process of varying rate, by thinning one of the constant rate {@code maxRate}
+     * (Lewis and Shedler 1979). Times are seconds, rates per second.
+     */
+    private void addPoissonProcess(
+            String name, double from, double to, double maxRate, DoubleUnaryOperator rate, List<Arrival> into) {
         UniformRandomProvider times = streams.of("arrivals " + name, 0);
         int index = 0;
-        for (double t = from + Streams.exponential(times, 1 / most);
+        for (double t = from + RandomStreams.exponential(times, 1 / maxRate);
                 t < to;
-                t += Streams.exponential(times, 1 / most)) {
-            if (times.nextDouble() * most < rate.applyAsDouble(t)) {
+                t += RandomStreams.exponential(times, 1 / maxRate)) {
+            if (times.nextDouble() * maxRate < rate.applyAsDouble(t)) {
                 into.add(arrival(streams.of("request " + name, index++), t));
             }
         }
     }
 
     private Arrival arrival(UniformRandomProvider draw, double seconds) {
-        int classIndex = Streams.weighted(
+        int classIndex = RandomStreams.weighted(
                 draw,
                 scenario.classes().stream().mapToDouble(RequestClass::share).toArray());
-        RequestClass c = scenario.classes().get(classIndex);
-        int tenant = Streams.weighted(
+        RequestClass requestClass = scenario.classes().get(classIndex);
+        int tenant = RandomStreams.weighted(
                 draw,
                 scenario.tenants().stream()
                         .mapToDouble(t -> t.share() * t.usage())
@@ -91,14 +95,14 @@
         for (int i = 0; i < zones; i++) {
             weights[i] = 1 + scenario.load().zoneSkew() * (zones == 1 ? 0 : 1 - 2.0 * i / (zones - 1));
         }
-        int zone = Streams.weighted(draw, weights);
-        double work = Streams.lognormal(draw, c.work().micros(), c.spread());
+        int zone = RandomStreams.weighted(draw, weights);
+        double work = RandomStreams.lognormal(draw, requestClass.work().micros(), requestClass.spread());
         List<Integer> calls = new ArrayList<>();
         for (Tier tier : scenario.tiers()) {
-            double wanted = tier.calls().mean();
-            calls.add((int) Math.floor(wanted) + (draw.nextDouble() < wanted - Math.floor(wanted) ? 1 : 0));
+            double mean = tier.calls().mean();
+            calls.add((int) Math.floor(mean) + (draw.nextDouble() < mean - Math.floor(mean) ? 1 : 0));
         }
-        double patience = scenario.clients().patience().at(draw.nextDouble());
+        double patience = scenario.clients().patience().interpolate(draw.nextDouble());
         return new Arrival(
                 0,
                 Math.round(seconds * 1e6),
@@ -113,30 +117,31 @@
                 false);
     }
 
-    /** Numbers the arrivals and marks those beyond their tenant's share of the second. */
-    private List<Arrival> overShare(List<Arrival> all) {
+    /** Numbers the arrivals and marks those beyond their tenant's share of the allowance for the second. */
+    private List<Arrival> numberAndMarkOverShare(List<Arrival> all) {
         double allowed = deployment.allowancePerSecond();
         int[] sent = new int[scenario.tenants().size()];
         long second = Long.MIN_VALUE;
         List<Arrival> marked = new ArrayList<>(all.size());
-        for (Arrival a : all) {
-            if (Math.floorDiv(a.at(), 1_000_000L) != second) {
-                second = Math.floorDiv(a.at(), 1_000_000L);
+        for (Arrival arrival : all) {
+            if (Math.floorDiv(arrival.atMicros(), 1_000_000L) != second) {
+                second = Math.floorDiv(arrival.atMicros(), 1_000_000L);
                 java.util.Arrays.fill(sent, 0);
             }
-            boolean over = ++sent[a.tenant()]
-                    > Math.ceil(allowed * scenario.tenants().get(a.tenant()).share());
+            boolean over = ++sent[arrival.tenant()]
+                    > Math.ceil(
+                            allowed * scenario.tenants().get(arrival.tenant()).share());
             marked.add(new Arrival(
                     marked.size(),
-                    a.at(),
-                    a.classIndex(),
-                    a.tenant(),
-                    a.zone(),
-                    a.work(),
-                    a.patience(),
-                    a.calls(),
-                    a.balancerDraw(),
-                    a.honours(),
+                    arrival.atMicros(),
+                    arrival.classIndex(),
+                    arrival.tenant(),
+                    arrival.zone(),
+                    arrival.workMicros(),
+                    arrival.patience(),
+                    arrival.calls(),
+                    arrival.balancerDraw(),
+                    arrival.honoursRetryAfter(),
                     over));
         }
         return List.copyOf(marked);
--- a/lab/src/main/java/calicochute/lab/plan/TroublePlan.java
+++ b/lab/src/main/java/calicochute/lab/plan/TroublePlan.java
@@ -1,6 +1,6 @@
 package calicochute.lab.plan;
 
-import calicochute.lab.chance.Streams;
+import calicochute.lab.random.RandomStreams;
 import calicochute.lab.scenario.Scenario;
 import calicochute.lab.scenario.Trouble;
 import calicochute.lab.server.MachineSpec;
@@ -10,11 +10,14 @@
 import org.apache.commons.rng.sampling.ListSampler;
 
 /**
- * Which machines or balancers each trouble hits, drawn from the seed; both ends in microseconds from the run's start.
- * {@code others} are the balancers at the far end of a one-way cut.
+ * A trouble with its time, in microseconds from the start of the run, and the targets drawn from the seed.
+ *
+ * @param victims ids of the machines, names of the balancers, or the name of the zone that it hits
+ * @param others names of the balancers at the other end of a one-way cut
  */
-public record TroublePlan(Trouble trouble, long from, long to, List<String> victims, List<String> others) {
-    public static List<TroublePlan> draw(Deployment deployment, Streams streams) {
+public record TroublePlan(Trouble trouble, long fromMicros, long toMicros, List<String> victims, List<String> others) {
+    /** Draws a plan for each trouble of the scenario, in its order. */
+    public static List<TroublePlan> draw(Deployment deployment, RandomStreams streams) {
         Scenario scenario = deployment.scenario();
         List<TroublePlan> plans = new ArrayList<>();
         for (int i = 0; i < scenario.troubles().size(); i++) {
@@ -28,12 +31,13 @@
             };
             List<String> others =
                     trouble.kind() != Trouble.Kind.NET_CUT ? List.of() : others(deployment, trouble, victims, draw);
-            plans.add(new TroublePlan(trouble, trouble.at().micros(), end(trouble, victims.size()), victims, others));
+            plans.add(new TroublePlan(
+                    trouble, trouble.at().micros(), endMicros(trouble, victims.size()), victims, others));
         }
         return plans;
     }
 
-    private static long end(Trouble trouble, int victims) {
+    private static long endMicros(Trouble trouble, int victims) {
         long steps = trouble.kind() == Trouble.Kind.DRAIN ? trouble.every().micros() * Math.max(0, victims - 1) : 0;
         return trouble.at().micros() + steps + trouble.lasts().micros();
     }
@@ -48,16 +52,19 @@
         int count = trouble.servers() != null
                 ? trouble.servers()
                 : (int) Math.max(1, Math.round(trouble.part() * ids.size()));
-        return some(ids, Math.min(count, ids.size()), draw);
+        return sample(ids, Math.min(count, ids.size()), draw);
     }
 
-    /** A trouble of the network may hit all of its tier's balancers, or of all tiers; others the first tier's. */
+    /**
+     * Returns the balancers that a trouble may hit: those of the given tier; without a tier, all balancers for a
+     * network trouble and those of the first tier for any other.
+     */
     private static List<String> candidates(Deployment deployment, Trouble trouble) {
         List<Scenario.Tier> tiers = deployment.scenario().tiers();
-        boolean network = trouble.kind().target == Trouble.Target.NETWORK;
+        boolean hitsNetwork = trouble.kind().target == Trouble.Target.NETWORK;
         return deployment.balancers().stream()
                 .filter(b -> trouble.tier() == null
-                        ? network || b.tier() == 0
+                        ? hitsNetwork || b.tier() == 0
                         : tiers.get(b.tier()).name().equals(trouble.tier()))
                 .map(BalancerSpec::name)
                 .toList();
@@ -68,19 +75,19 @@
         int count = trouble.part() == null
                 ? trouble.balancers()
                 : (int) Math.max(1, Math.round(trouble.part() * all.size()));
-        return some(all, count, draw);
+        return sample(all, count, draw);
     }
 
     private static List<String> others(
             Deployment deployment, Trouble trouble, List<String> victims, UniformRandomProvider draw) {
         List<String> rest = new ArrayList<>(candidates(deployment, trouble));
         rest.removeAll(victims);
-        return some(rest, trouble.others() == null ? rest.size() : Math.min(rest.size(), trouble.others()), draw);
+        return sample(rest, trouble.others() == null ? rest.size() : Math.min(rest.size(), trouble.others()), draw);
     }
 
-    private static List<String> some(List<String> of, int count, UniformRandomProvider draw) {
-        List<String> mixed = new ArrayList<>(of);
-        ListSampler.shuffle(draw, mixed);
-        return List.copyOf(mixed.subList(0, count));
+    private static List<String> sample(List<String> from, int count, UniformRandomProvider draw) {
+        List<String> shuffled = new ArrayList<>(from);
+        ListSampler.shuffle(draw, shuffled);
+        return List.copyOf(shuffled.subList(0, count));
     }
 }
--- /dev/null
+++ b/lab/src/main/java/calicochute/lab/random/package-info.java
@@ -0,0 +1,2 @@
+/** Independent streams of random numbers, all derived from the seed of a run. */
+package calicochute.lab.random;
--- a/lab/src/main/java/calicochute/lab/result/Evenly.java
+++ b/lab/src/main/java/calicochute/lab/result/Evenly.java
@@ -1,6 +1,5 @@
 package calicochute.lab.result;
 
-import calicochute.lab.chance.Streams;
 import calicochute.lab.emulator.Outcome;
 import calicochute.lab.evenness.Dispatch;
 import calicochute.lab.evenness.Evenness;
@@ -9,6 +8,7 @@
 import calicochute.lab.evenness.Server;
 import calicochute.lab.evenness.Sick;
 import calicochute.lab.plan.TroublePlan;
+import calicochute.lab.random.RandomStreams;
 import calicochute.lab.scenario.Trouble.Kind;
 import calicochute.lab.scenario.Trouble.Target;
 import calicochute.lab.server.MachineSpec;
@@ -33,7 +33,7 @@
 
     List<Evenness> tiers() {
         List<Evenness> tiers = new ArrayList<>();
-        Streams streams = new Streams(outcome.seed());
+        RandomStreams streams = new RandomStreams(outcome.seed());
         for (int t = 0; t < outcome.deployment().scenario().tiers().size(); t++) {
             List<MachineSpec> machines = outcome.deployment().machines(t);
             List<Dispatch> sent = outcome.sent().get(t).stream()
@@ -76,7 +76,9 @@
         }
         for (TroublePlan plan : outcome.troubles()) {
             BitSet victims = victims(plan, machines);
-            for (long second = plan.from() / SECOND; second < length && second * SECOND < plan.to(); second++) {
+            for (long second = plan.fromMicros() / SECOND;
+                    second < length && second * SECOND < plan.toMicros();
+                    second++) {
                 seconds.get((int) second).andNot(victims);
             }
         }
@@ -106,7 +108,10 @@
                     && plan.trouble().kind().target == Target.SERVERS
                     && plan.trouble().kind() != Kind.DRAIN) {
                 troubles.add(new Sick.Trouble(
-                        plan.trouble().kind().word() + " " + troubles.size(), plan.from(), plan.to(), victims));
+                        plan.trouble().kind().word() + " " + troubles.size(),
+                        plan.fromMicros(),
+                        plan.toMicros(),
+                        victims));
             }
         }
         return troubles;
--- a/lab/src/main/java/calicochute/lab/result/Measured.java
+++ b/lab/src/main/java/calicochute/lab/result/Measured.java
@@ -49,7 +49,8 @@
         List<Latency> latencies = latencies();
         figures(seconds, latencies);
         List<TroubleBand> bands = outcome.troubles().stream()
-                .map(t -> new TroubleBand(t.trouble().kind().word(), t.from() / 1e6, t.to() / 1e6, t.victims()))
+                .map(t -> new TroubleBand(
+                        t.trouble().kind().word(), t.fromMicros() / 1e6, t.toMicros() / 1e6, t.victims()))
                 .toList();
         List<BreachLine> breaches = outcome.breaches().stream()
                 .map(b -> new BreachLine(
@@ -113,7 +114,7 @@
         int[][] counts = new int[length][5];
         double[][] worth = new double[length][2];
         for (Root root : outcome.roots()) {
-            int at = (int) Math.min(length - 1, root.arrival.at() / 1_000_000);
+            int at = (int) Math.min(length - 1, root.arrival.atMicros() / 1_000_000);
             double w = Emulation.worth(scenario, root);
             counts[at][0]++;
             worth[at][0] += w;
@@ -272,7 +273,7 @@
         double work = 0;
         double calls = 1;
         for (int t = 0; t < scenario.tiers().size(); t++) {
-            work += calls * root.arrival.work() * scenario.tiers().get(t).work();
+            work += calls * root.arrival.workMicros() * scenario.tiers().get(t).work();
             calls *= Math.max(1, root.arrival.calls().get(t));
         }
         return work;
--- a/lab/src/main/java/calicochute/lab/scenario/Within.java
+++ b/lab/src/main/java/calicochute/lab/scenario/Bounds.java
@@ -6,15 +6,15 @@
 import java.lang.annotation.Target;
 
 /**
- * The bounds of a number in a scenario, both included; times count in seconds, rates per second, ranges with both ends.
- * Whatever is annotated and absent without a default is a fault too.
+ * The inclusive bounds of a number in a scenario: of a time in seconds, of a rate per second, and of both ends of a
+ * range. An annotated component must have a value, given or by default, unless it is {@link #optional}.
  */
 @Retention(RetentionPolicy.RUNTIME)
 @Target({ElementType.RECORD_COMPONENT, ElementType.FIELD, ElementType.PARAMETER, ElementType.METHOD})
-public @interface Within {
+public @interface Bounds {
     double min() default 0;
 
     double max() default 1e9;
 
-    boolean whenAbsent() default false;
+    boolean optional() default false;
 }
--- a/lab/src/main/java/calicochute/lab/scenario/Lines.java
+++ b/lab/src/main/java/calicochute/lab/scenario/FieldLines.java
@@ -8,49 +8,49 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** On which line of a YAML text each field stands; fields are named as {@code tiers[0].kinds[1].cores}. */
-final class Lines {
+/** Maps each field of a YAML text, named as in {@code tiers[0].kinds[1].cores}, to its line number. */
+final class FieldLines {
     private final Map<String, Integer> lines = new HashMap<>();
 
-    /** Reads the whole text once; throws where it is no YAML. */
-    static Lines of(String text) throws IOException {
-        Lines found = new Lines();
+    /** Parses the whole text; throws if it is not valid YAML. */
+    static FieldLines of(String text) throws IOException {
+        FieldLines fieldLines = new FieldLines();
         try (JsonParser parser = new YAMLFactory().createParser(text)) {
             for (JsonToken token = parser.nextToken(); token != null; token = parser.nextToken()) {
                 if (token != JsonToken.END_ARRAY && token != JsonToken.END_OBJECT) {
-                    found.lines.putIfAbsent(
+                    fieldLines.lines.putIfAbsent(
                             field(parser.getParsingContext()),
                             parser.currentTokenLocation().getLineNr());
                 }
             }
         }
-        return found;
+        return fieldLines;
     }
 
-    /** Whether the text holds nothing at all. */
-    boolean empty() {
+    /** Whether the text contains no field or value. */
+    boolean isEmpty() {
         return lines.isEmpty();
     }
 
-    /** The name of the field at which a parser stands. */
-    static String field(JsonStreamContext at) {
-        if (at == null || at.inRoot()) {
+    /** Returns the name of the field at the parser's position. */
+    static String field(JsonStreamContext context) {
+        if (context == null || context.inRoot()) {
             return "";
         }
-        // An object or array that has just begun stands for the field it is the value of.
-        String parent = field(at.getParent());
-        if (at.inObject()) {
-            return at.getCurrentName() == null ? parent : join(parent, at.getCurrentName());
+        // At the start of an object or array, the field is the one whose value it is.
+        String parent = field(context.getParent());
+        if (context.inObject()) {
+            return context.getCurrentName() == null ? parent : join(parent, context.getCurrentName());
         }
-        return at.hasCurrentIndex() ? parent + "[" + at.getCurrentIndex() + "]" : parent;
+        return context.hasCurrentIndex() ? parent + "[" + context.getCurrentIndex() + "]" : parent;
     }
 
-    /** The name of a field within another one. */
+    /** Returns the full name of a field nested in {@code parent}. */
     static String join(String parent, String name) {
         return parent.isEmpty() ? name : parent + "." + name;
     }
 
-    /** The field's line, else that of the nearest one around it. */
+    /** Returns the field's line, or the line of the nearest enclosing field; 1 if there is none. */
     int line(String field) {
         String name = field;
         while (!name.isEmpty()) {
--- a/lab/src/main/java/calicochute/lab/scenario/Range.java
+++ b/lab/src/main/java/calicochute/lab/scenario/Range.java
@@ -4,8 +4,9 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 import java.util.List;
 
-/** A figure that is drawn anew for each thing it belongs to, evenly between two bounds; or one figure for all. */
+/** The bounds of a uniform distribution, both equal for a constant; written as a number or as {@code [low, high]}. */
 public record Range(double low, double high) {
+    /** The expected form, as error messages state it. */
     public static final String FORM = "a number, or two in rising order such as [0.85, 1.1]";
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
@@ -31,8 +32,8 @@
         return (low + high) / 2;
     }
 
-    /** The figure that an even draw from 0 to 1 stands for. */
-    public double at(double draw) {
+    /** Maps a uniform draw between 0 and 1 to a value between the bounds. */
+    public double interpolate(double draw) {
         return low + (high - low) * draw;
     }
 
--- a/lab/src/main/java/calicochute/lab/scenario/Rate.java
+++ b/lab/src/main/java/calicochute/lab/scenario/Rate.java
@@ -6,18 +6,20 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** How often something happens, per second; written as {@code 90/s}. */
+/** A rate of events per second; written as {@code 90/s}. */
 public record Rate(double perSecond) {
+    /** The expected form, as error messages state it. */
     public static final String FORM = "a rate such as 90/s";
+
     private static final Pattern TEXT = Pattern.compile("(\\d+(?:\\.\\d+)?)\\s*/\\s*s");
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public static Rate of(String text) {
-        Matcher m = TEXT.matcher(text.trim());
-        if (!m.matches()) {
+        Matcher matcher = TEXT.matcher(text.trim());
+        if (!matcher.matches()) {
             throw new IllegalArgumentException("'" + text + "' is not " + FORM);
         }
-        return new Rate(Double.parseDouble(m.group(1)));
+        return new Rate(Double.parseDouble(matcher.group(1)));
     }
 
     @Override
--- a/lab/src/main/java/calicochute/lab/scenario/Scenario.java
+++ b/lab/src/main/java/calicochute/lab/scenario/Scenario.java
@@ -4,18 +4,21 @@
 import java.util.List;
 
 /**
- * One rehearsal: a deployment, what its clients ask, and what goes wrong. Bound by name from YAML; what is left out has
- * the default that its record's constructor gives. Balancers have {@code settle} once they are ready; for
- * {@code leadIn} requests then come at a rate that rises to the usual one and count in no figure (the referee sees
- * them).
+ * A test run of the lab: a deployment, the load on it, and the faults that are injected. YAML fields are bound to the
+ * components by name; an absent field has the default that the constructor of its record sets.
+ *
+ * @param shows what a reader of the report learns from the run
+ * @param settle the pause between the time at which all balancers are ready and the first request
+ * @param leadIn the ramp-up before the start of the run, during which the request rate rises to the usual one; its
+ *     requests are checked by the referee but count in no figure
  */
 public record Scenario(
-        @Within(min = 1, max = 1) Integer version,
+        @Bounds(min = 1, max = 1) Integer version,
         String title,
         String shows,
-        @Within(min = 1, max = 3600) Time length,
-        @Within(max = 60) Time settle,
-        @Within(max = 60) Time leadIn,
+        @Bounds(min = 1, max = 3600) Time length,
+        @Bounds(max = 60) Time settle,
+        @Bounds(max = 60) Time leadIn,
         Zones zones,
         List<RequestClass> classes,
         List<Tenant> tenants,
@@ -41,12 +44,12 @@
         troubles = troubles == null ? List.of() : troubles;
     }
 
-    /** Sites, and the time that bytes take one way: within one, across two, and from a client to its balancer. */
+    /** Zones, and one-way network delays: within a zone, between zones, and from a client to its balancer. */
     public record Zones(
             List<String> names,
-            @Within(max = 0.1) Time within,
-            @Within(max = 0.5) Time across,
-            @Within(max = 0.5) Time client) {
+            @Bounds(max = 0.1) Time within,
+            @Bounds(max = 0.5) Time across,
+            @Bounds(max = 0.5) Time client) {
         public Zones {
             names = names == null ? List.of("east", "west", "north") : names;
             within = within == null ? Time.of("150us") : within;
@@ -55,31 +58,40 @@
         }
     }
 
-    /** What a class's second run would do: nothing, harm, or nothing within the window in which keys are known. */
+    /** Whether requests of a class may be executed more than once. */
     public enum Effect {
+        /** Executing the request again does no harm. */
         @JsonProperty("repeatable")
         REPEATABLE,
+        /** The request must not be executed twice. */
         @JsonProperty("once")
         ONCE,
+        /** Servers drop repeats with the same idempotency key within the class's window. */
         @JsonProperty("keyed")
         KEYED
     }
 
     /**
-     * A class of requests. {@code work} is its mean in time of a core of speed 1, over all tiers; {@code spread} the
-     * coefficient of variation of the lognormal that it is drawn from; {@code window} how long repeats of a key are
-     * dropped, counted from the first attempt that may have run.
+     * A class of requests.
+     *
+     * @param share of all requests
+     * @param work mean work of a request over all tiers, as time on a core of speed 1
+     * @param spread the coefficient of variation of the lognormal distribution of the work
+     * @param aim the time within which an answer counts as served in time
+     * @param giveUp the deadline of a request over all its tries, counted from the planned first one
+     * @param worth the weight of a request in the service figures
+     * @param window how long repeats of a key are dropped, counted from the first attempt that may have been executed
      */
     public record RequestClass(
             String name,
-            @Within(min = 0.0001, max = 1) Double share,
+            @Bounds(min = 0.0001, max = 1) Double share,
             Effect effect,
-            @Within(min = 0.0001, max = 60) Time work,
-            @Within(max = 5) Double spread,
-            @Within(min = 0.01, max = 60) Time aim,
-            @Within(min = 0.01, max = 120) Time giveUp,
-            @Within(max = 1000) Double worth,
-            @Within(max = 120) Time window) {
+            @Bounds(min = 0.0001, max = 60) Time work,
+            @Bounds(max = 5) Double spread,
+            @Bounds(min = 0.01, max = 60) Time aim,
+            @Bounds(min = 0.01, max = 120) Time giveUp,
+            @Bounds(max = 1000) Double worth,
+            @Bounds(max = 120) Time window) {
         public RequestClass {
             spread = spread == null ? 0.9 : spread;
             worth = worth == null ? 1.0 : worth;
@@ -87,24 +99,31 @@
         }
     }
 
-    /** A member; {@code usage} is what it sends as a multiple of its share. What is beyond the share is worth 5%. */
+    /**
+     * A tenant.
+     *
+     * @param share of the total allowance
+     * @param usage what it sends, as a multiple of its share; requests beyond the share have 5% of the usual worth
+     */
     public record Tenant(
             String name,
-            @Within(min = 0.001, max = 1) Double share,
-            @Within(min = 0.01, max = 20) Double usage) {
+            @Bounds(min = 0.001, max = 1) Double share,
+            @Bounds(min = 0.01, max = 20) Double usage) {
         public Tenant {
             usage = usage == null ? 0.9 : usage;
         }
     }
 
     /**
-     * A tier of servers. {@code work} is its part of a class's work for each call; {@code calls} how many calls to the
-     * next tier a request makes, drawn between the two bounds, one after another (0 in the last tier).
+     * A tier of servers.
+     *
+     * @param work the share of a class's work that each call to this tier takes
+     * @param calls the number of calls that a request makes to the next tier, one after another (0 in the last tier)
      */
     public record Tier(
             String name,
-            @Within(min = 1, max = 500) Integer servers,
-            @Within(min = 0.001, max = 1) Double work,
+            @Bounds(min = 1, max = 500) Integer servers,
+            @Bounds(min = 0.001, max = 1) Double work,
             Range calls,
             List<Kind> kinds) {
         public Tier {
@@ -114,30 +133,43 @@
     }
 
     /**
-     * A kind of machine. {@code speed} is that of one core; {@code slots} and {@code queue} count requests per core;
-     * {@code crowding} is the part of its efficiency that a machine loses for each request per core held beyond
-     * {@code crowdedAt}; {@code coldShare} the part of its capacity that it starts with, {@code warmTime} the latest
-     * time at which it is warm, sooner by work done where {@code warmByWork}; {@code noise} the coefficient of
-     * variation of an attempt's work; {@code handshake} the work that a new connection costs.
+     * A kind of machine.
+     *
+     * @param share of the tier's machines
+     * @param speed of one core
+     * @param slots requests in work at a time, per core
+     * @param queue requests that may wait, per core
+     * @param crowding the loss of efficiency for each request per core held beyond {@code crowdedAt}: with {@code n} of
+     *     them, efficiency is 1 / (1 + n * crowding)
+     * @param coldShare the share of its capacity that a machine has when it starts
+     * @param warmTime the time after which it has its full capacity
+     * @param warmByWork whether completed work warms it up sooner
+     * @param noise the coefficient of variation of the work of an attempt
+     * @param handshake the work that a new connection costs
+     * @param connections the maximum number of open connections
+     * @param idle the time after which an idle connection is closed
+     * @param errors the share of requests that are answered with an error
+     * @param probeWork the work that a health probe costs
+     * @param sluggish when an overloaded machine slows down; absent if it never does
      */
     public record Kind(
             String name,
-            @Within(min = 0.001, max = 1) Double share,
-            @Within(min = 1, max = 64) Integer cores,
-            @Within(min = 0.01, max = 100) Range speed,
-            @Within(min = 1, max = 1000) Double slots,
-            @Within(max = 1000) Double queue,
-            @Within(max = 1) Double crowding,
-            @Within(min = 1, max = 1000) Double crowdedAt,
-            @Within(min = 0.05, max = 1) Double coldShare,
-            @Within(min = 0.1, max = 120) Time warmTime,
+            @Bounds(min = 0.001, max = 1) Double share,
+            @Bounds(min = 1, max = 64) Integer cores,
+            @Bounds(min = 0.01, max = 100) Range speed,
+            @Bounds(min = 1, max = 1000) Double slots,
+            @Bounds(max = 1000) Double queue,
+            @Bounds(max = 1) Double crowding,
+            @Bounds(min = 1, max = 1000) Double crowdedAt,
+            @Bounds(min = 0.05, max = 1) Double coldShare,
+            @Bounds(min = 0.1, max = 120) Time warmTime,
             Boolean warmByWork,
-            @Within(max = 5) Double noise,
-            @Within(max = 1) Time handshake,
-            @Within(min = 4, max = 100000) Integer connections,
-            @Within(min = 0.1, max = 600) Time idle,
-            @Within(max = 1) Double errors,
-            @Within(max = 1) Time probeWork,
+            @Bounds(max = 5) Double noise,
+            @Bounds(max = 1) Time handshake,
+            @Bounds(min = 4, max = 100000) Integer connections,
+            @Bounds(min = 0.1, max = 600) Time idle,
+            @Bounds(max = 1) Double errors,
+            @Bounds(max = 1) Time probeWork,
             Sluggish sluggish) {
         public Kind {
             share = share == null ? 1.0 : share;
@@ -160,16 +192,17 @@
     }
 
     /**
-     * A machine whose waiting requests have been over {@code at} per core for {@code after} turns {@code slower} times
-     * slower, until its use has been under {@code below} for {@code rest}, or for {@code most} at the latest.
+     * A persistent slowdown after overload. It begins when at least {@code at} requests per core have been waiting for
+     * {@code after}, divides the speed of the machine by {@code slower}, and ends when the requests in work per core
+     * have been under {@code below} for {@code rest}, or after {@code most}.
      */
     public record Sluggish(
-            @Within(min = 1, max = 1000) Double at,
-            @Within(min = 0.1, max = 60) Time after,
-            @Within(min = 1, max = 100) Double slower,
-            @Within(min = 0.1, max = 60) Time rest,
-            @Within(min = 0.01, max = 1) Double below,
-            @Within(min = 1, max = 600) Time most) {
+            @Bounds(min = 1, max = 1000) Double at,
+            @Bounds(min = 0.1, max = 60) Time after,
+            @Bounds(min = 1, max = 100) Double slower,
+            @Bounds(min = 0.1, max = 60) Time rest,
+            @Bounds(min = 0.01, max = 1) Double below,
+            @Bounds(min = 1, max = 600) Time most) {
         public Sluggish {
             at = at == null ? 6.0 : at;
             after = after == null ? Time.of("2s") : after;
@@ -181,28 +214,38 @@
     }
 
     /**
-     * First tries: at a rate, or at a share of what the tier that runs out first can do. {@code swing} is the height of
-     * a slow wave about the mean; {@code zoneSkew} how much more the first zone sends than the last (0: alike).
+     * The rate of first tries, either absolute or relative to capacity.
+     *
+     * @param utilisation the rate as a share of the capacity of the bottleneck tier
+     * @param swing the amplitude of a slow sine wave about the mean rate, as a share of it
+     * @param zoneSkew how unequal the zones' traffic is: weights fall linearly from 1 + zoneSkew for the first zone to
+     *     1 - zoneSkew for the last
      */
     public record Load(
-            @Within(min = 0.1, max = 20000, whenAbsent = true)
-            Rate rate,
+            @Bounds(min = 0.1, max = 20000, optional = true) Rate rate,
 
-            @Within(min = 0.01, max = 5, whenAbsent = true) Double utilisation,
-            @Within(max = 0.9) Double swing,
-            @Within(max = 0.9) Double zoneSkew) {
+            @Bounds(min = 0.01, max = 5, optional = true) Double utilisation,
+            @Bounds(max = 0.9) Double swing,
+            @Bounds(max = 0.9) Double zoneSkew) {
         public Load {
             swing = swing == null ? 0.2 : swing;
             zoneSkew = zoneSkew == null ? 0.3 : zoneSkew;
         }
     }
 
-    /** Balancers of the first tier (later tiers have one a caller), and the limits that each is started with. */
+    /**
+     * The balancers.
+     *
+     * @param count of the first tier; each later tier has one for each server that calls it
+     * @param memoryMb memory limit of a balancer
+     * @param descriptors limit of open file descriptors of a balancer
+     * @param maxOpen limit of open sessions of a balancer
+     */
     public record Balancers(
-            @Within(min = 1, max = 400) Integer count,
-            @Within(min = 32, max = 8192) Integer memoryMb,
-            @Within(min = 128, max = 100000) Integer descriptors,
-            @Within(min = 1, max = 100000) Integer maxOpen) {
+            @Bounds(min = 1, max = 400) Integer count,
+            @Bounds(min = 32, max = 8192) Integer memoryMb,
+            @Bounds(min = 128, max = 100000) Integer descriptors,
+            @Bounds(min = 1, max = 100000) Integer maxOpen) {
         public Balancers {
             count = count == null ? 3 : count;
             memoryMb = memoryMb == null ? 128 : memoryMb;
@@ -212,9 +255,13 @@
     }
 
     /**
-     * Balancers that talk to each other by datagrams, those of a tier as one cluster; left out, they don't. What each
-     * is told in its operator's file: whether outcomes are shared, whether the bandit advises, {@code experiments} as
-     * they stand here, and whether it keeps a folder over its restarts.
+     * A fleet: the balancers of each tier form a cluster and exchange datagrams. Without this field, balancers don't
+     * communicate.
+     *
+     * @param share whether balancers share the outcomes of dispatches
+     * @param bandit whether the bandit advises them
+     * @param experiments copied as they are to the operator's file of each balancer
+     * @param state whether a balancer has a state folder that survives its restarts
      */
     public record Fleet(Boolean share, Boolean bandit, List<Object> experiments, Boolean state, Network network) {
         public Fleet {
@@ -227,14 +274,18 @@
     }
 
     /**
-     * What becomes of datagrams between balancers: the part that is lost, the time that they take, the part that comes
-     * twice, and the part that is held back so that later ones overtake it.
+     * The network between balancers.
+     *
+     * @param loss the share of datagrams that are lost
+     * @param delay the transit time of a datagram
+     * @param repeat the share that are delivered twice
+     * @param reorder the share that are delayed so that later ones overtake them
      */
     public record Network(
-            @Within(max = 1) Double loss,
-            @Within(max = 10) Time delay,
-            @Within(max = 1) Double repeat,
-            @Within(max = 1) Double reorder) {
+            @Bounds(max = 1) Double loss,
+            @Bounds(max = 10) Time delay,
+            @Bounds(max = 1) Double repeat,
+            @Bounds(max = 1) Double reorder) {
         public Network {
             loss = loss == null ? 0.0 : loss;
             delay = delay == null ? Time.of("1ms") : delay;
@@ -243,7 +294,7 @@
         }
     }
 
-    /** How clients wait between tries. */
+    /** How long clients wait between tries: not at all, a fixed time, or a time that doubles. */
     public enum Backoff {
         @JsonProperty("none")
         NONE,
@@ -254,17 +305,23 @@
     }
 
     /**
-     * Clients' habits: how often they ask again and after which wait, what part of them follow Retry-After, the part of
-     * the class's give-up time after which a try is given up, and when the front layer notices a dead balancer.
+     * Client behaviour.
+     *
+     * @param retries the most retries of a request
+     * @param pause the wait before the first retry
+     * @param honour the share of clients that follow Retry-After
+     * @param patience the share of the class's {@code giveUp} time after which a client gives up a try
+     * @param marksRetry whether retries are marked as such
+     * @param notice the time after which the front layer stops sending to a dead balancer
      */
     public record Clients(
-            @Within(max = 10) Integer retries,
+            @Bounds(max = 10) Integer retries,
             Backoff backoff,
-            @Within(max = 60) Time pause,
-            @Within(max = 1) Double honour,
-            @Within(min = 0.05, max = 1) Range patience,
+            @Bounds(max = 60) Time pause,
+            @Bounds(max = 1) Double honour,
+            @Bounds(min = 0.05, max = 1) Range patience,
             Boolean marksRetry,
-            @Within(max = 60) Time notice) {
+            @Bounds(max = 60) Time notice) {
         public Clients {
             retries = retries == null ? 1 : retries;
             backoff = backoff == null ? Backoff.FIXED : backoff;
@@ -277,16 +334,22 @@
     }
 
     /**
-     * The list of servers: how late it hears of a planned change and of a machine that fell silent, how many calls it
-     * handles a second, how many entries cost as much as a call, and after which wait in turn a call fails.
+     * Service discovery.
+     *
+     * @param notice the delay after which the list shows a planned change
+     * @param silentNotice the delay after which the list shows that a machine is unreachable
+     * @param capacity calls handled a second
+     * @param lines the number of list entries that cost as much as one call
+     * @param timeout the time in its queue after which a call fails
+     * @param grace how long a balancer may still send to a server after it was told that the server is draining
      */
     public record Discovery(
-            @Within(max = 60) Time notice,
-            @Within(max = 120) Time silentNotice,
-            @Within(min = 1, max = 100000) Rate capacity,
-            @Within(min = 1, max = 10000) Integer lines,
-            @Within(min = 0.05, max = 60) Time timeout,
-            @Within(min = 0.1, max = 60) Time grace) {
+            @Bounds(max = 60) Time notice,
+            @Bounds(max = 120) Time silentNotice,
+            @Bounds(min = 1, max = 100000) Rate capacity,
+            @Bounds(min = 1, max = 10000) Integer lines,
+            @Bounds(min = 0.05, max = 60) Time timeout,
+            @Bounds(min = 0.1, max = 60) Time grace) {
         public Discovery {
             notice = notice == null ? Time.of("1500ms") : notice;
             silentNotice = silentNotice == null ? Time.of("8s") : silentNotice;
--- a/lab/src/main/java/calicochute/lab/scenario/ScenarioException.java
+++ b/lab/src/main/java/calicochute/lab/scenario/ScenarioException.java
@@ -4,29 +4,29 @@
 import calicochute.errors.Code;
 import java.util.List;
 
-/** A scenario that can't be used, with every fault found in it. */
+/** Reports an invalid scenario, with every problem found in it. */
 public final class ScenarioException extends CheckedFault {
     private static final long serialVersionUID = 1L;
-    private final transient List<Complaint> complaints;
+    private final transient List<Problem> problems;
 
-    /** One fault: where it stands and what would be right; {@code line} counts from 1, 0 where there is none. */
-    public record Complaint(String file, int line, String field, String rule) {
+    /** A problem: its place and the rule it breaks. {@code line} counts from 1; 0 means that no line is known. */
+    public record Problem(String file, int line, String field, String rule) {
         @Override
         public String toString() {
             return file + (line > 0 ? ":" + line : "") + ": " + (field.isEmpty() ? "" : field + ": ") + rule;
         }
     }
 
-    public ScenarioException(List<Complaint> complaints) {
+    public ScenarioException(List<Problem> problems) {
         super(
                 Code.SCENARIO,
                 "",
-                String.join("\n", complaints.stream().map(Complaint::toString).toList()),
+                String.join("\n", problems.stream().map(Problem::toString).toList()),
                 null);
-        this.complaints = List.copyOf(complaints);
+        this.problems = List.copyOf(problems);
     }
 
-    public List<Complaint> complaints() {
-        return complaints;
+    public List<Problem> problems() {
+        return problems;
     }
 }
--- a/lab/src/main/java/calicochute/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/calicochute/lab/scenario/ScenarioReader.java
@@ -1,6 +1,6 @@
 package calicochute.lab.scenario;
 
-import calicochute.lab.scenario.ScenarioException.Complaint;
+import calicochute.lab.scenario.ScenarioException.Problem;
 import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -30,10 +30,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Reads a scenario from YAML by Jackson, and checks it. All faults of a file are told at once, each with its line, its
- * field and what would be right: first those of form; what the fields mean together is checked once the form holds.
+ * Reads a scenario from YAML with Jackson and validates it. All problems of a file are reported together, each with its
+ * line, its field and the rule it breaks. Bounds and rules across fields are checked only if every field could be
+ * bound.
  */
 public final class ScenarioReader {
+    /** The expected form of a value of each type, as error messages state it. */
     private static final Map<Class<?>, String> FORMS = Map.of(
             Time.class,
             Time.FORM,
@@ -52,50 +54,51 @@
 
     private ScenarioReader() {}
 
+    /** Reads a scenario from a file and the base file that it names. */
     public static Scenario read(Path file) throws ScenarioException {
-        return parse(Source.read(file));
+        return parse(ScenarioSource.read(file));
     }
 
-    /** Reads a scenario's text; {@code name} stands for the file in complaints. */
+    /** Reads a scenario from its text; problems give {@code name} as the file name. */
     public static Scenario parse(String name, String text) throws ScenarioException {
-        return parse(Source.of(name, text));
+        return parse(ScenarioSource.of(name, text));
     }
 
-    private static Scenario parse(Source source) throws ScenarioException {
+    private static Scenario parse(ScenarioSource source) throws ScenarioException {
         String text = source.text();
-        List<Complaint> complaints = new ArrayList<>();
-        Lines lines;
+        List<Problem> problems = new ArrayList<>();
+        FieldLines lines;
         try {
-            lines = Lines.of(text);
+            lines = FieldLines.of(text);
         } catch (IOException e) {
             throw new ScenarioException(
-                    List.of(source.complaint(line(e), "", "is no YAML: " + firstLine(e.getMessage()))));
+                    List.of(source.problem(line(e), "", "is not valid YAML: " + firstLine(e.getMessage()))));
         }
-        if (lines.empty()) {
-            throw new ScenarioException(List.of(source.complaint(1, "", "is empty")));
+        if (lines.isEmpty()) {
+            throw new ScenarioException(List.of(source.problem(1, "", "is empty")));
         }
         Scenario scenario = null;
         try {
-            scenario = mapper(new Collector(source, lines, complaints)).readValue(text, Scenario.class);
+            scenario = mapper(new ProblemCollector(source, lines, problems)).readValue(text, Scenario.class);
         } catch (JsonMappingException e) {
             String field = field(e);
-            complaints.add(source.complaint(lines.line(field), field, rule(e)));
+            problems.add(source.problem(lines.line(field), field, rule(e)));
         } catch (JacksonException e) {
-            complaints.add(source.complaint(line(e), "", firstLine(e.getOriginalMessage())));
+            problems.add(source.problem(line(e), "", firstLine(e.getOriginalMessage())));
         }
-        unknown(text, (field, rule) -> complaints.add(source.complaint(lines.line(field), field, rule)));
-        if (complaints.isEmpty()) {
-            new ScenarioCheck(
-                            scenario, (field, rule) -> complaints.add(source.complaint(lines.line(field), field, rule)))
+        reportUnknownFields(text, (field, rule) -> problems.add(source.problem(lines.line(field), field, rule)));
+        if (problems.isEmpty()) {
+            new ScenarioValidator(
+                            scenario, (field, rule) -> problems.add(source.problem(lines.line(field), field, rule)))
                     .run();
         }
-        if (!complaints.isEmpty()) {
-            throw new ScenarioException(complaints);
+        if (!problems.isEmpty()) {
+            throw new ScenarioException(problems);
         }
         return scenario;
     }
 
-    /** The scenario as YAML, with every default spelt out. */
+    /** Writes the scenario as YAML, with every default value included. */
     public static String write(Scenario scenario) {
         try {
             return YAMLMapper.builder()
@@ -110,7 +113,7 @@
         }
     }
 
-    private static ObjectMapper mapper(Collector collector) {
+    private static ObjectMapper mapper(ProblemCollector collector) {
         return YAMLMapper.builder()
                 .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
                 .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
@@ -119,43 +122,45 @@
                 .build();
     }
 
-    /** Complains of every field that nothing is bound to. */
-    private static void unknown(String text, BiConsumer<String, String> complain) {
+    /** Reports every field that no record component has the name of. */
+    private static void reportUnknownFields(String text, BiConsumer<String, String> report) {
         try {
-            unknown("", new YAMLMapper().readTree(text), Scenario.class, complain);
+            reportUnknownFields("", new YAMLMapper().readTree(text), Scenario.class, report);
         } catch (JacksonException e) {
-            complain.accept("", firstLine(e.getOriginalMessage()));
+            report.accept("", firstLine(e.getOriginalMessage()));
         }
     }
 
-    private static void unknown(String at, JsonNode node, Type type, BiConsumer<String, String> complain) {
+    private static void reportUnknownFields(
+            String parent, JsonNode node, Type type, BiConsumer<String, String> report) {
         if (node.isArray() && type instanceof ParameterizedType list) {
             for (int i = 0; i < node.size(); i++) {
-                unknown(at + "[" + i + "]", node.get(i), list.getActualTypeArguments()[0], complain);
+                reportUnknownFields(parent + "[" + i + "]", node.get(i), list.getActualTypeArguments()[0], report);
             }
         } else if (node.isObject()
                 && type instanceof Class<?> record
                 && record.isRecord()
                 && !FORMS.containsKey(record)) {
             for (Map.Entry<String, JsonNode> entry : node.properties()) {
-                String field = Lines.join(at, entry.getKey());
+                String field = FieldLines.join(parent, entry.getKey());
                 Arrays.stream(record.getRecordComponents())
                         .filter(c -> c.getName().equals(entry.getKey()))
                         .findFirst()
                         .ifPresentOrElse(
-                                c -> unknown(field, entry.getValue(), c.getGenericType(), complain),
-                                () -> complain.accept(field, "is not known; there are: " + Collector.fields(record)));
+                                c -> reportUnknownFields(field, entry.getValue(), c.getGenericType(), report),
+                                () -> report.accept(
+                                        field, "is not known; there are: " + ProblemCollector.fields(record)));
             }
         }
     }
 
-    /** The field at which Jackson gave up. */
+    /** Returns the field at which Jackson failed. */
     private static String field(JsonMappingException e) {
         String field = "";
         for (JsonMappingException.Reference step : e.getPath()) {
             field = step.getFieldName() == null
                     ? field + "[" + step.getIndex() + "]"
-                    : Lines.join(field, step.getFieldName());
+                    : FieldLines.join(field, step.getFieldName());
         }
         return field;
     }
@@ -165,7 +170,7 @@
             return e.getCause().getMessage();
         }
         return e instanceof MismatchedInputException mismatch && mismatch.getTargetType() != null
-                ? "is not " + Collector.form(mismatch.getTargetType())
+                ? "is not " + ProblemCollector.form(mismatch.getTargetType())
                 : firstLine(e.getOriginalMessage());
     }
 
@@ -179,21 +184,21 @@
         return text == null ? "" : text.lines().findFirst().orElse("").replace("[Source: (StringReader)", "");
     }
 
-    /** Notes what Jackson can't bind and goes on with nothing in its place, so that all faults are found. */
-    private static final class Collector extends DeserializationProblemHandler {
-        private final Source source;
-        private final Lines lines;
-        private final List<Complaint> complaints;
+    /** Records each value that Jackson cannot bind and continues with null, so that all problems are found. */
+    private static final class ProblemCollector extends DeserializationProblemHandler {
+        private final ScenarioSource source;
+        private final FieldLines lines;
+        private final List<Problem> problems;
 
-        Collector(Source source, Lines lines, List<Complaint> complaints) {
+        ProblemCollector(ScenarioSource source, FieldLines lines, List<Problem> problems) {
             this.source = source;
             this.lines = lines;
-            this.complaints = complaints;
+            this.problems = problems;
         }
 
-        private Object note(JsonParser at, String rule) {
-            String field = Lines.field(at.getParsingContext());
-            complaints.add(source.complaint(lines.line(field), field, rule));
+        private Object addProblem(JsonParser parser, String rule) {
+            String field = FieldLines.field(parser.getParsingContext());
+            problems.add(source.problem(lines.line(field), field, rule));
             return null;
         }
 
@@ -223,40 +228,43 @@
                             .collect(Collectors.joining(", "));
         }
 
-        /** Told by {@link #unknown}: Jackson may come to it late, when it has read on. */
+        /**
+         * Ignores the field: {@link #reportUnknownFields} reports it, because Jackson may call this after reading past
+         * it.
+         */
         @Override
         public boolean handleUnknownProperty(
                 DeserializationContext context,
-                JsonParser p,
+                JsonParser parser,
                 JsonDeserializer<?> deserializer,
                 Object bean,
                 String property)
                 throws IOException {
-            p.skipChildren();
+            parser.skipChildren();
             return true;
         }
 
         @Override
         public Object handleWeirdStringValue(
                 DeserializationContext context, Class<?> target, String value, String failure) {
-            return note(context.getParser(), "'" + value + "' is not " + form(target));
+            return addProblem(context.getParser(), "'" + value + "' is not " + form(target));
         }
 
         @Override
         public Object handleWeirdNumberValue(
                 DeserializationContext context, Class<?> target, Number value, String failure) {
-            return note(context.getParser(), value + " is not " + form(target));
+            return addProblem(context.getParser(), value + " is not " + form(target));
         }
 
         @Override
         public Object handleUnexpectedToken(
-                DeserializationContext context, JavaType target, JsonToken token, JsonParser p, String failure)
+                DeserializationContext context, JavaType target, JsonToken token, JsonParser parser, String failure)
                 throws IOException {
             String given = token != null && token.isScalarValue()
-                    ? "'" + p.getText() + "'"
+                    ? "'" + parser.getText() + "'"
                     : token == JsonToken.START_ARRAY ? "a list" : "a group of fields";
-            note(p, given + " is not " + form(target.getRawClass()));
-            p.skipChildren();
+            addProblem(parser, given + " is not " + form(target.getRawClass()));
+            parser.skipChildren();
             return null;
         }
 
@@ -265,24 +273,25 @@
                 DeserializationContext context,
                 Class<?> type,
                 ValueInstantiator instantiator,
-                JsonParser p,
+                JsonParser parser,
                 String message)
                 throws IOException {
-            if (p.currentToken() != JsonToken.FIELD_NAME) {
-                note(
-                        p,
-                        (p.currentToken().isScalarValue() ? "'" + p.getText() + "'" : "a list") + " is not "
+            if (parser.currentToken() != JsonToken.FIELD_NAME) {
+                addProblem(
+                        parser,
+                        (parser.currentToken().isScalarValue() ? "'" + parser.getText() + "'" : "a list") + " is not "
                                 + form(type));
-                p.skipChildren();
+                parser.skipChildren();
                 return null;
             }
-            // It stands within the group already, at its first field: the complaint is about the group as a whole.
-            String field = Lines.field(p.getParsingContext().getParent());
-            complaints.add(source.complaint(lines.line(field), field, "a group of fields is not " + form(type)));
-            while (p.currentToken() == JsonToken.FIELD_NAME) {
-                p.nextToken();
-                p.skipChildren();
-                p.nextToken();
+            // The parser is already inside the object, at its first field, but the problem concerns the object's own
+            // field.
+            String field = FieldLines.field(parser.getParsingContext().getParent());
+            problems.add(source.problem(lines.line(field), field, "a group of fields is not " + form(type)));
+            while (parser.currentToken() == JsonToken.FIELD_NAME) {
+                parser.nextToken();
+                parser.skipChildren();
+                parser.nextToken();
             }
             return null;
         }
@@ -291,7 +300,7 @@
         public Object handleInstantiationProblem(
                 DeserializationContext context, Class<?> type, Object argument, Throwable cause) {
             Throwable root = cause.getCause() == null ? cause : cause.getCause();
-            return note(context.getParser(), root.getMessage());
+            return addProblem(context.getParser(), root.getMessage());
         }
     }
 }
--- a/lab/src/main/java/calicochute/lab/scenario/Time.java
+++ b/lab/src/main/java/calicochute/lab/scenario/Time.java
@@ -5,26 +5,26 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A length of time in a scenario, in microseconds; written with its unit. */
+/** A duration in a scenario, in microseconds; written with its unit. */
 public record Time(long micros) implements Comparable<Time> {
-    /** What a reader of a complaint is told to write. */
+    /** The expected form, as error messages state it. */
     public static final String FORM = "a time with its unit, such as 750ms, 2.5s or 120us";
 
     private static final Pattern TEXT = Pattern.compile("(\\d+(?:\\.\\d+)?)\\s*(us|ms|s|min)");
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
     public static Time of(String text) {
-        Matcher m = TEXT.matcher(text.trim());
-        if (!m.matches()) {
+        Matcher matcher = TEXT.matcher(text.trim());
+        if (!matcher.matches()) {
             throw new IllegalArgumentException("'" + text + "' is not " + FORM);
         }
-        double unit = switch (m.group(2)) {
+        double unit = switch (matcher.group(2)) {
             case "us" -> 1;
             case "ms" -> 1e3;
             case "s" -> 1e6;
             default -> 60e6;
         };
-        return new Time(Math.round(Double.parseDouble(m.group(1)) * unit));
+        return new Time(Math.round(Double.parseDouble(matcher.group(1)) * unit));
     }
 
     public static Time ofSeconds(double seconds) {
--- a/lab/src/main/java/calicochute/lab/server/ServerModel.java
+++ b/lab/src/main/java/calicochute/lab/server/ServerModel.java
@@ -1,6 +1,6 @@
 package calicochute.lab.server;
 
-import calicochute.lab.chance.Streams;
+import calicochute.lab.random.RandomStreams;
 import calicochute.lab.scenario.Scenario.Kind;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -148,7 +148,7 @@
     }
 
     private double noise() {
-        return kind.noise() <= 0 ? 1 : Streams.lognormal(noise, 1, kind.noise());
+        return kind.noise() <= 0 ? 1 : RandomStreams.lognormal(noise, 1, kind.noise());
     }
 
     private void run(Job job) {
--- a/lab/src/test/java/calicochute/lab/evenness/EvennessTest.java
+++ b/lab/src/test/java/calicochute/lab/evenness/EvennessTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicochute.lab.chance.Streams;
 import calicochute.lab.evenness.Evenness.Part;
 import calicochute.lab.evenness.Evenness.Phase;
+import calicochute.lab.random.RandomStreams;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
@@ -51,12 +51,13 @@
     }
 
     private static Evenness of(List<Dispatch> sent, Sick.Trouble... troubles) {
-        return Evenness.of("t", servers(), sent, all(8), LENGTH, List.of(troubles), new Streams(3).of("evenness", 0));
+        return Evenness.of(
+                "t", servers(), sent, all(8), LENGTH, List.of(troubles), new RandomStreams(3).of("evenness", 0));
     }
 
     private static IntUnaryOperator weighted(double... weights) {
-        UniformRandomProvider draw = new Streams(9).of("test", 0);
-        return i -> Streams.weighted(draw, weights);
+        UniformRandomProvider draw = new RandomStreams(9).of("test", 0);
+        return i -> RandomStreams.weighted(draw, weights);
     }
 
     private static Load part(Phase phase, Parts.Against against) {
@@ -119,7 +120,7 @@
         assertTrue(part(zone, Parts.Against.KIND).spread()
                 > 5 * part(zone, Parts.Against.GROUP).spread());
         // All balancers alike, each with one server of each zone and kind: the first of the two for seven of ten.
-        UniformRandomProvider draw = new Streams(9).of("test", 1);
+        UniformRandomProvider draw = new RandomStreams(9).of("test", 1);
         Phase subset = of(sent(i -> 4 * draw.nextInt(2) + draw.nextInt(2) + (i % 10 < 7 ? 0 : 2)))
                 .phases()
                 .get(0);
@@ -139,7 +140,7 @@
                 new Room(seconds),
                 LENGTH,
                 List.of(),
-                new Streams(3).of("evenness", 0));
+                new RandomStreams(3).of("evenness", 0));
         assertEquals(
                 List.of(8, 8, 7),
                 e.windows().stream().map(Evenness.Window::servers).toList());
--- a/lab/src/test/java/calicochute/lab/network/WireTest.java
+++ b/lab/src/test/java/calicochute/lab/network/WireTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicochute.lab.chance.Streams;
 import calicochute.lab.network.Wire.Cause;
 import calicochute.lab.network.Wire.Fate;
+import calicochute.lab.random.RandomStreams;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -16,7 +16,7 @@
     private static final Conditions BAD = new Conditions(0.2, 1_000, 0.1, 0.1);
 
     private static Wire wire(Conditions usual) {
-        return new Wire(4, usual, way -> new Streams(7).of("network", way));
+        return new Wire(4, usual, way -> new RandomStreams(7).of("network", way));
     }
 
     private static List<Fate> send(Wire wire, int from, int to, int many) {
--- a/lab/src/test/java/calicochute/lab/plan/PlanTest.java
+++ b/lab/src/test/java/calicochute/lab/plan/PlanTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicochute.lab.chance.Streams;
+import calicochute.lab.random.RandomStreams;
 import calicochute.lab.scenario.Scenario;
 import calicochute.lab.scenario.ScenarioReader;
 import java.io.InputStream;
@@ -26,44 +26,45 @@
     }
 
     private static List<Arrival> arrivals(Scenario scenario, long seed) {
-        Streams streams = new Streams(seed);
+        RandomStreams streams = new RandomStreams(seed);
         return ArrivalPlan.draw(Deployment.draw(scenario, streams), streams);
     }
 
     @Test
-    void theSameSeedDrawsTheSameRun() throws Exception {
+    void sameSeedDrawsSameRun() throws Exception {
         Scenario scenario = scenario("");
         assertEquals(arrivals(scenario, 7).toString(), arrivals(scenario, 7).toString());
         assertNotEquals(arrivals(scenario, 7).toString(), arrivals(scenario, 8).toString());
-        assertEquals(Deployment.draw(scenario, new Streams(7)), Deployment.draw(scenario, new Streams(7)));
+        assertEquals(Deployment.draw(scenario, new RandomStreams(7)), Deployment.draw(scenario, new RandomStreams(7)));
     }
 
-    /** Guards against a trouble that, by shifting the other draws, makes two runs that can't be compared. */
+    /** An added trouble must not change any other draw; otherwise runs with and without it could not be compared. */
     @Test
-    void aTroubleShiftsNoOtherDraw() throws Exception {
+    void addedTroubleChangesNoOtherDraw() throws Exception {
         Set<String> usual = keys(arrivals(scenario(""), 7));
         Set<String> withJump = keys(arrivals(scenario(JUMP), 7));
         assertTrue(withJump.containsAll(usual));
         assertTrue(withJump.size() > usual.size());
-        Deployment deployment = Deployment.draw(scenario(JUMP), new Streams(7));
-        List<TroublePlan> more = TroublePlan.draw(deployment, new Streams(7));
-        List<TroublePlan> fewer = TroublePlan.draw(Deployment.draw(scenario(""), new Streams(7)), new Streams(7));
+        Deployment deployment = Deployment.draw(scenario(JUMP), new RandomStreams(7));
+        List<TroublePlan> more = TroublePlan.draw(deployment, new RandomStreams(7));
+        List<TroublePlan> fewer =
+                TroublePlan.draw(Deployment.draw(scenario(""), new RandomStreams(7)), new RandomStreams(7));
         assertEquals(fewer, more.subList(0, fewer.size()));
     }
 
-    /** What discovery tells of machines of one and four cores, and of machines that are all alike. */
+    /** Weights where all machines have the same number of cores, and where the tiers differ. */
     @Test
-    void nominalSizesAreCoresOverTheTiersMean() throws Exception {
+    void discoveryWeightIsCoresOverTierMean() throws Exception {
         String alike = ScenarioReader.write(scenario(""));
-        Deployment same = Deployment.draw(ScenarioReader.parse("s", alike), new Streams(7));
-        same.machines().forEach(m -> assertEquals(1, same.size(m)));
-        Deployment mixed =
-                Deployment.draw(ScenarioReader.parse("s", alike.replaceFirst("cores: 2", "cores: 5")), new Streams(7));
+        Deployment same = Deployment.draw(ScenarioReader.parse("s", alike), new RandomStreams(7));
+        same.machines().forEach(m -> assertEquals(1, same.discoveryWeight(m)));
+        Deployment mixed = Deployment.draw(
+                ScenarioReader.parse("s", alike.replaceFirst("cores: 2", "cores: 5")), new RandomStreams(7));
         for (int t = 0; t < mixed.scenario().tiers().size(); t++) {
             assertEquals(
                     1,
                     mixed.machines(t).stream()
-                            .mapToDouble(mixed::size)
+                            .mapToDouble(mixed::discoveryWeight)
                             .average()
                             .orElse(0),
                     1e-9);
@@ -72,46 +73,50 @@
         for (var one : mixed.machines()) {
             for (var other : mixed.machines(one.tier())) {
                 assertEquals(
-                        (double) one.kind().cores() / other.kind().cores(), mixed.size(one) / mixed.size(other), 1e-9);
+                        (double) one.kind().cores() / other.kind().cores(),
+                        mixed.discoveryWeight(one) / mixed.discoveryWeight(other),
+                        1e-9);
             }
         }
     }
 
     private static Set<String> keys(List<Arrival> arrivals) {
         return arrivals.stream()
-                .map(a -> a.at() + " " + a.classIndex() + " " + a.tenant() + " " + a.work() + " " + a.patience())
+                .map(a -> a.atMicros() + " " + a.classIndex() + " " + a.tenant() + " " + a.workMicros() + " "
+                        + a.patience())
                 .collect(Collectors.toSet());
     }
 
     @Test
-    void arrivalsComeAtTheRateAndInTheShares() throws Exception {
+    void arrivalsMatchRateAndShares() throws Exception {
         Scenario scenario = scenario("");
-        Deployment deployment = Deployment.draw(scenario, new Streams(1));
+        Deployment deployment = Deployment.draw(scenario, new RandomStreams(1));
         int count = 0;
         double work = 0;
         int views = 0;
         int runs = 20;
         for (int seed = 0; seed < runs; seed++) {
-            Streams streams = new Streams(seed);
+            RandomStreams streams = new RandomStreams(seed);
             for (Arrival a : ArrivalPlan.draw(deployment, streams)) {
-                if (a.at() < 0) {
+                if (a.atMicros() < 0) {
                     continue;
                 }
                 count++;
-                work += a.work();
+                work += a.workMicros();
                 views += a.classIndex() == 0 ? 1 : 0;
             }
         }
-        // 20 s of a 25 s wave: its mean there is 1 + 0.2 * (1 - cos(1.6 pi)) / (1.6 pi).
+        // The run covers 20 s of a wave with a period of 25 s; the mean of the wave over them is 1 + 0.2 * (1 - cos(1.6
+        // pi)) / (1.6 pi).
         double wave = 1 + 0.2 * (1 - Math.cos(1.6 * Math.PI)) / (1.6 * Math.PI);
         assertEquals(1, count / (runs * 20 * deployment.ratePerSecond() * wave), 0.03);
         assertEquals(0.5, views / (double) count, 0.02);
-        assertEquals(1, work / count / deployment.meanWork(), 0.05);
+        assertEquals(1, work / count / deployment.meanWorkMicros(), 0.05);
     }
 
     @Test
-    void everyCallingServerHasItsBalancer() throws Exception {
-        Deployment deployment = Deployment.draw(scenario(""), new Streams(3));
+    void everyCallingServerHasABalancer() throws Exception {
+        Deployment deployment = Deployment.draw(scenario(""), new RandomStreams(3));
         assertEquals(3 + 4, deployment.balancers().size());
         List<String> owners = new ArrayList<>(deployment.balancers().stream()
                 .filter(b -> b.tier() == 1)
@@ -120,10 +125,11 @@
         assertEquals(deployment.machines(0).stream().map(m -> m.id()).toList(), owners);
     }
 
-    /** Victims of the network's troubles are of the named tier, else of all; the far end of a cut is others of it. */
+    /** A network trouble hits balancers of the given tier, and the two ends of a one-way cut have none in common. */
     @Test
-    void networkTroublesDrawTheirEndsApart() throws Exception {
-        List<TroublePlan> plans = TroublePlan.draw(Deployment.draw(scenario(""), new Streams(3)), new Streams(3));
+    void networkTroubleEndsAreDisjoint() throws Exception {
+        List<TroublePlan> plans =
+                TroublePlan.draw(Deployment.draw(scenario(""), new RandomStreams(3)), new RandomStreams(3));
         TroublePlan cut = plans.get(6);
         assertEquals(1, cut.victims().size());
         assertEquals(2, cut.others().size());
@@ -132,7 +138,7 @@
         assertEquals(2, plans.get(7).victims().size());
         assertEquals(
                 1,
-                TroublePlan.draw(Deployment.draw(scenario(""), new Streams(3)), new Streams(3))
+                TroublePlan.draw(Deployment.draw(scenario(""), new RandomStreams(3)), new RandomStreams(3))
                         .get(3)
                         .victims()
                         .stream()
@@ -141,10 +147,10 @@
     }
 
     @Test
-    void victimsOfARollingDrainEndOneAfterAnother() throws Exception {
-        TroublePlan drain = TroublePlan.draw(Deployment.draw(scenario(""), new Streams(3)), new Streams(3))
+    void rollingDrainEndsAfterItsLastVictim() throws Exception {
+        TroublePlan drain = TroublePlan.draw(Deployment.draw(scenario(""), new RandomStreams(3)), new RandomStreams(3))
                 .get(4);
         assertEquals(2, drain.victims().size());
-        assertEquals(2_000_000 + 5_000_000, drain.to() - drain.from());
+        assertEquals(2_000_000 + 5_000_000, drain.toMicros() - drain.fromMicros());
     }
 }
--- a/lab/src/test/java/calicochute/lab/scenario/ScenarioReaderTest.java
+++ b/lab/src/test/java/calicochute/lab/scenario/ScenarioReaderTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicochute.lab.scenario.ScenarioException.Complaint;
+import calicochute.lab.scenario.ScenarioException.Problem;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -18,80 +18,84 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** A scenario that can't be used is refused with the line, the field and what would be right; never half read. */
+/** An invalid scenario is rejected as a whole, with the line, the field and the rule of each problem. */
 class ScenarioReaderTest {
-    /** Any text will do in these; a list in their place is refused like everywhere. */
+    /** Fields that accept any text; a list in their place is rejected. */
     private static final Set<String> FREE_TEXT = Set.of("title", "shows", "name");
 
-    private static String full() throws IOException {
+    private static String fullYaml() throws IOException {
         try (InputStream in = ScenarioReaderTest.class.getResourceAsStream("/calicochute/lab/full.yaml")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    private static List<Complaint> complaints(String text) {
+    private static List<Problem> problems(String text) {
         return assertThrows(ScenarioException.class, () -> ScenarioReader.parse("s.yaml", text))
-                .complaints();
+                .problems();
     }
 
     @Test
-    void theFullFileIsReadAndWrittenBack() throws Exception {
-        Scenario read = ScenarioReader.parse("s.yaml", full());
+    void fullScenarioSurvivesRoundTrip() throws Exception {
+        Scenario read = ScenarioReader.parse("s.yaml", fullYaml());
         assertEquals(20_000_000, read.length().micros());
         assertEquals(Range.of(0.85, 1.1), read.tiers().get(0).kinds().get(0).speed());
         assertEquals(Trouble.Kind.ZONE_CUT, read.troubles().get(2).kind());
         assertEquals(read, ScenarioReader.parse("again", ScenarioReader.write(read)));
     }
 
-    /** Each field of the full file broken in turn, in two ways: what can't be its form, and a name that isn't known. */
+    /**
+     * Breaks each field of the full file in turn: with values of a wrong form or out of bounds, and with an unknown
+     * name.
+     */
     @TestFactory
-    Stream<DynamicTest> eachFieldBrokenInTurn() throws IOException {
-        List<String> lines = full().lines().toList();
+    Stream<DynamicTest> everyInvalidFieldIsReported() throws IOException {
+        List<String> lines = fullYaml().lines().toList();
         List<DynamicTest> tests = new ArrayList<>();
         for (int i = 0; i < lines.size(); i++) {
             String line = lines.get(i);
             int colon = line.indexOf(':');
             String key = line.substring(0, colon).replace("-", "").trim();
-            boolean leaf = colon < line.length() - 1;
+            boolean hasValue = colon < line.length() - 1;
             int number = i + 1;
-            if (leaf) {
-                tests.add(broken(lines, i, line.substring(0, colon) + ": {no: {such: thing}}", key, number));
+            if (hasValue) {
+                tests.add(replacedLine(lines, i, line.substring(0, colon) + ": {no: {such: thing}}", key, number));
                 if (!FREE_TEXT.contains(key) && !key.equals("names")) {
-                    tests.add(broken(lines, i, line.substring(0, colon) + ": frobnicate", key, number));
-                    tests.add(broken(lines, i, line.substring(0, colon) + ": -1e12", key, number));
+                    tests.add(replacedLine(lines, i, line.substring(0, colon) + ": frobnicate", key, number));
+                    tests.add(replacedLine(lines, i, line.substring(0, colon) + ": -1e12", key, number));
                 }
             }
             int from = line.indexOf(key);
-            tests.add(broken(lines, i, line.substring(0, from) + "x" + line.substring(from), "x" + key, number));
+            tests.add(replacedLine(lines, i, line.substring(0, from) + "x" + line.substring(from), "x" + key, number));
         }
         return tests.stream();
     }
 
-    private static DynamicTest broken(List<String> lines, int index, String with, String key, int number) {
+    private static DynamicTest replacedLine(List<String> lines, int index, String replacement, String key, int number) {
         List<String> changed = new ArrayList<>(lines);
-        changed.set(index, with);
-        return DynamicTest.dynamicTest("line " + number + ": " + with.trim(), () -> {
-            List<Complaint> complaints = complaints(String.join("\n", changed));
+        changed.set(index, replacement);
+        return DynamicTest.dynamicTest("line " + number + ": " + replacement.trim(), () -> {
+            List<Problem> problems = problems(String.join("\n", changed));
             assertTrue(
-                    complaints.stream()
+                    problems.stream()
                             .anyMatch(c -> c.line() == number
                                     && c.file().equals("s.yaml")
                                     && c.field().matches(".*\\b" + key + "(\\[\\d+\\])?")
                                     && !c.rule().isBlank()),
-                    () -> "no complaint of " + key + " at line " + number + " in " + complaints);
+                    () -> "no problem reported for " + key + " at line " + number + " in " + problems);
         });
     }
 
     @Test
-    void allFaultsAreToldAtOnce() throws IOException {
-        List<Complaint> found = complaints(full().replace("cores: 2", "cores: two")
+    void allProblemsAreReportedTogether() throws IOException {
+        List<Problem> found = problems(fullYaml()
+                .replace("cores: 2", "cores: two")
                 .replace("400us", "400")
                 .replace("effect: keyed", "effect: keyd"));
         assertEquals(3, found.size(), found::toString);
     }
 
     @Test
-    void whatFieldsMeanTogetherIsChecked() throws IOException {
+    void rulesAcrossFieldsAreChecked() throws IOException {
         record Case(String from, String to, String field, String rule) {}
         for (Case c : List.of(
                 new Case("aim: 2500ms", "aim: 8s", "classes[0].aim", "giveUp"),
@@ -113,9 +117,9 @@
                 new Case("others: 2", "others: 4", "troubles[6].balancers", "only 4"),
                 new Case("kind: net-cut", "kind: net-loss\n    factor: 2", "troubles[6].factor", "between 0 and 1"),
                 new Case("  count: 3", "  count: 397", "tiers", "would need 401 balancers"))) {
-            String text = full();
+            String text = fullYaml();
             assertTrue(text.contains(c.from), c.from);
-            List<Complaint> found = complaints(text.replace(c.from, c.to));
+            List<Problem> found = problems(text.replace(c.from, c.to));
             assertTrue(
                     found.stream()
                             .anyMatch(f -> f.field().equals(c.field) && f.rule().contains(c.rule) && f.line() > 1),
@@ -123,40 +127,41 @@
         }
     }
 
-    /** What stands in an experiment is the balancers' business: it is handed on as it is. */
+    /** The lab does not validate experiments; balancers get them as they are. */
     @Test
-    void experimentsAreFree() throws Exception {
+    void experimentsAreNotValidated() throws Exception {
         Scenario read = ScenarioReader.parse(
                 "s.yaml",
-                full().replace(
+                fullYaml()
+                        .replace(
                                 "experiments: []",
                                 "experiments: [{name: e1, lanes: [view-map], share: 0.5, after: {hold: 1s}}, plain]"));
         assertEquals(
                 "{name=e1, lanes=[view-map], share=0.5, after={hold=1s}}",
                 read.fleet().experiments().get(0).toString());
         assertEquals(read, ScenarioReader.parse("again", ScenarioReader.write(read)));
-        assertTrue(complaints(full().replaceAll("(?s)fleet:.*troubles:", "troubles:")).stream()
+        assertTrue(problems(fullYaml().replaceAll("(?s)fleet:.*troubles:", "troubles:")).stream()
                 .anyMatch(c -> c.field().equals("troubles[6].kind") && c.rule().contains("fleet")));
     }
 
     @Test
-    void whatIsNoScenarioAtAll() {
+    void inputThatIsNotAScenarioIsRejected() {
         assertTrue(
-                complaints("").get(0).rule().contains("empty"),
-                () -> complaints("").toString());
-        assertTrue(complaints("a: [b").get(0).rule().contains("YAML"));
+                problems("").get(0).rule().contains("empty"), () -> problems("").toString());
+        assertTrue(problems("a: [b").get(0).rule().contains("YAML"));
         assertTrue(
-                complaints("just words").get(0).rule().contains("not"),
-                () -> complaints("just words").toString());
+                problems("just words").get(0).rule().contains("not"),
+                () -> problems("just words").toString());
         assertTrue(
-                complaints("version: 1\nversion: 1\n").get(0).rule().contains("uplicate"),
-                () -> complaints("version: 1\nversion: 1\n").toString());
-        ScenarioException none = assertThrows(ScenarioException.class, () -> ScenarioReader.read(Path.of("no.yaml")));
-        assertTrue(none.getMessage().contains("no such file"), none.getMessage());
+                problems("version: 1\nversion: 1\n").get(0).rule().contains("uplicate"),
+                () -> problems("version: 1\nversion: 1\n").toString());
+        ScenarioException missing =
+                assertThrows(ScenarioException.class, () -> ScenarioReader.read(Path.of("no.yaml")));
+        assertTrue(missing.getMessage().contains("no such file"), missing.getMessage());
     }
 
     @Test
-    void theScenariosThatAreShippedAreGood() throws Exception {
+    void shippedScenariosAreValid() throws Exception {
         try (Stream<Path> files = Files.list(Path.of("scenarios"))) {
             List<Path> all = files.filter(f -> f.toString().endsWith(".yaml")).toList();
             for (Path file : all) {
--- a/lab/src/test/java/calicochute/lab/server/ServerModelTest.java
+++ b/lab/src/test/java/calicochute/lab/server/ServerModelTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import calicochute.lab.chance.Streams;
+import calicochute.lab.random.RandomStreams;
 import calicochute.lab.scenario.Range;
 import calicochute.lab.scenario.Scenario.Kind;
 import calicochute.lab.scenario.Scenario.Sluggish;
@@ -47,7 +47,7 @@
 
     private static ServerModel model(Kind kind) {
         return new ServerModel(
-                new MachineSpec("m", 0, 0, "z", 0, kind, 1, S, S), new Streams(1).of("n", 0), 3, 3 * S, S, 0);
+                new MachineSpec("m", 0, 0, "z", 0, kind, 1, S, S), new RandomStreams(1).of("n", 0), 3, 3 * S, S, 0);
     }
 
     private static ServerModel warm() {
