--- a/lab/src/main/java/calicochute/lab/cli/CompareCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/CompareCommand.java
@@ -1,9 +1,9 @@
 package calicochute.lab.cli;
 
 import calicochute.cli.CommandLine;
-import calicochute.lab.experiment.Difference;
 import calicochute.lab.experiment.Installation;
-import calicochute.lab.experiment.Runner;
+import calicochute.lab.experiment.PairedDifference;
+import calicochute.lab.experiment.ScenarioRunner;
 import calicochute.lab.experiment.Variant;
 import calicochute.lab.result.RunResult;
 import calicochute.lab.scenario.Scenario;
@@ -16,13 +16,13 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Sets variants side by side, paired by their seeds; plays them first where a scenario is given. */
-@Parameters(commandDescription = "Set the runs of folders side by side, or play two builds in turn and compare them")
+/** Compares variants, paired by seed; if a scenario is given, runs it with each of them first. */
+@Parameters(commandDescription = "Compare the runs in folders, or run builds in turn and compare them")
 final class CompareCommand implements CommandLine.Command {
     @Parameter(description = "DIR DIR… (each a run, or a folder of runs)")
     private List<String> folders = new ArrayList<>();
 
-    @Parameter(names = "--scenario", description = "Play this scenario with each --balancer-command, in turn")
+    @Parameter(names = "--scenario", description = "Run this scenario with each --balancer-command, in turn")
     private String scenario;
 
     @Parameter(
@@ -30,30 +30,30 @@
             description = "A command that starts one balancer, or 'deployed'; give it once for each variant")
     private List<String> commands = new ArrayList<>();
 
-    @Parameter(names = "--seeds", description = "The seeds to play each variant with")
+    @Parameter(names = "--seeds", description = "The seeds to run each variant with")
     private List<Long> seeds = new ArrayList<>(List.of(1L, 2L, 3L));
 
-    @Parameter(names = "--out", description = "The folder for what is played")
+    @Parameter(names = "--out", description = "The folder for the results of the runs")
     private String out = "lab-results/compare";
 
     @Override
     public void run() throws Exception {
         Console console = Console.standard();
-        List<String> sides = scenario == null ? folders : play(console);
-        if (sides.size() < 2) {
+        List<String> variantFolders = scenario == null ? folders : runVariants(console);
+        if (variantFolders.size() < 2) {
             throw new ParameterException("needs two folders at least, or --scenario and two --balancer-command");
         }
         List<Variant> variants = new ArrayList<>();
-        for (String side : sides) {
-            variants.add(Variant.read(Path.of(side)));
+        for (String folder : variantFolders) {
+            variants.add(Variant.read(Path.of(folder)));
         }
         Variant base = variants.get(0);
         for (Variant other : variants.subList(1, variants.size())) {
-            List<Difference> differences = Difference.of(base.bySeed(), other.bySeed());
+            List<PairedDifference> differences = PairedDifference.of(base.bySeed(), other.bySeed());
             if (differences.isEmpty()) {
                 throw new Exception(base.name() + " and " + other.name() + " share no seed");
             }
-            console.say(String.format(
+            console.print(String.format(
                     Locale.ROOT,
                     "%n%s (%d runs) against %s (%d runs); %d pairs by seed%s",
                     other.name(),
@@ -64,53 +64,59 @@
                     base.skipped() + other.skipped() > 0
                             ? "; " + (base.skipped() + other.skipped()) + " don't count"
                             : ""));
-            console.say(String.format(
+            console.print(String.format(
                     Locale.ROOT,
                     "  %-44s %10s %10s  %s",
                     "figure",
                     "base",
                     "difference",
                     "95% interval (* leaves out 0)"));
-            for (Difference d : differences) {
-                console.say(String.format(
+            for (PairedDifference d : differences) {
+                console.print(String.format(
                         Locale.ROOT,
                         "  %-44s %10s %+10.4f  [%+.4f, %+.4f]%s",
                         d.figure(),
-                        Console.figure(d.baseMean()),
+                        Console.format(d.baseMean()),
                         d.mean(),
                         d.low(),
                         d.high(),
-                        d.clear() ? " *" : ""));
+                        d.excludesZero() ? " *" : ""));
             }
         }
     }
 
-    /** Each seed with each variant before the next seed, the order turning, so that the machine's moods meet both. */
-    private List<String> play(Console console) throws Exception {
+    /**
+     * Runs all variants with one seed before the next, in alternating order, so that changes in the load of the machine
+     * affect all variants alike. Returns the folder of each variant.
+     */
+    private List<String> runVariants(Console console) throws Exception {
         if (commands.size() < 2) {
             throw new ParameterException("--scenario needs --balancer-command twice at least ('deployed' for \"run\")");
         }
-        Scenario read = ScenarioReader.read(Path.of(scenario));
-        List<String> sides = new ArrayList<>();
+        Scenario parsedScenario = ScenarioReader.read(Path.of(scenario));
+        List<String> variantFolders = new ArrayList<>();
         for (int i = 0; i < commands.size(); i++) {
-            sides.add(Path.of(out, "variant-" + (i + 1)).toString());
+            variantFolders.add(Path.of(out, "variant-" + (i + 1)).toString());
         }
         for (int s = 0; s < seeds.size(); s++) {
             for (int i = 0; i < commands.size(); i++) {
-                int v = s % 2 == 0 ? i : commands.size() - 1 - i;
-                String command = commands.get(v).equals("deployed") ? null : commands.get(v);
-                RunResult result = new Runner(Installation.balancers(command), console)
-                        .run(read, seeds.get(s), Path.of(sides.get(v), "seed-" + seeds.get(s)));
-                console.say(String.format(
+                int variant = s % 2 == 0 ? i : commands.size() - 1 - i;
+                String command = commands.get(variant).equals("deployed") ? null : commands.get(variant);
+                RunResult result = new ScenarioRunner(Installation.balancers(command), console)
+                        .run(
+                                parsedScenario,
+                                seeds.get(s),
+                                Path.of(variantFolders.get(variant), "seed-" + seeds.get(s)));
+                console.print(String.format(
                         Locale.ROOT,
                         "variant %d seed %d: service %.4f, %d broken rules%s",
-                        v + 1,
+                        variant + 1,
                         seeds.get(s),
                         result.figures().get("service"),
                         result.breaches().size(),
-                        result.counts() ? "" : " (does not count)"));
+                        result.usable() ? "" : " (does not count)"));
             }
         }
-        return sides;
+        return variantFolders;
     }
 }
--- a/lab/src/main/java/calicochute/lab/cli/Console.java
+++ b/lab/src/main/java/calicochute/lab/cli/Console.java
@@ -5,13 +5,16 @@
 import java.io.PrintStream;
 import java.util.Locale;
 
-/** What a person sees of a run: a live line on a terminal, a plain line now and then elsewhere, a closing table. */
+/**
+ * Prints the progress of a run, as a line that is updated on a terminal or one every few seconds elsewhere, and its
+ * result.
+ */
 final class Console implements Emulation.Progress {
-    private static final int PLAIN_EVERY_S = 5;
+    private static final int PLAIN_LINE_INTERVAL_SECONDS = 5;
     private final PrintStream out;
     private final boolean terminal;
-    private double lastPlain = -PLAIN_EVERY_S;
-    private boolean dirty;
+    private double lastPlainLineAtSeconds = -PLAIN_LINE_INTERVAL_SECONDS;
+    private boolean progressLineOpen;
 
     Console(PrintStream out, boolean terminal) {
         this.out = out;
@@ -35,34 +38,34 @@
         if (terminal) {
             out.print("\r" + line + " ");
             out.flush();
-            dirty = true;
-        } else if (seconds - lastPlain >= PLAIN_EVERY_S - 0.01) {
-            lastPlain = seconds;
+            progressLineOpen = true;
+        } else if (seconds - lastPlainLineAtSeconds >= PLAIN_LINE_INTERVAL_SECONDS - 0.01) {
+            lastPlainLineAtSeconds = seconds;
             out.println(line);
         }
     }
 
-    void say(String text) {
-        if (dirty) {
+    void print(String text) {
+        if (progressLineOpen) {
             out.println();
-            dirty = false;
+            progressLineOpen = false;
         }
         out.println(text);
     }
 
-    /** The closing table of one run; a line that begins with "void" or "partial" if its figures don't count. */
-    void table(RunResult result) {
-        lastPlain = -PLAIN_EVERY_S;
-        say("");
-        say(result.title() + " (seed " + result.seed() + ")");
+    /** Prints the figures of a run, and a line that begins with "void" or "partial" if they are not to be used. */
+    void printResult(RunResult result) {
+        lastPlainLineAtSeconds = -PLAIN_LINE_INTERVAL_SECONDS;
+        print("");
+        print(result.title() + " (seed " + result.seed() + ")");
         result.figures().forEach((name, value) -> {
             if (!name.startsWith("latency_p") || name.endsWith("_all")) {
-                say(String.format(Locale.ROOT, "  %-44s %12s", name, figure(value)));
+                print(String.format(Locale.ROOT, "  %-44s %12s", name, format(value)));
             }
         });
         result.breaches().stream()
                 .limit(20)
-                .forEach(b -> say(String.format(
+                .forEach(b -> print(String.format(
                         Locale.ROOT,
                         "  BREACH %-16s at %.3f s balancer=%s session=%s server=%s %s",
                         b.rule(),
@@ -72,16 +75,16 @@
                         b.server(),
                         b.details())));
         if (result.breaches().size() > 20) {
-            say("  … " + (result.breaches().size() - 20) + " more in breaches.csv");
+            print("  … " + (result.breaches().size() - 20) + " more in breaches.csv");
         }
         if (result.ended() != null) {
-            say("partial: " + result.ended());
+            print("partial: " + result.ended());
         } else if (result.invalid() != null) {
-            say("void: " + result.invalid());
+            print("void: " + result.invalid());
         }
     }
 
-    static String figure(double value) {
+    static String format(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e9
                 ? String.format(Locale.ROOT, "%.0f", value)
                 : String.format(Locale.ROOT, Math.abs(value) >= 100 ? "%.1f" : "%.4f", value);
--- a/lab/src/main/java/calicochute/lab/cli/DemoCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/DemoCommand.java
@@ -10,13 +10,13 @@
 import java.nio.file.Path;
 import java.util.Locale;
 
-/** The first thing a newcomer runs: a small deployment, and a slowdown in the middle. */
-@Parameters(commandDescription = "Rehearse two tiers with a slowdown in the middle")
+/** Runs a small bundled scenario with a slowdown in the middle, as an introduction to the lab. */
+@Parameters(commandDescription = "Run a demonstration: two tiers with a slowdown in the middle")
 final class DemoCommand implements CommandLine.Command {
-    private static final int LEAST = 5;
-    private static final int MOST = 300;
+    private static final int MIN_SECONDS = 5;
+    private static final int MAX_SECONDS = 300;
 
-    @Parameter(names = "--seconds", description = "How long requests come (5 to 300)")
+    @Parameter(names = "--seconds", description = "Length of the run (5 to 300)")
     private int seconds = 12;
 
     @Parameter(names = "--out", description = "The folder for the result")
@@ -27,17 +27,17 @@
 
     @Override
     public void run() throws Exception {
-        if (seconds < LEAST || seconds > MOST) {
-            throw new ParameterException("--seconds must lie between " + LEAST + " and " + MOST);
+        if (seconds < MIN_SECONDS || seconds > MAX_SECONDS) {
+            throw new ParameterException("--seconds must lie between " + MIN_SECONDS + " and " + MAX_SECONDS);
         }
-        String text = Packaged.scenario("demo.yaml");
+        String text = BundledScenarios.read("demo.yaml");
         text = text.replace("LENGTH", seconds + "s")
                 .replace("FROM", String.format(Locale.ROOT, "%.1fs", seconds / 3.0))
                 .replace("LASTS", String.format(Locale.ROOT, "%.1fs", seconds / 3.0));
-        RunResult result = RunCommand.play(ScenarioReader.parse("demo.yaml", text), options, Path.of(out));
-        // A busy machine voids the figures, which the table says; it does not make the demo a failure.
+        RunResult result = RunCommand.runAndPrint(ScenarioReader.parse("demo.yaml", text), options, Path.of(out));
+        // A busy machine makes the figures void; the output says so, but the demo does not fail for it.
         if (result.ended() != null || !result.breaches().isEmpty()) {
-            RunCommand.judge(result);
+            RunCommand.requireUsable(result);
         }
     }
 }
--- a/lab/src/main/java/calicochute/lab/cli/LabMain.java
+++ b/lab/src/main/java/calicochute/lab/cli/LabMain.java
@@ -3,7 +3,7 @@
 import calicochute.cli.CommandLine;
 import java.util.Arrays;
 
-/** Command line entry of the lab: {@code demo}, and {@code lab} with its own sub-commands. */
+/** Entry point of the lab's command line: {@code demo}, and {@code lab} with its subcommands. */
 public final class LabMain {
     private LabMain() {}
 
--- a/lab/src/main/java/calicochute/lab/cli/OverheadCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/OverheadCommand.java
@@ -15,19 +15,22 @@
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 
-/** Direct, through a bare relay, and through the balancer: ratios of one run, not absolute figures. */
-@Parameters(commandDescription = "Measure what a balancer adds to a request, beside a bare relay, in one run")
+/**
+ * Measures what a balancer adds: the same requests are sent directly, through a bare relay and through the balancer in
+ * one run. The ratios are meaningful, the absolute figures depend on the machine.
+ */
+@Parameters(commandDescription = "Measure the overhead of a balancer, compared with a bare relay")
 final class OverheadCommand implements CommandLine.Command {
     @Parameter(names = "--rate", description = "Requests a second")
     private double rate = 300;
 
-    @Parameter(names = "--seconds", description = "How long each way is used in a round")
+    @Parameter(names = "--seconds", description = "Seconds on each route in a round")
     private int seconds = 5;
 
-    @Parameter(names = "--rounds", description = "How often the three ways take turns")
+    @Parameter(names = "--rounds", description = "Rounds over the three routes")
     private int rounds = 3;
 
-    @Parameter(names = "--together", description = "Requests always out where the highest rate is looked for")
+    @Parameter(names = "--together", description = "Concurrent requests while the highest rate is measured")
     private int together = 128;
 
     @Parameter(names = "--out", description = "The folder for the result")
@@ -41,7 +44,7 @@
         if (rate <= 0 || rate > 20_000 || seconds < 1 || rounds < 1 || together < 1) {
             throw new ParameterException("--rate must lie between 0 and 20000, the others be 1 at least");
         }
-        String text = Packaged.scenario("overhead.yaml");
+        String text = BundledScenarios.read("overhead.yaml");
         Path folder = Path.of(out);
         List<Result> results = new OverheadRun(
                         ScenarioReader.parse("overhead.yaml", text),
@@ -61,12 +64,12 @@
         Console console = Console.standard();
         Result direct = results.get(0);
         Result relay = results.get(1);
-        console.say(String.format(
-                Locale.ROOT, "%d rounds of %d s on each way, %.0f requests a second", rounds, seconds, rate));
-        console.say(String.format(
+        console.print(String.format(
+                Locale.ROOT, "%d rounds of %d s on each route, %.0f requests a second", rounds, seconds, rate));
+        console.print(String.format(
                 Locale.ROOT,
                 "%-10s %9s %7s %8s %8s %10s %10s %12s %9s %14s",
-                "way",
+                "route",
                 "requests",
                 "failed",
                 "p50 ms",
@@ -77,7 +80,7 @@
                 "memory MB",
                 "most req/s, 1 core"));
         for (Result r : results) {
-            console.say(String.format(
+            console.print(String.format(
                     Locale.ROOT,
                     "%-10s %9d %7d %8.3f %8.3f %10.3f %10.3f %12.1f %9.1f %14.0f",
                     r.route(),
@@ -92,7 +95,7 @@
                     r.highestRate()));
         }
         Result balancer = results.get(2);
-        console.say(String.format(
+        console.print(String.format(
                 Locale.ROOT,
                 "balancer to relay: added p50 x%.2f, added p99 x%.2f, CPU x%.2f, memory " + "x%.2f, highest rate x%.2f",
                 (balancer.p50() - direct.p50()) / (relay.p50() - direct.p50()),
--- a/lab/src/main/java/calicochute/lab/cli/RelayCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/RelayCommand.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The bare relay that "overhead" measures a balancer against. */
+/** Runs the bare relay that "overhead" compares a balancer with. */
 @Parameters(commandDescription = "Run a bare HttpCore relay (what \"overhead\" compares the balancer with)")
 final class RelayCommand implements CommandLine.Command {
     @Parameter(description = "LISTEN TO (each address:port)")
@@ -18,7 +18,7 @@
     @Override
     public void run() throws Exception {
         if (addresses.size() != 2) {
-            throw new ParameterException("needs two addresses: where to listen, and the server's");
+            throw new ParameterException("needs two addresses: the one to listen on, and the server's");
         }
         Relay.start(address(addresses.get(0)), address(addresses.get(1)));
         Thread.currentThread().join();
--- a/lab/src/main/java/calicochute/lab/cli/ReplayCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/ReplayCommand.java
@@ -1,7 +1,7 @@
 package calicochute.lab.cli;
 
 import calicochute.cli.CommandLine;
-import calicochute.lab.experiment.Runner;
+import calicochute.lab.experiment.ScenarioRunner;
 import calicochute.lab.experiment.Spread;
 import calicochute.lab.result.RunFolder;
 import calicochute.lab.result.RunResult;
@@ -16,13 +16,13 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Plays a run's incident again, several times, and says how far each figure lies apart. */
-@Parameters(commandDescription = "Play the incident of a run's folder again and print each figure's spread")
+/** Repeats a run with the same scenario and seed several times and prints the spread of each figure. */
+@Parameters(commandDescription = "Repeat the run of a folder several times and print the spread of each figure")
 final class ReplayCommand implements CommandLine.Command {
     @Parameter(description = "DIR (of a run)", required = true)
     private String folder;
 
-    @Parameter(names = "--times", description = "How often")
+    @Parameter(names = "--times", description = "Number of repetitions")
     private int times = 5;
 
     @ParametersDelegate
@@ -33,28 +33,28 @@
         if (times < 1 || times > 1000) {
             throw new ParameterException("--times must lie between 1 and 1000");
         }
-        Path base = Path.of(folder);
-        long seed = RunFolder.read(base).seed();
-        Scenario scenario = ScenarioReader.read(base.resolve("scenario.yaml"));
+        Path runFolder = Path.of(folder);
+        long seed = RunFolder.read(runFolder).seed();
+        Scenario scenario = ScenarioReader.read(runFolder.resolve("scenario.yaml"));
         Console console = Console.standard();
-        Runner runner = new Runner(options.balancers(), console);
+        ScenarioRunner runner = new ScenarioRunner(options.balancers(), console);
         List<RunResult> runs = new ArrayList<>();
         int breaches = 0;
         for (int i = 1; i <= times; i++) {
-            console.say("replay " + i + " of " + times);
+            console.print("replay " + i + " of " + times);
             RunResult result =
-                    runner.run(scenario, seed, base.resolve("replays").resolve("replay-" + i));
+                    runner.run(scenario, seed, runFolder.resolve("replays").resolve("replay-" + i));
             breaches += result.breaches().size();
-            if (result.counts()) {
+            if (result.usable()) {
                 runs.add(result);
             } else {
-                console.say("does not count: " + (result.ended() == null ? result.invalid() : result.ended()));
+                console.print("does not count: " + (result.ended() == null ? result.invalid() : result.ended()));
             }
         }
         if (runs.isEmpty()) {
             throw new Exception("no replay counts");
         }
-        console.say(String.format(
+        console.print(String.format(
                 Locale.ROOT,
                 "%n  %-44s %10s %10s %10s %9s   (%d of %d replays count)",
                 "figure",
@@ -65,14 +65,14 @@
                 runs.size(),
                 times));
         for (Spread s : Spread.of(runs)) {
-            console.say(String.format(
+            console.print(String.format(
                     Locale.ROOT,
                     "  %-44s %10s %10s %10s %8.2f%%",
                     s.figure(),
-                    Console.figure(s.lowest()),
-                    Console.figure(s.median()),
-                    Console.figure(s.highest()),
-                    100 * s.share()));
+                    Console.format(s.lowest()),
+                    Console.format(s.median()),
+                    Console.format(s.highest()),
+                    100 * s.relativeRange()));
         }
         if (breaches > 0) {
             throw new Exception(breaches + " broken rules");
--- a/lab/src/main/java/calicochute/lab/cli/ReportCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/ReportCommand.java
@@ -8,19 +8,19 @@
 import com.beust.jcommander.Parameters;
 import java.nio.file.Path;
 
-/** Draws a run's page again from its result. */
-@Parameters(commandDescription = "Draw the report of a run's folder again, and print its table")
+/** Writes the report of a run again from its result. */
+@Parameters(commandDescription = "Write the report of a run's folder again and print its figures")
 final class ReportCommand implements CommandLine.Command {
     @Parameter(description = "DIR (of a run)", required = true)
     private String folder;
 
     @Override
     public void run() throws Exception {
-        Path at = Path.of(folder);
-        RunResult result = RunFolder.read(at);
-        Report.write(at, result);
+        Path runFolder = Path.of(folder);
+        RunResult result = RunFolder.read(runFolder);
+        Report.write(runFolder, result);
         Console console = Console.standard();
-        console.table(result);
-        console.say("report: " + at.resolve(Report.FILE));
+        console.printResult(result);
+        console.print("report: " + runFolder.resolve(Report.FILE_NAME));
     }
 }
--- a/lab/src/main/java/calicochute/lab/cli/RunCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/RunCommand.java
@@ -2,7 +2,7 @@
 
 import calicochute.cli.CommandLine;
 import calicochute.lab.experiment.FieldChange;
-import calicochute.lab.experiment.Runner;
+import calicochute.lab.experiment.ScenarioRunner;
 import calicochute.lab.result.RunResult;
 import calicochute.lab.scenario.Scenario;
 import calicochute.lab.scenario.ScenarioReader;
@@ -11,8 +11,8 @@
 import com.beust.jcommander.ParametersDelegate;
 import java.nio.file.Path;
 
-/** Plays a scenario once. */
-@Parameters(commandDescription = "Play a scenario once and keep its tables and its report")
+/** Runs a scenario once. */
+@Parameters(commandDescription = "Run a scenario once and write its tables and its report")
 final class RunCommand implements CommandLine.Command {
     @Parameter(description = "SCENARIO.yaml", required = true)
     private String scenario;
@@ -22,8 +22,8 @@
 
     @Parameter(
             names = "--balancers",
-            description = "How many balancers clients send to, in place of the scenario's;"
-                    + " each server that calls on has one of its own beside them")
+            description = "Number of balancers that clients send to, in place of the scenario's;"
+                    + " each server that calls a further tier has one of its own in addition")
     private Integer balancers;
 
     @ParametersDelegate
@@ -32,29 +32,30 @@
     @Override
     public void run() throws Exception {
         Path file = Path.of(scenario);
-        Scenario read = ScenarioReader.read(file);
+        Scenario parsedScenario = ScenarioReader.read(file);
         if (balancers != null) {
-            read = new FieldChange("balancers.count", balancers.toString()).apply(scenario, ScenarioReader.write(read));
+            parsedScenario = new FieldChange("balancers.count", balancers.toString())
+                    .apply(scenario, ScenarioReader.write(parsedScenario));
         }
-        Path folder = out != null ? Path.of(out) : folder(file, options.seed);
-        judge(play(read, options, folder));
+        Path folder = out != null ? Path.of(out) : defaultFolder(file, options.seed);
+        requireUsable(runAndPrint(parsedScenario, options, folder));
     }
 
-    static Path folder(Path scenario, long seed) {
+    static Path defaultFolder(Path scenario, long seed) {
         return Path.of("lab-results", scenario.getFileName().toString().replaceFirst("\\.ya?ml$", "") + "-" + seed);
     }
 
-    static RunResult play(Scenario scenario, RunOptions options, Path folder) throws Exception {
+    static RunResult runAndPrint(Scenario scenario, RunOptions options, Path folder) throws Exception {
         Console console = Console.standard();
-        RunResult result = new Runner(options.balancers(), console).run(scenario, options.seed, folder);
-        console.table(result);
-        console.say("report: " + folder.resolve("report.html"));
+        RunResult result = new ScenarioRunner(options.balancers(), console).run(scenario, options.seed, folder);
+        console.printResult(result);
+        console.print("report: " + folder.resolve("report.html"));
         return result;
     }
 
-    /** A run that does not count, or in which a rule was broken, is a failure. */
-    static void judge(RunResult result) throws Exception {
-        if (!result.counts()) {
+    /** Fails the command if the figures of the run may not be used or a rule was violated. */
+    static void requireUsable(RunResult result) throws Exception {
+        if (!result.usable()) {
             throw new Exception(
                     "the run does not count: " + (result.ended() == null ? result.invalid() : result.ended()));
         }
--- a/lab/src/main/java/calicochute/lab/cli/RunOptions.java
+++ b/lab/src/main/java/calicochute/lab/cli/RunOptions.java
@@ -5,9 +5,9 @@
 import com.beust.jcommander.Parameter;
 import java.io.IOException;
 
-/** What every command that starts balancers understands. */
+/** Options of every command that starts balancers. */
 final class RunOptions {
-    @Parameter(names = "--seed", description = "What chance starts from; the same seed draws the same run")
+    @Parameter(names = "--seed", description = "Seed of the random numbers; the same seed draws the same run")
     long seed = 1;
 
     @Parameter(
--- a/lab/src/main/java/calicochute/lab/cli/SweepCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/SweepCommand.java
@@ -2,7 +2,7 @@
 
 import calicochute.cli.CommandLine;
 import calicochute.lab.experiment.FieldChange;
-import calicochute.lab.experiment.Runner;
+import calicochute.lab.experiment.ScenarioRunner;
 import calicochute.lab.report.SweepReport;
 import calicochute.lab.result.RunResult;
 import calicochute.lab.scenario.Scenario;
@@ -18,8 +18,8 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Plays a scenario once for each value of one of its fields. */
-@Parameters(commandDescription = "Play a scenario with one of its fields at each of several values")
+/** Runs a scenario once for each of several values of one of its fields. */
+@Parameters(commandDescription = "Run a scenario with each of several values of one of its fields")
 final class SweepCommand implements CommandLine.Command {
     @Parameter(description = "SCENARIO.yaml", required = true)
     private String scenario;
@@ -30,7 +30,7 @@
             required = true)
     private String field;
 
-    @Parameter(names = "--over", description = "Its values, with commas between", required = true)
+    @Parameter(names = "--over", description = "The values, separated by commas", required = true)
     private List<String> values = new ArrayList<>();
 
     @Parameter(names = "--out", description = "The folder for the results")
@@ -46,24 +46,24 @@
         }
         Path file = Path.of(scenario);
         String yaml = Files.readString(file);
-        // All before the first is played: a value that can't be is told at once.
+        // All scenarios are parsed before the first run, so that an invalid value is reported at once.
         Map<String, Scenario> scenarios = new LinkedHashMap<>();
         for (String value : values) {
             scenarios.put(value, new FieldChange(field, value).apply(file.toString(), yaml));
         }
         Console console = Console.standard();
-        Runner runner = new Runner(options.balancers(), console);
+        ScenarioRunner runner = new ScenarioRunner(options.balancers(), console);
         Map<String, RunResult> results = new LinkedHashMap<>();
-        for (var one : scenarios.entrySet()) {
-            console.say(field + " = " + one.getKey());
+        for (var entry : scenarios.entrySet()) {
+            console.print(field + " = " + entry.getKey());
             results.put(
-                    one.getKey(),
+                    entry.getKey(),
                     runner.run(
-                            one.getValue(),
+                            entry.getValue(),
                             options.seed,
-                            Path.of(out).resolve(one.getKey().replaceAll("[^A-Za-z0-9.-]", "_"))));
+                            Path.of(out).resolve(entry.getKey().replaceAll("[^A-Za-z0-9.-]", "_"))));
         }
-        console.say(String.format(
+        console.print(String.format(
                 Locale.ROOT,
                 "%n%-16s %8s %8s %8s %8s %10s %9s",
                 field,
@@ -73,7 +73,7 @@
                 "late",
                 "p99 ms",
                 "breaches"));
-        results.forEach((value, r) -> console.say(String.format(
+        results.forEach((value, r) -> console.print(String.format(
                 Locale.ROOT,
                 "%-16s %8.4f %8.4f %8.4f %8.4f %10.1f %9d%s",
                 value,
@@ -83,8 +83,8 @@
                 r.figures().get("late"),
                 r.figures().get("latency_p99_ms_all"),
                 r.breaches().size(),
-                r.counts() ? "" : "  (does not count)")));
+                r.usable() ? "" : "  (does not count)")));
         SweepReport.write(Path.of(out), field, results);
-        console.say("report: " + Path.of(out, "sweep.html"));
+        console.print("report: " + Path.of(out, "sweep.html"));
     }
 }
--- /dev/null
+++ b/lab/src/main/java/calicochute/lab/cli/package-info.java
@@ -0,0 +1,2 @@
+/** The command line of the lab. */
+package calicochute.lab.cli;
--- a/lab/src/main/java/calicochute/lab/evenness/Dispatch.java
+++ b/lab/src/main/java/calicochute/lab/evenness/Dispatch.java
@@ -1,7 +1,10 @@
 package calicochute.lab.evenness;
 
 /**
- * One dispatch to a server of a tier: when it came (microseconds), from which balancer and to which server, both by
- * number; {@code first}: the balancer had not sent that request before.
+ * A dispatch to a server of a tier.
+ *
+ * @param balancer the index of the balancer that sent it
+ * @param server the index of the server within the tier
+ * @param firstAttempt whether it is the balancer's first dispatch of the request
  */
-public record Dispatch(long at, int balancer, int server, boolean first) {}
+public record Dispatch(long atMicros, int balancer, int server, boolean firstAttempt) {}
--- a/lab/src/main/java/calicochute/lab/experiment/DeploymentException.java
+++ b/lab/src/main/java/calicochute/lab/experiment/DeploymentException.java
@@ -3,7 +3,7 @@
 import calicochute.errors.Code;
 import calicochute.errors.IoFault;
 
-/** A deployment that the lab cannot start balancers from. */
+/** Reports that the deploy file is missing or does not say how to start a balancer. */
 public final class DeploymentException extends IoFault {
     private static final long serialVersionUID = 1L;
 
--- a/lab/src/main/java/calicochute/lab/experiment/FieldChange.java
+++ b/lab/src/main/java/calicochute/lab/experiment/FieldChange.java
@@ -11,40 +11,46 @@
 import com.fasterxml.jackson.dataformat.yaml.YAMLMapper;
 import java.util.List;
 
-/** A scenario with one field set to another value; the field is named as in {@code tiers[0].kinds[1].cores}. */
+/**
+ * Sets one field of a scenario to another value.
+ *
+ * @param field named as in {@code tiers[0].kinds[1].cores}
+ * @param value in YAML
+ */
 public record FieldChange(String field, String value) {
+    /** Parses a scenario in which the field is set; {@code file} names the scenario in problems. */
     public Scenario apply(String file, String yaml) throws ScenarioException {
         YAMLMapper mapper = new YAMLMapper();
         try {
             JsonNode root = mapper.readTree(yaml);
-            JsonNode given = mapper.readTree(value);
+            JsonNode newValue = mapper.readTree(value);
             String[] steps = field.replace("[", ".[").split("\\.");
-            JsonNode at = root;
+            JsonNode node = root;
             for (int i = 0; i < steps.length - 1; i++) {
-                JsonNode next = steps[i].startsWith("[") ? at.get(index(steps[i])) : at.get(steps[i]);
-                if (next == null && at instanceof ObjectNode object && !steps[i + 1].startsWith("[")) {
+                JsonNode next = steps[i].startsWith("[") ? node.get(index(steps[i])) : node.get(steps[i]);
+                if (next == null && node instanceof ObjectNode object && !steps[i + 1].startsWith("[")) {
                     next = object.putObject(steps[i]);
                 }
                 if (next == null) {
-                    throw unknown(file);
+                    throw unknownField(file);
                 }
-                at = next;
+                node = next;
             }
             String last = steps[steps.length - 1];
-            if (at instanceof ArrayNode array && last.startsWith("[") && array.has(index(last))) {
-                array.set(index(last), given);
-            } else if (at instanceof ObjectNode object && !last.startsWith("[")) {
-                object.set(last, given);
+            if (node instanceof ArrayNode array && last.startsWith("[") && array.has(index(last))) {
+                array.set(index(last), newValue);
+            } else if (node instanceof ObjectNode object && !last.startsWith("[")) {
+                object.set(last, newValue);
             } else {
-                throw unknown(file);
+                throw unknownField(file);
             }
             return ScenarioReader.parse(file + " with " + field + " = " + value, mapper.writeValueAsString(root));
         } catch (JacksonException e) {
-            throw new ScenarioException(List.of(new Problem(file, 0, field, "can't be set to " + value)));
+            throw new ScenarioException(List.of(new Problem(file, 0, field, "cannot be set to " + value)));
         }
     }
 
-    private ScenarioException unknown(String file) {
+    private ScenarioException unknownField(String file) {
         return new ScenarioException(List.of(new Problem(file, 0, field, "is not in the scenario")));
     }
 
--- a/lab/src/main/java/calicochute/lab/experiment/Installation.java
+++ b/lab/src/main/java/calicochute/lab/experiment/Installation.java
@@ -7,31 +7,34 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Where the program's own files are, and how its balancers are started: as "run" in deploy/balancer.toml says. */
+/** Locates the installation and the command that starts a balancer: "run" in deploy/balancer.toml. */
 public final class Installation {
-    private static final String DEPLOY = "deploy/balancer.toml";
+    private static final String DEPLOY_FILE = "deploy/balancer.toml";
 
     private Installation() {}
 
-    /** The folder that the launcher names, else the nearest one upward that holds the deploy file. */
+    /**
+     * Returns the folder that contains the deploy file: the one that the launcher names in a system property, else the
+     * working directory, or the nearest parent of it.
+     */
     public static Path root() throws IOException {
-        String named = System.getProperty("calicochute.root");
-        Path folder = Path.of(named == null ? "" : named).toAbsolutePath();
-        for (Path at = folder; at != null; at = at.getParent()) {
-            if (Files.isRegularFile(at.resolve(DEPLOY))) {
-                return at;
+        String launcherRoot = System.getProperty("calicochute.root");
+        Path start = Path.of(launcherRoot == null ? "" : launcherRoot).toAbsolutePath();
+        for (Path folder = start; folder != null; folder = folder.getParent()) {
+            if (Files.isRegularFile(folder.resolve(DEPLOY_FILE))) {
+                return folder;
             }
         }
-        throw new DeploymentException(DEPLOY, "is neither in " + folder + " nor above it");
+        throw new DeploymentException(DEPLOY_FILE, "is neither in " + start + " nor above it");
     }
 
-    /** Balancers as deployed, or by a command that is given in its place. */
+    /** Returns how balancers are started: by the given command, or as deployed if it is null. */
     public static Emulation.Balancers balancers(String command) throws IOException {
         Path root = root();
         if (command != null) {
             return new Emulation.Balancers(command, root);
         }
-        Path file = root.resolve(DEPLOY);
+        Path file = root.resolve(DEPLOY_FILE);
         JsonNode run = new TomlMapper().readTree(file.toFile()).get("run");
         if (run == null || run.asText().isBlank()) {
             throw new DeploymentException(file.toString(), "run: is missing");
--- a/lab/src/main/java/calicochute/lab/experiment/Runner.java
+++ b/lab/src/main/java/calicochute/lab/experiment/ScenarioRunner.java
@@ -2,7 +2,7 @@
 
 import calicochute.lab.emulator.Emulation;
 import calicochute.lab.report.Report;
-import calicochute.lab.result.Measured;
+import calicochute.lab.result.RunAnalysis;
 import calicochute.lab.result.RunFolder;
 import calicochute.lab.result.RunResult;
 import calicochute.lab.scenario.Scenario;
@@ -13,35 +13,41 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Runs a scenario once and writes its folder. An interrupt leaves no process behind and a result marked as partial. */
-public final class Runner {
-    private static final long LAST_WORDS_S = 10;
+/**
+ * Runs a scenario once and writes its folder. An interrupt stops all balancer processes and leaves a result that is
+ * marked as partial.
+ */
+public final class ScenarioRunner {
+    /** How long the shutdown hook waits for the partial result to be written. */
+    private static final long RESULT_WRITE_TIMEOUT_SECONDS = 10;
+
     private final Emulation.Balancers balancers;
     private final Emulation.Progress progress;
 
-    public Runner(Emulation.Balancers balancers, Emulation.Progress progress) {
+    public ScenarioRunner(Emulation.Balancers balancers, Emulation.Progress progress) {
         this.balancers = balancers;
         this.progress = progress;
     }
 
+    /** Runs the scenario with a seed and writes result, tables and report to the folder {@code out}. */
     public RunResult run(Scenario scenario, long seed, Path out) throws IOException, InterruptedException {
         Files.createDirectories(out);
         Path logs = out.resolve("balancers");
         if (Files.isDirectory(logs)) {
-            // Logs are appended to at restarts within a run, never from one run to the next.
-            try (var old = Files.list(logs)) {
-                for (Path file : old.toList()) {
+            // A restarted balancer appends to its log, so the logs of an earlier run are deleted.
+            try (var oldLogs = Files.list(logs)) {
+                for (Path file : oldLogs.toList()) {
                     Files.delete(file);
                 }
             }
         }
         Emulation emulation = new Emulation(scenario, seed, logs, balancers, progress);
-        CountDownLatch written = new CountDownLatch(1);
+        CountDownLatch resultWritten = new CountDownLatch(1);
         Thread hook = new Thread(
                 () -> {
                     emulation.abort("interrupted");
                     try {
-                        written.await(LAST_WORDS_S, TimeUnit.SECONDS);
+                        resultWritten.await(RESULT_WRITE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
@@ -50,12 +56,12 @@
                 "interrupted");
         Runtime.getRuntime().addShutdownHook(hook);
         try {
-            RunResult result = Measured.of(emulation.run());
+            RunResult result = RunAnalysis.of(emulation.run());
             RunFolder.write(out, result, ScenarioReader.write(scenario));
             Report.write(out, result);
             return result;
         } finally {
-            written.countDown();
+            resultWritten.countDown();
             removeHook(hook);
         }
     }
@@ -64,7 +70,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
-            // The program is being ended: the hook runs.
+            // The JVM is shutting down, so the hook is already running.
         }
     }
 }
--- a/lab/src/main/java/calicochute/lab/experiment/Spread.java
+++ b/lab/src/main/java/calicochute/lab/experiment/Spread.java
@@ -7,16 +7,14 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * How far a figure lies apart in several runs of the same incident. {@code share} is (highest - lowest) / median, 0
- * where the median is 0.
- */
+/** The spread of a figure over several runs with the same scenario and seed. */
 public record Spread(String figure, int runs, double lowest, double median, double highest) {
-    public double share() {
+    /** Returns (highest - lowest) / median, or 0 if the median is 0. */
+    public double relativeRange() {
         return median == 0 ? 0 : (highest - lowest) / Math.abs(median);
     }
 
-    /** The spread of every figure that all the runs have. */
+    /** Returns the spread of every figure that all runs have. */
     public static List<Spread> of(List<RunResult> runs) {
         Map<String, List<Double>> values = new LinkedHashMap<>();
         runs.forEach(r -> r.figures()
--- a/lab/src/main/java/calicochute/lab/experiment/Variant.java
+++ b/lab/src/main/java/calicochute/lab/experiment/Variant.java
@@ -12,9 +12,13 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 
-/** One side of a comparison: the runs in a folder. {@code skipped} of them don't count (partial or void). */
+/**
+ * One side of a comparison: the usable runs in a folder.
+ *
+ * @param skipped the number of runs that are left out because they are partial or void
+ */
 public record Variant(String name, List<RunResult> runs, int skipped) {
-    /** The run that a folder is, or the runs in the folders right in it. */
+    /** Reads the run in a folder, or the runs in its direct subfolders. */
     public static Variant read(Path folder) throws IOException {
         List<Path> folders = new ArrayList<>();
         if (Files.isRegularFile(folder.resolve("result.json"))) {
@@ -31,9 +35,9 @@
         }
         List<RunResult> runs = new ArrayList<>();
         int skipped = 0;
-        for (Path one : folders) {
-            RunResult run = RunFolder.read(one);
-            if (run.counts()) {
+        for (Path runFolder : folders) {
+            RunResult run = RunFolder.read(runFolder);
+            if (run.usable()) {
                 runs.add(run);
             } else {
                 skipped++;
@@ -45,7 +49,7 @@
         return new Variant(folder.toString(), runs, skipped);
     }
 
-    /** Figures by seed. */
+    /** Returns the figures of the runs with each seed. */
     public Map<Long, List<Map<String, Double>>> bySeed() {
         Map<Long, List<Map<String, Double>>> seeds = new TreeMap<>();
         runs.forEach(
--- /dev/null
+++ b/lab/src/main/java/calicochute/lab/experiment/package-info.java
@@ -0,0 +1,2 @@
+/** Runs of scenarios, and statistics over several runs: spread of replays and paired differences of variants. */
+package calicochute.lab.experiment;
--- a/lab/src/main/java/calicochute/lab/report/Charts.java
+++ b/lab/src/main/java/calicochute/lab/report/Charts.java
@@ -37,14 +37,16 @@
 import org.jfree.svg.SVGGraphics2D;
 import org.jfree.svg.ViewBox;
 
-/** The charts of a run, each as SVG text, drawn by JFreeChart. Troubles are bands behind what is shown over time. */
+/** Draws the charts of a run as SVG with JFreeChart. Charts over time show troubles as bands in the background. */
 final class Charts {
-    private static final int WIDTH = 880;
-    private static final int HEIGHT = 270;
-    private static final int ROW = 13;
-    private static final int LINES = 12;
-    private static final Color BAND = new Color(220, 90, 60, 36);
-    private static final Font FONT = new Font("SansSerif", Font.PLAIN, 11);
+    private static final int WIDTH_PX = 880;
+    private static final int HEIGHT_PX = 270;
+    private static final int ROW_HEIGHT_PX = 13;
+    /** With more balancers than this, only their mean and maximum are drawn. */
+    private static final int MAX_BALANCER_LINES = 12;
+
+    private static final Color TROUBLE_COLOR = new Color(220, 90, 60, 36);
+    private static final Font LABEL_FONT = new Font("SansSerif", Font.PLAIN, 11);
     private final RunResult result;
 
     Charts(RunResult result) {
@@ -53,10 +55,10 @@
 
     static String svg(JFreeChart chart, int height) {
         chart.setBackgroundPaint(Color.WHITE);
-        SVGGraphics2D graphics = new SVGGraphics2D(WIDTH, height);
-        chart.draw(graphics, new Rectangle2D.Double(0, 0, WIDTH, height));
-        // With a view box a page may draw it smaller.
-        return graphics.getSVGElement(null, true, new ViewBox(0, 0, WIDTH, height), null, null);
+        SVGGraphics2D graphics = new SVGGraphics2D(WIDTH_PX, height);
+        chart.draw(graphics, new Rectangle2D.Double(0, 0, WIDTH_PX, height));
+        // A view box lets a page scale the chart down.
+        return graphics.getSVGElement(null, true, new ViewBox(0, 0, WIDTH_PX, height), null, null);
     }
 
     private void style(XYPlot plot) {
@@ -66,16 +68,17 @@
         ((NumberAxis) plot.getDomainAxis()).setAutoRangeIncludesZero(false);
         plot.getDomainAxis().setRange(0, Math.max(1, result.length()));
         for (RunResult.TroubleBand band : result.troubles()) {
-            IntervalMarker marker = new IntervalMarker(band.from(), Math.min(band.to(), result.length()), BAND);
+            IntervalMarker marker =
+                    new IntervalMarker(band.from(), Math.min(band.to(), result.length()), TROUBLE_COLOR);
             marker.setLabel(band.kind());
-            marker.setLabelFont(FONT);
+            marker.setLabelFont(LABEL_FONT);
             marker.setLabelAnchor(RectangleAnchor.TOP_LEFT);
             marker.setLabelTextAnchor(org.jfree.chart.ui.TextAnchor.TOP_LEFT);
             plot.addDomainMarker(marker, Layer.BACKGROUND);
         }
     }
 
-    private String lines(String yLabel, Map<String, XYSeries> series, Double top) {
+    private String lines(String yLabel, Map<String, XYSeries> series, Double max) {
         XYSeriesCollection data = new XYSeriesCollection();
         series.values().forEach(data::addSeries);
         JFreeChart chart = ChartFactory.createXYLineChart(
@@ -85,38 +88,38 @@
         for (int i = 0; i < data.getSeriesCount(); i++) {
             plot.getRenderer().setSeriesStroke(i, new BasicStroke(1.6f));
         }
-        if (top != null) {
-            plot.getRangeAxis().setRange(0, top);
+        if (max != null) {
+            plot.getRangeAxis().setRange(0, max);
         }
-        return svg(chart, HEIGHT);
+        return svg(chart, HEIGHT_PX);
     }
 
-    private static XYSeries in(Map<String, XYSeries> series, String name) {
+    private static XYSeries seriesOf(Map<String, XYSeries> series, String name) {
         return series.computeIfAbsent(name, XYSeries::new);
     }
 
-    String service() {
+    String serviceOverTime() {
         Map<String, XYSeries> series = new LinkedHashMap<>();
         result.seconds()
-                .forEach(s -> in(series, "service of requests first sent in the second")
+                .forEach(s -> seriesOf(series, "service of requests first sent in the second")
                         .add(s.at() + 0.5, s.service()));
         return lines("share of worth served in time", series, 1.02);
     }
 
-    String troublesOfRequests() {
+    String unservedRequests() {
         Map<String, XYSeries> series = new LinkedHashMap<>();
         result.seconds().forEach(s -> {
-            in(series, "denials, tries included").add(s.at() + 0.5, s.denials());
-            in(series, "denied in the end").add(s.at() + 0.5, s.denied());
-            in(series, "failed").add(s.at() + 0.5, s.failed());
-            in(series, "late").add(s.at() + 0.5, s.late());
+            seriesOf(series, "denials, tries included").add(s.at() + 0.5, s.denials());
+            seriesOf(series, "denied in the end").add(s.at() + 0.5, s.denied());
+            seriesOf(series, "failed").add(s.at() + 0.5, s.failed());
+            seriesOf(series, "late").add(s.at() + 0.5, s.late());
         });
         return lines("requests", series, null);
     }
 
     String requests() {
         Map<String, XYSeries> series = new LinkedHashMap<>();
-        result.seconds().forEach(s -> in(series, "first tries").add(s.at() + 0.5, s.requests()));
+        result.seconds().forEach(s -> seriesOf(series, "first tries").add(s.at() + 0.5, s.requests()));
         return lines("requests a second", series, null);
     }
 
@@ -134,17 +137,18 @@
         LogAxis axis = new LogAxis("milliseconds");
         axis.setSmallestValue(0.1);
         chart.getCategoryPlot().setRangeAxis(axis);
-        return svg(chart, HEIGHT);
+        return svg(chart, HEIGHT_PX);
     }
 
     String dispatches() {
         DefaultCategoryDataset data = new DefaultCategoryDataset();
         result.dispatches().forEach(d -> data.addValue(d.requests(), d.tier(), Integer.toString(d.dispatches())));
-        return svg(bars("dispatches of one request, all its tries together", "requests", data), HEIGHT);
+        return svg(bars("dispatches of one request, all its tries together", "requests", data), HEIGHT_PX);
     }
 
-    private static JFreeChart bars(String x, String y, DefaultCategoryDataset data) {
-        JFreeChart chart = ChartFactory.createBarChart(null, x, y, data, PlotOrientation.VERTICAL, true, false, false);
+    private static JFreeChart bars(String xLabel, String yLabel, DefaultCategoryDataset data) {
+        JFreeChart chart =
+                ChartFactory.createBarChart(null, xLabel, yLabel, data, PlotOrientation.VERTICAL, true, false, false);
         CategoryPlot plot = chart.getCategoryPlot();
         plot.setBackgroundPaint(Color.WHITE);
         plot.setRangeGridlinePaint(Color.LIGHT_GRAY);
@@ -154,7 +158,7 @@
         return chart;
     }
 
-    /** One row a server, one block a second, the darker the more. */
+    /** A heat map of a tier with a row for each server and a block for each second; darker blocks are higher values. */
     String servers(int tier, String label, ToDoubleFunction<ServerSecond> value) {
         List<ServerSecond> samples =
                 result.servers().stream().filter(s -> s.tier() == tier).toList();
@@ -162,57 +166,57 @@
         samples.forEach(s -> names.add(s.server()));
         List<String> rows = List.copyOf(names);
         double[][] data = new double[3][samples.size()];
-        double most = 1e-9;
-        Map<String, Integer> row = new LinkedHashMap<>();
-        rows.forEach(r -> row.put(r, row.size()));
+        double max = 1e-9;
+        Map<String, Integer> rowIndices = new LinkedHashMap<>();
+        rows.forEach(r -> rowIndices.put(r, rowIndices.size()));
         for (int i = 0; i < samples.size(); i++) {
             data[0][i] = samples.get(i).at() - 0.5;
-            data[1][i] = row.get(samples.get(i).server());
+            data[1][i] = rowIndices.get(samples.get(i).server());
             data[2][i] = value.applyAsDouble(samples.get(i));
-            most = Math.max(most, data[2][i]);
+            max = Math.max(max, data[2][i]);
         }
-        DefaultXYZDataset set = new DefaultXYZDataset();
-        set.addSeries(label, data);
+        DefaultXYZDataset dataset = new DefaultXYZDataset();
+        dataset.addSeries(label, data);
         SymbolAxis axis = new SymbolAxis(null, rows.toArray(String[]::new));
         axis.setTickLabelFont(new Font("SansSerif", Font.PLAIN, 9));
         XYBlockRenderer renderer = new XYBlockRenderer();
-        LookupPaintScale scale = new LookupPaintScale(0, most, Color.WHITE);
+        LookupPaintScale scale = new LookupPaintScale(0, max, Color.WHITE);
         for (int i = 1; i <= 20; i++) {
             int shade = 245 - i * 11;
-            scale.add(most * (i - 0.5) / 20, new Color(shade, Math.min(255, shade + 18), Math.min(255, shade + 40)));
+            scale.add(max * (i - 0.5) / 20, new Color(shade, Math.min(255, shade + 18), Math.min(255, shade + 40)));
         }
         renderer.setPaintScale(scale);
-        XYPlot plot = new XYPlot(set, new NumberAxis("seconds"), axis, renderer);
+        XYPlot plot = new XYPlot(dataset, new NumberAxis("seconds"), axis, renderer);
         style(plot);
         JFreeChart chart = new JFreeChart(null, JFreeChart.DEFAULT_TITLE_FONT, plot, false);
         PaintScaleLegend legend = new PaintScaleLegend(scale, new NumberAxis(label));
         legend.setPosition(RectangleEdge.RIGHT);
         legend.setStripWidth(10);
         chart.addSubtitle(legend);
-        return svg(chart, Math.max(HEIGHT / 2, 70 + ROW * rows.size()));
+        return svg(chart, Math.max(HEIGHT_PX / 2, 70 + ROW_HEIGHT_PX * rows.size()));
     }
 
-    /** A line for each balancer; where there are many, the mean and the highest. */
+    /** A line for each balancer, or lines of their mean and maximum if there are many. */
     String balancers(String label, ToDoubleFunction<BalancerSecond> value) {
         Map<String, XYSeries> series = new LinkedHashMap<>();
         long count = result.balancers().stream()
                 .map(BalancerSecond::balancer)
                 .distinct()
                 .count();
-        if (count <= LINES) {
-            result.balancers().forEach(b -> in(series, b.balancer()).addOrUpdate(b.at(), value.applyAsDouble(b)));
+        if (count <= MAX_BALANCER_LINES) {
+            result.balancers().forEach(b -> seriesOf(series, b.balancer()).addOrUpdate(b.at(), value.applyAsDouble(b)));
         } else {
             Map<Long, double[]> seconds = new java.util.TreeMap<>();
-            for (BalancerSecond b : result.balancers()) {
-                double[] sums = seconds.computeIfAbsent(Math.round(b.at()), s -> new double[3]);
-                double v = value.applyAsDouble(b);
-                sums[0] += v;
+            for (BalancerSecond second : result.balancers()) {
+                double[] sums = seconds.computeIfAbsent(Math.round(second.at()), s -> new double[3]);
+                double sample = value.applyAsDouble(second);
+                sums[0] += sample;
                 sums[1]++;
-                sums[2] = Math.max(sums[2], v);
+                sums[2] = Math.max(sums[2], sample);
             }
             seconds.forEach((at, sums) -> {
-                in(series, "mean of " + count).add((double) at, sums[0] / sums[1]);
-                in(series, "highest").add((double) at, sums[2]);
+                seriesOf(series, "mean of " + count).add((double) at, sums[0] / sums[1]);
+                seriesOf(series, "highest").add((double) at, sums[2]);
             });
         }
         return lines(label, series, null);
--- a/lab/src/main/java/calicochute/lab/report/Report.java
+++ b/lab/src/main/java/calicochute/lab/report/Report.java
@@ -7,10 +7,12 @@
 import java.util.List;
 import java.util.Locale;
 
-/** One self-contained page on a run: what it shows, its figures, its charts, and every broken rule. */
+/** Writes the report of a run, a self-contained HTML page with its figures, charts and rule violations. */
 public final class Report {
-    public static final String FILE = "report.html";
-    private static final int MOST_BREACHES = 200;
+    /** The name of the page within the folder of the run. */
+    public static final String FILE_NAME = "report.html";
+
+    private static final int MAX_BREACHES = 200;
     private static final String STYLE = """
         body{font:14px/1.45 sans-serif;margin:2em auto;max-width:920px;color:#222}h1{font-size:1.4em}
         h2{font-size:1.1em;margin-top:2em}table{border-collapse:collapse}td,th{padding:.15em .8em .15em 0;
@@ -21,9 +23,9 @@
 
     private Report() {}
 
-    /** Writes the page into a run's folder. */
+    /** Writes the page to the folder of the run. */
     public static void write(Path folder, RunResult result) throws IOException {
-        Files.writeString(folder.resolve(FILE), page(result));
+        Files.writeString(folder.resolve(FILE_NAME), page(result));
     }
 
     static String page(RunResult result) {
@@ -40,7 +42,7 @@
         if (result.ended() != null) {
             page.append("<p class=\"bad\"><b>Partial.</b> The run ended early: ")
                     .append(escape(result.ended()))
-                    .append(". Its figures count nowhere.</p>");
+                    .append(". Its figures are not used.</p>");
         } else if (result.invalid() != null) {
             page.append("<p class=\"bad\"><b>Void.</b> ")
                     .append(escape(result.invalid()))
@@ -51,47 +53,47 @@
                 .append(", ")
                 .append(String.format(Locale.ROOT, "%.0f s", result.length()))
                 .append(". Bands mark troubles.</p>");
-        breaches(page, result);
+        appendBreaches(page, result);
         if (!result.seconds().isEmpty()) {
-            section(page, "Service over time", charts.service());
-            section(page, "Requests", charts.requests());
-            section(page, "Denied, failed and late requests", charts.troublesOfRequests());
+            appendSection(page, "Service over time", charts.serviceOverTime());
+            appendSection(page, "Requests", charts.requests());
+            appendSection(page, "Denied, failed and late requests", charts.unservedRequests());
         }
         if (result.latencies().stream().anyMatch(l -> l.count() > 0)) {
-            section(page, "Latency from the planned sending, by class", charts.latencies());
+            appendSection(page, "Latency from the planned sending, by class", charts.latencies());
         }
         List<Integer> tiers = result.servers().stream()
                 .map(RunResult.ServerSecond::tier)
                 .distinct()
                 .toList();
         for (int tier : tiers) {
-            section(
+            appendSection(
                     page,
                     "Dispatches to each server a second, tier " + (tier + 1),
                     charts.servers(tier, "dispatches a second", RunResult.ServerSecond::dispatches));
-            section(
+            appendSection(
                     page,
                     "Held and waiting at each server, tier " + (tier + 1),
                     charts.servers(tier, "in work and queue", s -> s.inWork() + s.inQueue()));
         }
         if (!result.dispatches().isEmpty()) {
-            section(page, "Dispatches for one request", charts.dispatches());
+            appendSection(page, "Dispatches for one request", charts.dispatches());
         }
         if (!result.balancers().isEmpty()) {
-            section(page, "CPU of balancers", charts.balancers("cores", RunResult.BalancerSecond::cores));
-            section(page, "Memory of balancers", charts.balancers("MB", RunResult.BalancerSecond::memoryMb));
+            appendSection(page, "CPU of balancers", charts.balancers("cores", RunResult.BalancerSecond::cores));
+            appendSection(page, "Memory of balancers", charts.balancers("MB", RunResult.BalancerSecond::memoryMb));
         }
-        troubles(page, result);
+        appendTroubles(page, result);
         result.evenness().forEach(e -> EvennessTables.write(page, e));
-        figures(page, result);
+        appendFigures(page, result);
         return page.append("</html>\n").toString();
     }
 
-    private static void section(StringBuilder page, String title, String svg) {
+    private static void appendSection(StringBuilder page, String title, String svg) {
         page.append("<h2>").append(escape(title)).append("</h2>").append(svg);
     }
 
-    private static void breaches(StringBuilder page, RunResult result) {
+    private static void appendBreaches(StringBuilder page, RunResult result) {
         if (result.breaches().isEmpty()) {
             page.append("<p>All rules were kept.</p>");
             return;
@@ -100,7 +102,7 @@
                 .append(result.breaches().size())
                 .append(" broken rules.</b><table><tr><th>rule<th>at s<th>balancer<th>session<th>server<th>details");
         result.breaches().stream()
-                .limit(MOST_BREACHES)
+                .limit(MAX_BREACHES)
                 .forEach(b -> page.append("<tr><td>")
                         .append(escape(b.rule()))
                         .append("<td class=\"n\">")
@@ -116,7 +118,7 @@
         page.append("</table></div>");
     }
 
-    private static void troubles(StringBuilder page, RunResult result) {
+    private static void appendTroubles(StringBuilder page, RunResult result) {
         if (result.troubles().isEmpty()) {
             return;
         }
@@ -130,7 +132,7 @@
         page.append("</table>");
     }
 
-    private static void figures(StringBuilder page, RunResult result) {
+    private static void appendFigures(StringBuilder page, RunResult result) {
         page.append("<h2>Figures</h2><div class=\"columns\"><table>");
         result.figures()
                 .forEach((name, value) -> page.append("<tr><td>")
--- a/lab/src/main/java/calicochute/lab/report/SweepReport.java
+++ b/lab/src/main/java/calicochute/lab/report/SweepReport.java
@@ -13,9 +13,13 @@
 import org.jfree.chart.plot.PlotOrientation;
 import org.jfree.data.category.DefaultCategoryDataset;
 
-/** One page and one table on a sweep: the figures that matter most against the field's values. */
+/**
+ * Writes the report of a sweep: a table of all figures, and a page with charts of the main figures over the field's
+ * values.
+ */
 public final class SweepReport {
-    private static final int HEIGHT = 300;
+    private static final int HEIGHT_PX = 300;
+    /** The figures that each chart shows. */
     private static final List<List<String>> CHARTS = List.of(
             List.of("service", "service_worst_10s", "service_worst_class", "service_worst_tenant"),
             List.of("denied", "failed", "late", "wasted_work"),
@@ -23,6 +27,7 @@
 
     private SweepReport() {}
 
+    /** Writes sweep.csv and sweep.html; {@code results} maps each value of the field to its run. */
     public static void write(Path folder, String field, Map<String, RunResult> results) throws IOException {
         Files.createDirectories(folder);
         List<String> figures =
@@ -30,10 +35,10 @@
         try (CSVPrinter csv = CSVFormat.RFC4180.print(Files.newBufferedWriter(folder.resolve("sweep.csv")))) {
             csv.print(field);
             csv.printRecord(figures);
-            for (var one : results.entrySet()) {
-                csv.print(one.getKey());
+            for (var entry : results.entrySet()) {
+                csv.print(entry.getKey());
                 for (String figure : figures) {
-                    csv.print(one.getValue().figures().get(figure));
+                    csv.print(entry.getValue().figures().get(figure));
                 }
                 csv.println();
             }
@@ -50,7 +55,7 @@
             JFreeChart chart =
                     ChartFactory.createLineChart(null, field, null, data, PlotOrientation.VERTICAL, true, false, false);
             chart.getCategoryPlot().setBackgroundPaint(java.awt.Color.WHITE);
-            page.append(Charts.svg(chart, HEIGHT));
+            page.append(Charts.svg(chart, HEIGHT_PX));
         }
         Files.writeString(folder.resolve("sweep.html"), page.append("</html>\n").toString());
     }
--- a/lab/src/main/java/calicochute/lab/result/ResultException.java
+++ b/lab/src/main/java/calicochute/lab/result/ResultException.java
@@ -3,7 +3,7 @@
 import calicochute.errors.Code;
 import calicochute.errors.IoFault;
 
-/** A folder that holds no result that can be used. */
+/** Reports a folder that contains no usable result. */
 public final class ResultException extends IoFault {
     private static final long serialVersionUID = 1L;
 
--- a/lab/src/main/java/calicochute/lab/result/Measured.java
+++ b/lab/src/main/java/calicochute/lab/result/RunAnalysis.java
@@ -22,33 +22,37 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Turns what a run brought into figures. Service is the worth answered within the wanted time over the worth asked for;
- * all of a request's tries count as the one that was planned. Waste and crossings are shares of what first tries ask.
+ * Computes the result of a run from its outcome. Service is the worth of the requests that were answered in time over
+ * the worth of all; all tries of a request count as one request, sent at the planned time of its first try. Wasted work
+ * is relative to the work of first tries.
  */
-public final class Measured {
-    /** Beyond this lateness of the lab's own timers at the 99th percentile, in microseconds, a run is void. */
-    public static final long LATENESS_BOUND = 10_000;
+public final class RunAnalysis {
+    /** A run is void if the 99th percentile of the lateness of the lab's own timers exceeds this. */
+    public static final long MAX_TIMER_LATENESS_MICROS = 10_000;
+
+    private static final int WINDOW_SECONDS = 10;
+    /** The highest latency that histograms record. */
+    private static final long MAX_LATENCY_MICROS = 600_000_000;
 
-    private static final int WINDOW_S = 10;
-    private static final long HIGHEST_US = 600_000_000;
     private final Outcome outcome;
     private final Scenario scenario;
     private final Map<String, Double> figures = new LinkedHashMap<>();
 
-    private Measured(Outcome outcome) {
+    private RunAnalysis(Outcome outcome) {
         this.outcome = outcome;
         scenario = outcome.deployment().scenario();
     }
 
+    /** Computes the result of a run. */
     public static RunResult of(Outcome outcome) {
-        return new Measured(outcome).result();
+        return new RunAnalysis(outcome).result();
     }
 
     private RunResult result() {
         List<Second> seconds = seconds();
         List<Latency> latencies = latencies();
-        figures(seconds, latencies);
-        List<TroubleBand> bands = outcome.troubles().stream()
+        addFigures(seconds, latencies);
+        List<TroubleBand> troubles = outcome.troubles().stream()
                 .map(t -> new TroubleBand(
                         t.trouble().kind().word(), t.fromMicros() / 1e6, t.toMicros() / 1e6, t.victims()))
                 .toList();
@@ -79,16 +83,16 @@
                         s -> balancers.add(new BalancerSecond(s.at() / 1e6, b.name(), s.cores(), s.resident() / 1e6))));
         Map<String, Long> counters = new TreeMap<>();
         outcome.counters().values().forEach(c -> c.forEach((name, count) -> counters.merge(name, count, Long::sum)));
-        List<Evenness> evenness = new Evenly(outcome).tiers();
-        Evenly.figures(evenness, figures);
+        List<Evenness> evenness = new EvennessAnalysis(outcome).tiers();
+        EvennessAnalysis.addFigures(evenness, figures);
         outcome.datagrams().forEach((what, count) -> figures.put("datagrams_" + what, (double) count));
-        String invalid = outcome.lateness()[1] <= LATENESS_BOUND
+        String invalid = outcome.lateness()[1] <= MAX_TIMER_LATENESS_MICROS
                 ? null
                 : String.format(
                         Locale.ROOT,
                         "the lab's own timers ran %.1f ms late at the 99th percentile; %.0f ms are allowed",
                         outcome.lateness()[1] / 1e3,
-                        LATENESS_BOUND / 1e3);
+                        MAX_TIMER_LATENESS_MICROS / 1e3);
         return new RunResult(
                 RunResult.VERSION,
                 scenario.title(),
@@ -98,7 +102,7 @@
                 outcome.ended(),
                 invalid,
                 figures,
-                bands,
+                troubles,
                 breaches,
                 seconds,
                 latencies,
@@ -115,10 +119,10 @@
         double[][] worth = new double[length][2];
         for (Root root : outcome.roots()) {
             int at = (int) Math.min(length - 1, root.arrival.atMicros() / 1_000_000);
-            double w = Emulation.worth(scenario, root);
+            double requestWorth = Emulation.worth(scenario, root);
             counts[at][0]++;
-            worth[at][0] += w;
-            worth[at][1] += root.end == Root.End.SERVED ? w : 0;
+            worth[at][0] += requestWorth;
+            worth[at][1] += root.end == Root.End.SERVED ? requestWorth : 0;
             counts[at][1] += root.end == Root.End.DENIED ? 1 : 0;
             counts[at][2] += failed(root) ? 1 : 0;
             counts[at][3] += root.end == Root.End.LATE ? 1 : 0;
@@ -141,104 +145,108 @@
 
     private List<Latency> latencies() {
         List<Latency> latencies = new ArrayList<>();
-        Histogram all = new Histogram(HIGHEST_US, 3);
+        Histogram all = new Histogram(MAX_LATENCY_MICROS, 3);
         for (int c = 0; c < scenario.classes().size(); c++) {
-            Histogram one = new Histogram(HIGHEST_US, 3);
+            Histogram ofClass = new Histogram(MAX_LATENCY_MICROS, 3);
             for (Root root : outcome.roots()) {
                 if (root.arrival.classIndex() == c && root.answered()) {
-                    long took = Math.max(0, Math.min(HIGHEST_US, root.endedAt - root.plannedAt));
-                    one.recordValue(took);
+                    long took = Math.max(0, Math.min(MAX_LATENCY_MICROS, root.endedAt - root.plannedAt));
+                    ofClass.recordValue(took);
                     all.recordValue(took);
                 }
             }
-            latencies.add(latency(scenario.classes().get(c).name(), one));
+            latencies.add(latency(scenario.classes().get(c).name(), ofClass));
         }
         latencies.add(latency("all", all));
         return latencies;
     }
 
-    private static Latency latency(String of, Histogram h) {
+    private static Latency latency(String of, Histogram histogram) {
         return new Latency(
                 of,
-                h.getTotalCount(),
-                h.getValueAtPercentile(50) / 1e3,
-                h.getValueAtPercentile(90) / 1e3,
-                h.getValueAtPercentile(99) / 1e3,
-                h.getValueAtPercentile(99.9) / 1e3,
-                h.getMaxValue() / 1e3);
+                histogram.getTotalCount(),
+                histogram.getValueAtPercentile(50) / 1e3,
+                histogram.getValueAtPercentile(90) / 1e3,
+                histogram.getValueAtPercentile(99) / 1e3,
+                histogram.getValueAtPercentile(99.9) / 1e3,
+                histogram.getMaxValue() / 1e3);
     }
 
-    private double service(Predicate<Root> of) {
+    /** Returns the service of the requests that match. */
+    private double service(Predicate<Root> filter) {
         double asked = 0;
         double served = 0;
         for (Root root : outcome.roots()) {
-            if (of.test(root)) {
-                double w = Emulation.worth(scenario, root);
-                asked += w;
-                served += root.end == Root.End.SERVED ? w : 0;
+            if (filter.test(root)) {
+                double worth = Emulation.worth(scenario, root);
+                asked += worth;
+                served += root.end == Root.End.SERVED ? worth : 0;
             }
         }
         return asked == 0 ? 1 : served / asked;
     }
 
-    private double share(Predicate<Root> of) {
+    /** Returns the share of requests that match. */
+    private double share(Predicate<Root> filter) {
         return outcome.roots().isEmpty()
                 ? 0
-                : (double) outcome.roots().stream().filter(of).count()
+                : (double) outcome.roots().stream().filter(filter).count()
                         / outcome.roots().size();
     }
 
-    private void figures(List<Second> seconds, List<Latency> latencies) {
-        double whole = service(r -> true);
-        double window = worstWindow(seconds);
+    private void addFigures(List<Second> seconds, List<Latency> latencies) {
+        double service = service(r -> true);
+        double worstWindow = worstWindow(seconds);
         Map<String, Double> classes = new LinkedHashMap<>();
         Map<String, Double> tenants = new LinkedHashMap<>();
         for (int i = 0; i < scenario.classes().size(); i++) {
-            int c = i;
-            classes.put(scenario.classes().get(i).name(), service(r -> r.arrival.classIndex() == c));
+            int classIndex = i;
+            classes.put(scenario.classes().get(i).name(), service(r -> r.arrival.classIndex() == classIndex));
         }
         for (int i = 0; i < scenario.tenants().size(); i++) {
-            int t = i;
+            int tenant = i;
             tenants.put(
-                    scenario.tenants().get(i).name(), service(r -> r.arrival.tenant() == t && !r.arrival.overShare()));
+                    scenario.tenants().get(i).name(),
+                    service(r -> r.arrival.tenant() == tenant && !r.arrival.overShare()));
         }
         double worstClass = classes.values().stream().mapToDouble(v -> v).min().orElse(1);
         double worstTenant = tenants.values().stream().mapToDouble(v -> v).min().orElse(1);
-        figures.put("service", whole);
-        figures.put("service_worst_10s", window);
+        figures.put("service", service);
+        figures.put("service_worst_10s", worstWindow);
         figures.put("service_worst_class", worstClass);
         figures.put("service_worst_tenant", worstTenant);
-        figures.put("service_weighted", 0.4 * whole + 0.15 * window + 0.2 * worstClass + 0.25 * worstTenant);
+        figures.put("service_weighted", 0.4 * service + 0.15 * worstWindow + 0.2 * worstClass + 0.25 * worstTenant);
         classes.forEach((name, v) -> figures.put("service_class_" + name, v));
         tenants.forEach((name, v) -> figures.put("service_tenant_" + name, v));
         latencies.forEach(l -> {
             figures.put("latency_p50_ms_" + l.of(), l.p50());
             figures.put("latency_p99_ms_" + l.of(), l.p99());
         });
-        int n = Math.max(1, outcome.roots().size());
+        int requests = Math.max(1, outcome.roots().size());
         figures.put("requests", (double) outcome.roots().size());
         figures.put("denied", share(r -> r.end == Root.End.DENIED));
-        figures.put("failed", share(Measured::failed));
+        figures.put("failed", share(RunAnalysis::failed));
         figures.put("late", share(r -> r.end == Root.End.LATE));
         figures.put(
                 "denials_per_request",
-                outcome.roots().stream().mapToInt(r -> r.denials).sum() / (double) n);
+                outcome.roots().stream().mapToInt(r -> r.denials).sum() / (double) requests);
         figures.put(
                 "tries_per_request",
-                outcome.roots().stream().mapToInt(r -> r.tries).sum() / (double) n);
+                outcome.roots().stream().mapToInt(r -> r.tries).sum() / (double) requests);
         for (int t = 0; t < scenario.tiers().size(); t++) {
             int tier = t;
             figures.put(
                     "dispatches_per_request_" + scenario.tiers().get(t).name(),
-                    outcome.roots().stream().mapToInt(r -> r.dispatches[tier]).sum() / (double) n);
+                    outcome.roots().stream().mapToInt(r -> r.dispatches[tier]).sum() / (double) requests);
         }
-        double offered = outcome.roots().stream().mapToDouble(this::offered).sum();
-        double wasted = outcome.roots().stream()
+        double offeredWork =
+                outcome.roots().stream().mapToDouble(this::offeredWork).sum();
+        double wastedWork = outcome.roots().stream()
                 .mapToDouble(r -> r.workDone - r.workUsed)
                 .sum();
-        figures.put("wasted_work", offered == 0 ? 0 : wasted / offered);
-        figures.put("zone_crossings_per_request", outcome.crossings() / (double) n);
-        figures.put("probes_per_request", outcome.probes() / (double) n);
+        figures.put("wasted_work", offeredWork == 0 ? 0 : wastedWork / offeredWork);
+        figures.put("zone_crossings_per_request", outcome.crossings() / (double) requests);
+        figures.put("probes_per_request", outcome.probes() / (double) requests);
         figures.put("breaches", (double) outcome.breaches().size());
         figures.put("cold_starts", (double) outcome.cold().starts());
         figures.put("cold_falls", (double) outcome.cold().falls());
@@ -248,28 +256,29 @@
         figures.put("bad_clients_neglected", (double) outcome.badClients().neglected());
         figures.put("bad_clients_served", (double) outcome.badClients().served());
         double cores = 0;
-        double most = 0;
+        double maxMemoryMb = 0;
         for (var samples : outcome.balancers().values()) {
             cores += samples.stream()
                     .mapToDouble(Outcome.BalancerSample::cores)
                     .average()
                     .orElse(0);
-            most = Math.max(
-                    most,
+            maxMemoryMb = Math.max(
+                    maxMemoryMb,
                     samples.stream().mapToDouble(s -> s.resident() / 1e6).max().orElse(0));
         }
         figures.put("balancers_cores", cores);
         figures.put(
                 "balancers_cpu_ms_per_dispatch",
                 outcome.dispatches() == 0 ? 0 : cores * outcome.length() / 1e3 / outcome.dispatches());
-        figures.put("balancer_memory_mb_max", most);
+        figures.put("balancer_memory_mb_max", maxMemoryMb);
         figures.put("lab_cores", outcome.labCpu());
         figures.put("lab_late_ms_p50", outcome.lateness()[0] / 1e3);
         figures.put("lab_late_ms_p99", outcome.lateness()[1] / 1e3);
         figures.put("lab_late_ms_max", outcome.lateness()[2] / 1e3);
     }
 
-    private double offered(Root root) {
+    /** The work of a request over all tiers if each of its calls is made once. */
+    private double offeredWork(Root root) {
         double work = 0;
         double calls = 1;
         for (int t = 0; t < scenario.tiers().size(); t++) {
@@ -279,9 +288,10 @@
         return work;
     }
 
+    /** Returns the lowest service of any 10 s, or of the whole run if it is shorter. */
     private static double worstWindow(List<Second> seconds) {
         double worst = 1;
-        int span = Math.min(WINDOW_S, seconds.size());
+        int span = Math.min(WINDOW_SECONDS, seconds.size());
         for (int i = 0; i + span <= seconds.size(); i++) {
             double asked = 0;
             double served = 0;
@@ -298,13 +308,13 @@
         List<Dispatches> list = new ArrayList<>();
         for (int t = 0; t < scenario.tiers().size(); t++) {
             int tier = t;
-            int most = outcome.roots().stream()
+            int max = outcome.roots().stream()
                     .mapToInt(r -> r.dispatches[tier])
                     .max()
                     .orElse(0);
-            long[] counts = new long[most + 1];
+            long[] counts = new long[max + 1];
             outcome.roots().forEach(r -> counts[r.dispatches[tier]]++);
-            for (int d = 0; d <= most; d++) {
+            for (int d = 0; d <= max; d++) {
                 list.add(new Dispatches(scenario.tiers().get(t).name(), d, counts[d]));
             }
         }
--- a/lab/src/test/java/calicochute/lab/experiment/ExperimentTest.java
+++ b/lab/src/test/java/calicochute/lab/experiment/ExperimentTest.java
@@ -18,6 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Checks the statistics over several runs, and changes of a scenario's fields. */
 class ExperimentTest {
     @TempDir
     Path folder;
@@ -44,16 +45,16 @@
     }
 
     @Test
-    void theSpreadOfAFigure() {
+    void spreadIsRangeOverMedian() {
         Spread spread = Spread.of(List.of(run(1, 0.8, null), run(1, 1.0, null), run(1, 0.9, null), run(1, 0.7, null)))
                 .get(0);
         assertEquals(0.85, spread.median(), 1e-9);
-        assertEquals(0.3 / 0.85, spread.share(), 1e-9);
+        assertEquals(0.3 / 0.85, spread.relativeRange(), 1e-9);
     }
 
-    /** Worked by hand: differences 0.1, 0.2, 0.3 have the mean 0.2 and the standard error 0.0577; t(2) is 4.303. */
+    /** Differences of 0.1, 0.2 and 0.3 have a mean of 0.2 and a standard error of 0.0577; the t quantile is 4.303. */
     @Test
-    void pairsBySeedWithTheirInterval() {
+    void differencesArePairedBySeed() {
         Map<Long, List<Map<String, Double>>> base = Map.of(
                 1L,
                 List.of(Map.of("x", 1.0)),
@@ -65,19 +66,19 @@
                 List.of(Map.of("x", 100.0)));
         Map<Long, List<Map<String, Double>>> other =
                 Map.of(1L, List.of(Map.of("x", 1.1)), 2L, List.of(Map.of("x", 2.2)), 3L, List.of(Map.of("x", 3.3)));
-        Difference d = Difference.of(base, other).get(0);
-        assertEquals(3, d.pairs());
-        assertEquals(0.2, d.mean(), 1e-9);
-        assertEquals(0.2 - 4.303 * 0.1 / Math.sqrt(3), d.low(), 1e-3);
-        assertFalse(d.clear());
-        assertTrue(Double.isInfinite(Difference.of(base, Map.of(1L, List.of(Map.of("x", 1.0))))
+        PairedDifference difference = PairedDifference.of(base, other).get(0);
+        assertEquals(3, difference.pairs());
+        assertEquals(0.2, difference.mean(), 1e-9);
+        assertEquals(0.2 - 4.303 * 0.1 / Math.sqrt(3), difference.low(), 1e-3);
+        assertFalse(difference.excludesZero());
+        assertTrue(Double.isInfinite(PairedDifference.of(base, Map.of(1L, List.of(Map.of("x", 1.0))))
                 .get(0)
                 .high()));
-        assertEquals(List.of(), Difference.of(base, Map.of(7L, List.of(Map.of("x", 1.0)))));
+        assertEquals(List.of(), PairedDifference.of(base, Map.of(7L, List.of(Map.of("x", 1.0)))));
     }
 
     @Test
-    void aVariantIsItsRunsThatCount() throws Exception {
+    void variantContainsUsableRunsOnly() throws Exception {
         RunFolder.write(folder.resolve("a"), run(1, 0.5, null), "version: 1\n");
         RunFolder.write(folder.resolve("b"), run(2, 0.7, null), "version: 1\n");
         RunFolder.write(folder.resolve("c"), run(3, 0.1, "interrupted"), "version: 1\n");
@@ -87,13 +88,13 @@
         assertThrows(IOException.class, () -> Variant.read(folder.resolve("c")));
         assertThrows(IOException.class, () -> Variant.read(folder.resolve("none")));
         Files.writeString(folder.resolve("a/result.json"), "{\"version\": 1,\n \"seed\": tomorrow}");
-        String told = assertThrows(IOException.class, () -> RunFolder.read(folder.resolve("a")))
+        String message = assertThrows(IOException.class, () -> RunFolder.read(folder.resolve("a")))
                 .getMessage();
-        assertTrue(told.contains("result.json:2:"), told);
+        assertTrue(message.contains("result.json:2:"), message);
     }
 
     @Test
-    void aSweepSetsOneFieldAndIsCheckedLikeAFile() throws Exception {
+    void changedFieldIsValidated() throws Exception {
         String yaml;
         try (InputStream in = ExperimentTest.class.getResourceAsStream("/calicochute/lab/full.yaml")) {
             yaml = new String(in.readAllBytes(), StandardCharsets.UTF_8);
@@ -121,12 +122,12 @@
                         .get(0)
                         .idle()
                         .seconds());
-        for (FieldChange wrong : List.of(
+        for (FieldChange invalid : List.of(
                 new FieldChange("load.utilisation", "much"),
                 new FieldChange("lood.x", "1"),
                 new FieldChange("troubles[77].factor", "1"),
                 new FieldChange("troubles[x].factor", "1"))) {
-            assertThrows(ScenarioException.class, () -> wrong.apply("s", yaml), wrong::toString);
+            assertThrows(ScenarioException.class, () -> invalid.apply("s", yaml), invalid::toString);
         }
     }
 }
--- a/lab/src/test/java/calicochute/lab/plan/PlanTest.java
+++ b/lab/src/test/java/calicochute/lab/plan/PlanTest.java
@@ -16,6 +16,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
+/** Checks that what is drawn before a run depends only on its seed and matches the scenario. */
 class PlanTest {
     private static final String JUMP = "  - {kind: jump, at: 5s, lasts: 5s, factor: 3}\n";
 
--- a/lab/src/test/java/calicochute/lab/process/LabCommandTest.java
+++ b/lab/src/test/java/calicochute/lab/process/LabCommandTest.java
@@ -112,7 +112,7 @@
                 "--balancers",
                 "2");
         RunResult result = RunFolder.read(out.resolve("a"));
-        assertEquals(output(), result.counts() ? 0 : 1, ran);
+        assertEquals(output(), result.usable() ? 0 : 1, ran);
         assertEquals(3, result.seed());
         assertEquals(List.of(), result.breaches());
         assertTrue(result.figures().get("requests") > 30);
