--- a/lab/src/main/java/calicochute/lab/cli/CompareCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/CompareCommand.java
@@ -41,7 +41,7 @@
         Console console = Console.standard();
         List<String> variantFolders = scenario == null ? folders : runVariants(console);
         if (variantFolders.size() < 2) {
-            throw new ParameterException("needs two folders at least, or --scenario and two --balancer-command");
+            throw new ParameterException("needs at least two folders, or --scenario and two --balancer-command");
         }
         List<Variant> variants = new ArrayList<>();
         for (String folder : variantFolders) {
@@ -51,7 +51,7 @@
         for (Variant other : variants.subList(1, variants.size())) {
             List<PairedDifference> differences = PairedDifference.of(base.bySeed(), other.bySeed());
             if (differences.isEmpty()) {
-                throw new Exception(base.name() + " and " + other.name() + " share no seed");
+                throw new Exception(base.name() + " and " + other.name() + " have no seed in common");
             }
             console.print(String.format(
                     Locale.ROOT,
@@ -91,7 +91,7 @@
      */
     private List<String> runVariants(Console console) throws Exception {
         if (commands.size() < 2) {
-            throw new ParameterException("--scenario needs --balancer-command twice at least ('deployed' for \"run\")");
+            throw new ParameterException("--scenario needs --balancer-command at least twice ('deployed' for \"run\")");
         }
         Scenario parsedScenario = ScenarioReader.read(Path.of(scenario));
         List<String> variantFolders = new ArrayList<>();
--- a/lab/src/main/java/calicochute/lab/cli/DemoCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/DemoCommand.java
@@ -28,7 +28,7 @@
     @Override
     public void run() throws Exception {
         if (seconds < MIN_SECONDS || seconds > MAX_SECONDS) {
-            throw new ParameterException("--seconds must lie between " + MIN_SECONDS + " and " + MAX_SECONDS);
+            throw new ParameterException("--seconds must be between " + MIN_SECONDS + " and " + MAX_SECONDS);
         }
         String text = BundledScenarios.read("demo.yaml");
         text = text.replace("LENGTH", seconds + "s")
--- a/lab/src/main/java/calicochute/lab/cli/OverheadCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/OverheadCommand.java
@@ -42,7 +42,7 @@
     @Override
     public void run() throws Exception {
         if (rate <= 0 || rate > 20_000 || seconds < 1 || rounds < 1 || together < 1) {
-            throw new ParameterException("--rate must lie between 0 and 20000, the others be 1 at least");
+            throw new ParameterException("--rate must be between 0 and 20000, and the other numbers at least 1");
         }
         String text = BundledScenarios.read("overhead.yaml");
         Path folder = Path.of(out);
--- a/lab/src/main/java/calicochute/lab/cli/ReplayCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/ReplayCommand.java
@@ -31,7 +31,7 @@
     @Override
     public void run() throws Exception {
         if (times < 1 || times > 1000) {
-            throw new ParameterException("--times must lie between 1 and 1000");
+            throw new ParameterException("--times must be between 1 and 1000");
         }
         Path runFolder = Path.of(folder);
         long seed = RunFolder.read(runFolder).seed();
--- a/lab/src/main/java/calicochute/lab/cli/SweepCommand.java
+++ b/lab/src/main/java/calicochute/lab/cli/SweepCommand.java
@@ -42,7 +42,7 @@
     @Override
     public void run() throws Exception {
         if (values.size() < 2) {
-            throw new ParameterException("--over needs two values at least");
+            throw new ParameterException("--over needs at least two values");
         }
         Path file = Path.of(scenario);
         String yaml = Files.readString(file);
--- a/lab/src/main/java/calicochute/lab/plan/package-info.java
+++ b/lab/src/main/java/calicochute/lab/plan/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What is drawn before a run from its seed: machines and balancers, arrivals of requests, and whom each trouble hits.
+ * What is drawn before a run from its seed: machines and balancers, arrivals of requests, and the targets of each
+ * trouble.
  */
 package calicochute.lab.plan;
--- a/lab/src/main/java/calicochute/lab/report/Report.java
+++ b/lab/src/main/java/calicochute/lab/report/Report.java
@@ -122,7 +122,7 @@
         if (result.troubles().isEmpty()) {
             return;
         }
-        page.append("<h2>Troubles</h2><table><tr><th>kind<th>from s<th>to s<th>whom");
+        page.append("<h2>Troubles</h2><table><tr><th>kind<th>from s<th>to s<th>victims");
         result.troubles()
                 .forEach(t -> page.append("<tr><td>")
                         .append(escape(t.kind()))
--- a/lab/src/main/java/calicochute/lab/result/RunAnalysis.java
+++ b/lab/src/main/java/calicochute/lab/result/RunAnalysis.java
@@ -118,15 +118,15 @@
         int[][] counts = new int[length][5];
         double[][] worth = new double[length][2];
         for (Root root : outcome.roots()) {
-            int at = (int) Math.min(length - 1, root.arrival.atMicros() / 1_000_000);
+            int second = (int) Math.min(length - 1, root.arrival.atMicros() / 1_000_000);
             double requestWorth = Emulation.worth(scenario, root);
-            counts[at][0]++;
-            worth[at][0] += requestWorth;
-            worth[at][1] += root.end == Root.End.SERVED ? requestWorth : 0;
-            counts[at][1] += root.end == Root.End.DENIED ? 1 : 0;
-            counts[at][2] += failed(root) ? 1 : 0;
-            counts[at][3] += root.end == Root.End.LATE ? 1 : 0;
-            counts[at][4] += root.denials;
+            counts[second][0]++;
+            worth[second][0] += requestWorth;
+            worth[second][1] += root.end == Root.End.SERVED ? requestWorth : 0;
+            counts[second][1] += root.end == Root.End.DENIED ? 1 : 0;
+            counts[second][2] += failed(root) ? 1 : 0;
+            counts[second][3] += root.end == Root.End.LATE ? 1 : 0;
+            counts[second][4] += root.denials;
         }
         List<Second> seconds = new ArrayList<>();
         for (int i = 0; i < length; i++) {
@@ -161,9 +161,9 @@
         return latencies;
     }
 
-    private static Latency latency(String of, Histogram histogram) {
+    private static Latency latency(String name, Histogram histogram) {
         return new Latency(
-                of,
+                name,
                 histogram.getTotalCount(),
                 histogram.getValueAtPercentile(50) / 1e3,
                 histogram.getValueAtPercentile(90) / 1e3,
--- a/lab/src/main/java/calicochute/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/calicochute/lab/scenario/ScenarioReader.java
@@ -204,7 +204,7 @@
 
         private static String form(Class<?> type) {
             if (type.isEnum()) {
-                return "one of " + words(type);
+                return "one of " + constantNames(type);
             }
             if (Collection.class.isAssignableFrom(type)) {
                 return "a list";
@@ -212,7 +212,7 @@
             return FORMS.getOrDefault(type, "a group of fields: " + fields(type));
         }
 
-        private static String words(Class<?> type) {
+        private static String constantNames(Class<?> type) {
             return Arrays.stream(type.getFields())
                     .filter(java.lang.reflect.Field::isEnumConstant)
                     .map(f -> f.getAnnotation(com.fasterxml.jackson.annotation.JsonProperty.class)
--- a/lab/src/main/java/calicochute/lab/scenario/ScenarioValidator.java
+++ b/lab/src/main/java/calicochute/lab/scenario/ScenarioValidator.java
@@ -99,7 +99,7 @@
         if (!(low >= bounds.min() && high <= bounds.max())) {
             report.accept(
                     field,
-                    "must lie between " + figure(bounds.min()) + unit + " and " + figure(bounds.max()) + unit
+                    "must be between " + figure(bounds.min()) + unit + " and " + figure(bounds.max()) + unit
                             + "; it is " + (low == high ? figure(low) : figure(low) + " to " + figure(high)) + unit);
         }
     }
@@ -133,7 +133,7 @@
 
     private void checkShareSum(String field, double sum) {
         if (Math.abs(sum - 1) > SHARE_SUM_TOLERANCE) {
-            report.accept(field, String.format(Locale.ROOT, "the shares must add up to 1; they make %.3f", sum));
+            report.accept(field, String.format(Locale.ROOT, "the shares must add up to 1; their sum is %.3f", sum));
         }
     }
 
@@ -146,15 +146,15 @@
         checkNames("classes", classes, Scenario.RequestClass::name, classes.isEmpty());
         for (int i = 0; i < classes.size(); i++) {
             Scenario.RequestClass requestClass = classes.get(i);
-            String at = "classes[" + i + "].";
-            require(at + "effect", requestClass.effect());
+            String path = "classes[" + i + "].";
+            require(path + "effect", requestClass.effect());
             if (requestClass.aim() != null
                     && requestClass.giveUp() != null
                     && requestClass.aim().compareTo(requestClass.giveUp()) > 0) {
-                report.accept(at + "aim", "must not lie after giveUp (" + requestClass.giveUp() + ")");
+                report.accept(path + "aim", "must not be greater than giveUp (" + requestClass.giveUp() + ")");
             }
             if (requestClass.effect() == Effect.KEYED && requestClass.window().micros() <= 0) {
-                report.accept(at + "window", "a keyed class needs a window in which repeats are dropped");
+                report.accept(path + "window", "a keyed class needs a window in which repeats are dropped");
             }
         }
         if (!classes.isEmpty()) {
@@ -185,35 +185,35 @@
         int balancers = scenario.balancers().count();
         for (int i = 0; i < tiers.size(); i++) {
             Tier tier = tiers.get(i);
-            String at = "tiers[" + i + "]";
+            String path = "tiers[" + i + "]";
             checkNames(
-                    at + ".kinds",
+                    path + ".kinds",
                     tier.kinds(),
                     Scenario.Kind::name,
                     tier.kinds().isEmpty());
             if (!tier.kinds().isEmpty()) {
                 checkShareSum(
-                        at + ".kinds",
+                        path + ".kinds",
                         tier.kinds().stream().mapToDouble(Scenario.Kind::share).sum());
             }
             boolean last = i == tiers.size() - 1;
             if (last && tier.calls().high() > 0) {
-                report.accept(at + ".calls", "the last tier has none to call; leave it out");
+                report.accept(path + ".calls", "is not allowed in the last tier, which calls no other");
             } else if (!last && (tier.calls().low() < 1 || tier.calls().high() > 5)) {
-                report.accept(at + ".calls", "must lie between 1 and 5 where another tier follows");
+                report.accept(path + ".calls", "must be between 1 and 5 if another tier follows");
             }
             if (!last && tier.servers() != null) {
                 balancers += tier.servers();
             }
         }
         if (tiers.size() > 3) {
-            report.accept("tiers", "there may be three at most");
+            report.accept("tiers", "at most three are allowed");
         }
         if (balancers > MAX_BALANCERS) {
             report.accept(
                     "tiers",
-                    "would need " + balancers + " balancers (one for each server that calls on); " + MAX_BALANCERS
-                            + " at most");
+                    "would need " + balancers + " balancers (one for each server that calls a further tier); at most "
+                            + MAX_BALANCERS + " are allowed");
         }
     }
 
@@ -224,12 +224,12 @@
         }
     }
 
-    private void checkTrouble(String at, Trouble trouble) {
-        if (!require(at + ".kind", trouble.kind()) || trouble.at() == null) {
+    private void checkTrouble(String path, Trouble trouble) {
+        if (!require(path + ".kind", trouble.kind()) || trouble.at() == null) {
             return;
         }
         if (scenario.length() != null && trouble.at().compareTo(scenario.length()) >= 0) {
-            report.accept(at + ".at", "begins after the end of the run (" + scenario.length() + ")");
+            report.accept(path + ".at", "begins after the end of the run (" + scenario.length() + ")");
         }
         boolean hitsServers = trouble.kind().target == Trouble.Target.SERVERS;
         boolean hitsNetwork = trouble.kind().target == Trouble.Target.NETWORK;
@@ -240,40 +240,41 @@
                         || scenario.tiers().stream()
                                 .noneMatch(t -> trouble.tier().equals(t.name())))) {
             report.accept(
-                    at + ".tier",
+                    path + ".tier",
                     "must be one of "
                             + scenario.tiers().stream().map(Tier::name).toList());
         }
         if (hitsServers && (trouble.servers() == null) == (trouble.part() == null)) {
-            report.accept(at, "needs either servers (how many) or part (of the tier)");
+            report.accept(path, "needs either servers (how many) or part (of the tier)");
         }
         if (!tierAllowed && trouble.tier() != null) {
-            report.accept(at + ".tier", "does not go with " + trouble.kind().word());
+            report.accept(path + ".tier", "is not allowed for " + trouble.kind().word());
         }
         if (hitsNetwork && scenario.fleet() == null) {
-            report.accept(at + ".kind", trouble.kind().word() + " needs a fleet: balancers that talk to each other");
+            report.accept(path + ".kind", trouble.kind().word() + " needs a fleet: balancers that exchange datagrams");
         }
         boolean factorIsShare = trouble.kind() == Trouble.Kind.RESET
                 || trouble.kind() == Trouble.Kind.SPOILT
                 || trouble.kind() == Trouble.Kind.NET_LOSS;
         if (factorIsShare && trouble.factor() > 1) {
             report.accept(
-                    at + ".factor",
-                    "is a part of all, between 0 and 1, for " + trouble.kind().word());
+                    path + ".factor",
+                    "is a share and must be between 0 and 1 for "
+                            + trouble.kind().word());
         }
         if (trouble.kind().target == Trouble.Target.ZONE != (trouble.zone() != null)
                 || trouble.zone() != null && !scenario.zones().names().contains(trouble.zone())) {
             report.accept(
-                    at + ".zone",
+                    path + ".zone",
                     trouble.kind().target == Trouble.Target.ZONE
                             ? "must be one of " + scenario.zones().names()
-                            : "does not go with " + trouble.kind().word());
+                            : "is not allowed for " + trouble.kind().word());
         }
         if ((trouble.kind().target == Trouble.Target.BALANCERS || hitsNetwork) && trouble.part() == null) {
             int available = candidateBalancers(trouble.tier(), hitsNetwork);
             int wanted = trouble.balancers() + (trouble.others() == null ? 0 : trouble.others());
             if (wanted > available) {
-                report.accept(at + ".balancers", "there are only " + available);
+                report.accept(path + ".balancers", "there are only " + available);
             }
         }
     }
