--- a/balancer/src/main/java/calicochute/admin/CallHandler.java
+++ b/balancer/src/main/java/calicochute/admin/CallHandler.java
@@ -77,17 +77,17 @@
         connection.whole();
         connection.counters().count(call instanceof Call.Wrong ? Counter.ADMIN_CALLS_WRONG : Counter.ADMIN_CALLS);
         if (call instanceof Call.Health) {
-            respond(operations.serves() ? 200 : 503, operations.serves() ? "serving" : "not yet");
+            respond(operations.ready() ? 200 : 503, operations.ready() ? "serving" : "not yet");
         } else if (call instanceof Call.Stats) {
-            respond(200, operations.figures());
+            respond(200, operations.stats());
         } else if (call instanceof Call.Experiments) {
             respond(200, operations.experiments());
         } else if (call instanceof Call.Fleet) {
             respond(200, operations.fleet());
         } else if (call instanceof Call.Cordon cordon) {
-            operations.takeOut(cordon.host(), r -> ended("cordon " + cordon.host(), r));
+            operations.cordon(cordon.host(), r -> ended("cordon " + cordon.host(), r));
         } else if (call instanceof Call.Uncordon uncordon) {
-            operations.callBack(uncordon.host(), r -> ended("uncordon " + uncordon.host(), r));
+            operations.uncordon(uncordon.host(), r -> ended("uncordon " + uncordon.host(), r));
         } else if (call instanceof Call.Quiesce) {
             operations.quiesce(r -> ended("quiesce", r));
         } else if (call instanceof Call.Resume) {
--- a/balancer/src/main/java/calicochute/admin/Operations.java
+++ b/balancer/src/main/java/calicochute/admin/Operations.java
@@ -15,10 +15,10 @@
     }
 
     /** True once this process can serve. */
-    boolean serves();
+    boolean ready();
 
     /** The figures, one a line. */
-    String figures();
+    String stats();
 
     /** The split experiments, one a line. */
     String experiments();
@@ -27,10 +27,10 @@
     String fleet();
 
     /** Takes a backend server out, until it is called back. */
-    void takeOut(String server, Consumer<Result> done);
+    void cordon(String server, Consumer<Result> done);
 
     /** Uses a backend server again. */
-    void callBack(String server, Consumer<Result> done);
+    void uncordon(String server, Consumer<Result> done);
 
     /** Sends clients away. */
     void quiesce(Consumer<Result> done);
--- a/balancer/src/main/java/calicochute/cli/Hangup.java
+++ b/balancer/src/main/java/calicochute/cli/HangupSignal.java
@@ -4,8 +4,8 @@
 import java.lang.reflect.Proxy;
 
 /** Hears SIGHUP. Without a handler of its own the virtual machine takes it for an order to end. */
-final class Hangup {
-    private Hangup() {}
+final class HangupSignal {
+    private HangupSignal() {}
 
     /**
      * Runs the task, on a thread of its own, at each SIGHUP from now on. The class that does it is one that the
@@ -38,7 +38,7 @@
                             null,
                             signal.getConstructor(String.class).newInstance("HUP"),
                             Proxy.newProxyInstance(
-                                    Hangup.class.getClassLoader(), new Class<?>[] {signalHandler}, handler));
+                                    HangupSignal.class.getClassLoader(), new Class<?>[] {signalHandler}, handler));
             return before != signalHandler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("this Java does not let SIGHUP be handled", e);
--- a/balancer/src/main/java/calicochute/cli/ServeCommand.java
+++ b/balancer/src/main/java/calicochute/cli/ServeCommand.java
@@ -25,7 +25,7 @@
     private Configuration running;
 
     private final Object starting = new Object();
-    private Startup startup = Startup.begun();
+    private StartupState startup = StartupState.begun();
 
     @Override
     public void run() throws SettingsException, IOException, InterruptedException {
@@ -34,7 +34,7 @@
         Node node = new Node(told, counters, InheritedSocket.get(), shared(told.name()));
         // Before the start: without a handler SIGHUP ends a Java program, and /ready may say 200 as soon as it listens.
         running = told;
-        if (!Hangup.handle(() -> reload(node))) {
+        if (!HangupSignal.handle(() -> reload(node))) {
             Log.warn(
                     "hangup-ignored",
                     "started with SIGHUP ignored (nohup?): new settings can't be taken over until a restart");
@@ -46,15 +46,15 @@
         InetSocketAddress address;
         try {
             address = node.start();
-            move(Startup::started);
+            move(StartupState::started);
         } catch (Exception | Error e) {
-            move(Startup::failed);
+            move(StartupState::failed);
             throw e;
         }
         Log.info("serving", "name=" + told.name() + " tier=" + told.settings().tier() + " address=" + address);
     }
 
-    private void move(UnaryOperator<Startup> event) {
+    private void move(UnaryOperator<StartupState> event) {
         synchronized (starting) {
             startup = event.apply(startup);
             starting.notifyAll();
@@ -62,10 +62,10 @@
     }
 
     /** What a stop has to do, once the start is over. */
-    private Startup.Step stopping() throws InterruptedException {
+    private StartupState.Step stopping() throws InterruptedException {
         synchronized (starting) {
-            move(Startup::stop);
-            while (startup.step() == Startup.Step.WAIT) {
+            move(StartupState::stop);
+            while (startup.step() == StartupState.Step.WAIT) {
                 starting.wait();
             }
             return startup.step();
@@ -97,11 +97,11 @@
         int status = CommandLine.DONE;
         try {
             // No switch: it has a class of its own, which is not there yet and may find no descriptor to be read with.
-            Startup.Step step = stopping();
-            if (step == Startup.Step.LEAVE) {
+            StartupState.Step step = stopping();
+            if (step == StartupState.Step.LEAVE) {
                 return;
             }
-            if (step == Startup.Step.DRAIN) {
+            if (step == StartupState.Step.DRAIN) {
                 node.drain();
             } else {
                 // It still says why; its own end would wait for this one.
--- a/balancer/src/main/java/calicochute/cli/Startup.java
+++ b/balancer/src/main/java/calicochute/cli/StartupState.java
@@ -10,7 +10,7 @@
  * @param stopping the virtual machine runs its hooks
  * @param failedFirst the start had failed before that: hooks run since the program ends by itself
  */
-record Startup(Phase phase, boolean stopping, boolean failedFirst) {
+record StartupState(Phase phase, boolean stopping, boolean failedFirst) {
     enum Phase {
         STARTING,
         SERVING,
@@ -31,23 +31,23 @@
         FAIL
     }
 
-    static Startup begun() {
-        return new Startup(Phase.STARTING, false, false);
+    static StartupState begun() {
+        return new StartupState(Phase.STARTING, false, false);
     }
 
     /** The start is over, and clients may come. */
-    Startup started() {
-        return phase == Phase.STARTING ? new Startup(Phase.SERVING, stopping, false) : this;
+    StartupState started() {
+        return phase == Phase.STARTING ? new StartupState(Phase.SERVING, stopping, false) : this;
     }
 
     /** The start has failed. */
-    Startup failed() {
-        return phase == Phase.STARTING ? new Startup(Phase.FAILED, stopping, !stopping) : this;
+    StartupState failed() {
+        return phase == Phase.STARTING ? new StartupState(Phase.FAILED, stopping, !stopping) : this;
     }
 
     /** The hook has begun to run. */
-    Startup stop() {
-        return new Startup(phase, true, failedFirst);
+    StartupState stop() {
+        return new StartupState(phase, true, failedFirst);
     }
 
     Step step() {
--- a/balancer/src/main/java/calicochute/frontend/Frontend.java
+++ b/balancer/src/main/java/calicochute/frontend/Frontend.java
@@ -2,11 +2,11 @@
 
 import calicochute.exchange.DecisionQueue;
 import calicochute.exchange.SessionListener;
+import calicochute.lifecycle.Lifecycle;
 import calicochute.listening.ConnectionAcceptor;
 import calicochute.metrics.Counter;
 import calicochute.metrics.Counters;
 import calicochute.metrics.Log;
-import calicochute.presence.Presence;
 import calicochute.settings.Bounds;
 import calicochute.settings.Configuration;
 import calicochute.settings.Succession;
@@ -45,7 +45,7 @@
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
     private volatile int openConnections;
-    private final Supplier<Presence> presence;
+    private final Supplier<Lifecycle> lifecycle;
 
     /**
      * Creates a frontend that does not listen yet.
@@ -59,7 +59,7 @@
             SessionListener sessions,
             Counters counters,
             BooleanSupplier ready,
-            Supplier<Presence> presence,
+            Supplier<Lifecycle> lifecycle,
             Supplier<Succession> settings)
             throws IOException {
         parser = new SessionParser(settings);
@@ -67,7 +67,7 @@
         this.sessions = sessions;
         this.counters = counters;
         this.ready = ready;
-        this.presence = presence;
+        this.lifecycle = lifecycle;
         maxConnections = configuration.bounds().clientConnections();
         connectionLimit = new ConnectionLimit(maxConnections);
         windowBytes = configuration.bounds().window();
@@ -125,7 +125,7 @@
     String ownPage(String path) {
         return path.equals(COUNTERS_PATH)
                 ? counters.text()
-                : ready.getAsBoolean() && presence.get().ready() ? "ready\n" : null;
+                : ready.getAsBoolean() && lifecycle.get().ready() ? "ready\n" : null;
     }
 
     /** How many bytes of a streamed request are read ahead of its server. */
@@ -246,7 +246,7 @@
     }
 
     boolean closesIdleConnections() {
-        return presence.get().endsIdle(nowMicros());
+        return lifecycle.get().closesIdleConnections(nowMicros());
     }
 
     /**
@@ -254,6 +254,6 @@
      * limit.
      */
     boolean closesAfterResponse() {
-        return presence.get().lastAnswers() || openConnections > connectionLimit.limitAt(nowMicros()) * 3 / 4;
+        return lifecycle.get().closesAfterResponse() || openConnections > connectionLimit.limitAt(nowMicros()) * 3 / 4;
     }
 }
--- /dev/null
+++ b/balancer/src/main/java/calicochute/lifecycle/package-info.java
@@ -0,0 +1,2 @@
+/** Whether the process takes clients: serving, quiesced by an operator, or stopping after SIGTERM. */
+package calicochute.lifecycle;
--- a/balancer/src/main/java/calicochute/metrics/Counter.java
+++ b/balancer/src/main/java/calicochute/metrics/Counter.java
@@ -1,6 +1,9 @@
 package calicochute.metrics;
 
-/** What is counted; the on-call page says what each means. */
+/**
+ * The counters that {@code GET /counters} answers, each under its constant's name in lower case. The suffix of a
+ * {@code DISPATCHES_} counter that is named after an outcome of the decision module is that outcome's constant.
+ */
 public enum Counter {
     SESSIONS_TAKEN,
     SESSIONS_SERVED,
@@ -9,19 +12,27 @@
     SESSIONS_CLIENT_GONE,
     SESSIONS_BAD_INPUT,
     SESSIONS_OVER_LIMIT,
+    /** Sessions answered by the deadline guard because the decision module had not answered them in time. */
     SESSIONS_ENDED_BY_DEADLINE,
+    /** Sessions answered or cut short because the process is about to be killed. */
     SESSIONS_ENDED_BY_STOP,
+    /** Sessions whose request body was still arriving when they began. */
     SESSIONS_IN_PIECES,
+    /** Responses passed on while their body was still arriving from the backend server. */
     ANSWERS_IN_PIECES,
+    /** Streamed responses aborted because their body made too little progress. */
     ANSWERS_CUT,
     CLIENTS_ACCEPTED,
     CLIENTS_CLOSED_SLOW,
     CLIENTS_CLOSED_FLOODING,
     CLIENTS_CLOSED_IDLE,
+    /** Client connections closed to free a file descriptor. */
     CLIENTS_CLOSED_FOR_ROOM,
+    /** Pauses of an acceptor after a failed accept. */
     ACCEPTOR_WAITS,
     ADMIN_CALLS,
     ADMIN_CALLS_WRONG,
+    /** Connections to the admin address closed before a complete call had arrived. */
     ADMIN_CALLERS_CLOSED,
     DISPATCHES_SENT,
     DISPATCHES_OK,
@@ -33,25 +44,35 @@
     DISPATCHES_REJECTED,
     DISPATCHES_CANCELLED,
     DISPATCHES_MOOT,
+    /** Dispatches that were never sent because their session or their backend server was gone first. */
     DISPATCHES_HELD_BACK,
     CONNECTIONS_OPENED,
     CONNECTIONS_REUSED,
+    /** Dispatches that waited until a connection was free again. */
     CONNECTIONS_WAITED_FOR,
     CONNECTIONS_CLOSED_IDLE,
+    /** Idle connections that the backend server closed before the pool did. */
     CONNECTIONS_ENDED_EARLY,
+    /** Connections closed because data arrived on them that no request had asked for. */
     CONNECTIONS_SPOILT,
+    /** Connections established after the connect timeout had passed. */
     CONNECTIONS_LATE,
+    /** Second connections opened because a first one was slow to be established. */
     CONNECTIONS_TRIED_AGAIN,
+    /** Connections opened ahead of demand. */
     SPARES_OPENED,
     SPARES_FAILED,
     DISCOVERY_CALLS,
     DISCOVERY_ANSWERS,
     DISCOVERY_FAILURES,
     DISCOVERY_MALFORMED,
+    /** Discovery's lists of changes that were dropped because they are older than the list held. */
     DISCOVERY_OLDER,
+    /** Discovery calls made anew because an earlier one got no answer. */
     DISCOVERY_REOPENED,
     RELOADS,
     RELOADS_FAILED,
+    /** Exceptions thrown by tasks on the decision thread. */
     MODULE_FAULTS,
     INVARIANTS_BROKEN
 }
--- a/balancer/src/main/java/calicochute/metrics/Counters.java
+++ b/balancer/src/main/java/calicochute/metrics/Counters.java
@@ -3,10 +3,11 @@
 import java.util.Locale;
 import java.util.concurrent.atomic.AtomicLongArray;
 
-/** The program's counters, which any thread may raise and read. */
+/** The process's counters. Thread-safe. */
 public final class Counters {
     private final AtomicLongArray counts = new AtomicLongArray(Counter.values().length);
 
+    /** Increments the counter by one. */
     public void count(Counter counter) {
         counts.incrementAndGet(counter.ordinal());
     }
@@ -15,16 +16,20 @@
         return counts.get(counter.ordinal());
     }
 
-    /** What must hold: asserted where assertions are on, counted and logged where they are off. */
-    public void mustHold(boolean holds, String what) {
+    /**
+     * Counts and logs a broken invariant, and then fails if assertions are enabled.
+     *
+     * @param violation what is wrong if {@code holds} is false
+     */
+    public void checkInvariant(boolean holds, String violation) {
         if (!holds) {
             count(Counter.INVARIANTS_BROKEN);
-            Log.warn("invariant-broken", what);
+            Log.warn("invariant-broken", violation);
         }
-        assert holds : what;
+        assert holds : violation;
     }
 
-    /** One line a counter: its name, a space, its value. */
+    /** One line per counter: its name, a space, its value. */
     public String text() {
         StringBuilder text = new StringBuilder();
         for (Counter counter : Counter.values()) {
--- a/balancer/src/main/java/calicochute/metrics/Log.java
+++ b/balancer/src/main/java/calicochute/metrics/Log.java
@@ -5,39 +5,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The log on standard output: time, level, the event's name, details. The on-call page lists the events. Lines are
- * written by SLF4J's backend, as {@code simplelogger.properties} says.
+ * The log on standard output. A line has the time, the level, the event's name and details; SLF4J's backend writes it
+ * as {@code simplelogger.properties} says. The lines of one event are limited by {@link LogRateLimiter}.
  */
 public final class Log {
     private static final Logger LOGGER = LoggerFactory.getLogger("calicochute");
-    private static final FloodGuard GUARD = new FloodGuard();
+    private static final LogRateLimiter LIMITER = new LogRateLimiter();
 
     private Log() {}
 
     public static void info(String event, String details) {
-        long leftOut = take(event);
-        if (leftOut != FloodGuard.LEAVE_OUT) {
-            LOGGER.info(line(event, details, leftOut));
+        long suppressed = acquire(event);
+        if (suppressed != LogRateLimiter.SUPPRESSED) {
+            LOGGER.info(line(event, details, suppressed));
         }
     }
 
     public static void warn(String event, String details) {
-        long leftOut = take(event);
-        if (leftOut != FloodGuard.LEAVE_OUT) {
-            LOGGER.warn(line(event, details, leftOut));
+        long suppressed = acquire(event);
+        if (suppressed != LogRateLimiter.SUPPRESSED) {
+            LOGGER.warn(line(event, details, suppressed));
         }
     }
 
-    private static long take(String event) {
+    private static long acquire(String event) {
         long nowMicros = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
-        synchronized (GUARD) {
-            return GUARD.take(event, nowMicros);
+        synchronized (LIMITER) {
+            return LIMITER.acquire(event, nowMicros);
         }
     }
 
-    /** Details may hold what clients sent: a line break in them would begin a line that is no event. */
-    private static String line(String event, String details, long leftOut) {
+    /** Removes line breaks from the details, which may hold client input: a client could forge log lines with them. */
+    private static String line(String event, String details, long suppressed) {
         String line = event + " " + details.replace('\n', ' ');
-        return leftOut == 0 ? line : line + " (" + leftOut + " more of these before)";
+        return suppressed == 0 ? line : line + " (" + suppressed + " more of these before)";
     }
 }
--- /dev/null
+++ b/balancer/src/main/java/calicochute/metrics/package-info.java
@@ -0,0 +1,2 @@
+/** The process's counters, the statistics that operators read, and the log. */
+package calicochute.metrics;
--- a/balancer/src/main/java/calicochute/node/Heritage.java
+++ b/balancer/src/main/java/calicochute/node/Heritage.java
@@ -54,14 +54,14 @@
     /** Takes over what the process before this one has learnt, if it is fresh. */
     private void recall() {
         try {
-            LearntFile.Note note = learnt.read(origin.get(), System.currentTimeMillis());
-            if (note != null) {
-                long age = (System.currentTimeMillis() - note.atMs()) * 1000;
+            LearntFile.Snapshot snapshot = learnt.read(origin.get(), System.currentTimeMillis());
+            if (snapshot != null) {
+                long age = (System.currentTimeMillis() - snapshot.atMs()) * 1000;
                 Log.info(
                         "recalled",
                         "age_ms=" + age / 1000 + " servers="
-                                + note.learnt().servers().size());
-                queue.post(() -> Handover.restore(balancer, note.learnt(), queue.now(), age));
+                                + snapshot.learnt().servers().size());
+                queue.post(() -> Handover.restore(balancer, snapshot.learnt(), queue.now(), age));
             }
         } catch (IOException e) {
             Log.warn("learnt-not-read", String.valueOf(e.getMessage()));
@@ -74,7 +74,7 @@
         }
         LearntState now = Handover.export(balancer);
         Origin by = origin.get();
-        counters.mustHold(now.sane(), "what the module has learnt is no number");
+        counters.checkInvariant(now.sane(), "what the module has learnt is no number");
         files.accept(() -> {
             try {
                 learnt.write(by, now, System.currentTimeMillis());
--- a/balancer/src/main/java/calicochute/node/Membership.java
+++ b/balancer/src/main/java/calicochute/node/Membership.java
@@ -2,6 +2,9 @@
 
 import calicochute.admin.Operations.Result;
 import calicochute.backend.BackendServers;
+import calicochute.cordon.CordonFile;
+import calicochute.cordon.CordonOverlay;
+import calicochute.cordon.Cordons;
 import calicochute.decision.Balancer.Backend;
 import calicochute.decision.Balancer.BackendList;
 import calicochute.decision.Balancer.BackendState;
@@ -10,11 +13,8 @@
 import calicochute.discovery.ServerList;
 import calicochute.exchange.DecisionQueue;
 import calicochute.fleet.FleetPart;
-import calicochute.metrics.Figures;
 import calicochute.metrics.Log;
-import calicochute.outage.OutageFile;
-import calicochute.outage.Outages;
-import calicochute.outage.Overlay;
+import calicochute.metrics.OperatorStats;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.Executors;
@@ -33,15 +33,15 @@
     private static final long LOOK_MS = 100;
 
     private final BackendServers backend;
-    private final Figures figures;
+    private final OperatorStats stats;
     private final DecisionQueue queue;
     private final Consumer<BackendList> module;
-    private final OutageFile file;
-    private final Overlay overlay = new Overlay();
+    private final CordonFile file;
+    private final CordonOverlay overlay = new CordonOverlay();
     private final ScheduledExecutorService files =
             Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("outage-file", true));
     private FleetPart fleet = FleetPart.OFF;
-    private Outages seen = Outages.NONE;
+    private Cordons seen = Cordons.NONE;
     /**
      * The module takes itself to be subscribed: it may be told of changes. Otherwise changes would make it think so.
      */
@@ -51,12 +51,12 @@
 
     Membership(
             BackendServers backend,
-            Figures figures,
+            OperatorStats stats,
             DecisionQueue queue,
-            OutageFile file,
+            CordonFile file,
             Consumer<BackendList> module) {
         this.backend = backend;
-        this.figures = figures;
+        this.stats = stats;
         this.queue = queue;
         this.file = file;
         this.module = module;
@@ -95,7 +95,7 @@
 
     private void list(ListKind kind, ServerList list) {
         list.addresses().forEach(backend::address);
-        List<Backend> entries = overlay.told(kind != ListKind.CHANGES, list.entries());
+        List<Backend> entries = overlay.applyDiscovery(kind != ListKind.CHANGES, list.entries());
         tell(kind, entries);
         if (kind != ListKind.CHANGES) {
             backend.keepOnly(list.addresses().keySet());
@@ -113,7 +113,7 @@
         });
         fleet.listed(kind, entries);
         module.accept(new BackendList(kind, entries));
-        figures.members(overlay.members(), overlay.unwanted());
+        stats.setMembers(overlay.listedCount(), overlay.unavailableCount());
     }
 
     // ---- The operators' word
@@ -126,7 +126,7 @@
 
     private void look() {
         try {
-            Outages now = file.read();
+            Cordons now = file.read();
             if (!now.equals(seen)) {
                 seen = now;
                 queue.post(() -> take(now));
@@ -142,7 +142,7 @@
     }
 
     /** {@code done} hears of it once the file says so and the module has been told. */
-    void change(String server, UnaryOperator<Outages> how, Consumer<Result> done) {
+    void change(String server, UnaryOperator<Cordons> how, Consumer<Result> done) {
         queue.post(() -> {
             if (overlay.everListed(server)) {
                 files.execute(() -> write(how, done));
@@ -152,9 +152,9 @@
         });
     }
 
-    private void write(UnaryOperator<Outages> how, Consumer<Result> done) {
+    private void write(UnaryOperator<Cordons> how, Consumer<Result> done) {
         try {
-            Outages now = file.change(how);
+            Cordons now = file.update(how);
             seen = now;
             queue.post(() -> {
                 take(now);
@@ -166,11 +166,11 @@
         }
     }
 
-    private void take(Outages now) {
-        List<Backend> changed = overlay.taken(now);
+    private void take(Cordons now) {
+        List<Backend> changed = overlay.applyCordons(now);
         if (!changed.isEmpty()) {
-            Log.info("outages", "out=" + now.since().keySet());
-            tell(subscribed ? ListKind.CHANGES : ListKind.RESTORED, subscribed ? changed : overlay.all());
+            Log.info("outages", "out=" + now.sinceMs().keySet());
+            tell(subscribed ? ListKind.CHANGES : ListKind.RESTORED, subscribed ? changed : overlay.effectiveBackends());
         }
     }
 }
--- a/balancer/src/main/java/calicochute/node/ModuleActions.java
+++ b/balancer/src/main/java/calicochute/node/ModuleActions.java
@@ -42,7 +42,7 @@
     public void send(long request, String server, long timeout) {
         Exchange exchange = open.get(request);
         if (exchange == null) {
-            counters.mustHold(false, "a dispatch for a session that is over");
+            counters.checkInvariant(false, "a dispatch for a session that is over");
             return;
         }
         long now = queue.now();
@@ -52,7 +52,7 @@
                 && timeout > 0
                 && now < notAfter
                 && exchange.dispatchCount() < exchange.limits.maxAttempts();
-        counters.mustHold(exchange.limits.secondCopies() || !exchange.anyPending(), "a second copy of a session");
+        counters.checkInvariant(exchange.limits.secondCopies() || !exchange.anyPending(), "a second copy of a session");
         Dispatch dispatch = exchange.addDispatch(server, now, notAfter);
         if (legal) {
             backend.send(
@@ -104,12 +104,12 @@
 
     @Override
     public void fetchList() {
-        counters.mustHold(false, "whole lists are not asked for: the watch begins with one where it has to");
+        counters.checkInvariant(false, "whole lists are not asked for: the watch begins with one where it has to");
     }
 
     @Override
     public void probe(String server) {
-        counters.mustHold(false, "load is neither asked for nor read");
+        counters.checkInvariant(false, "load is neither asked for nor read");
     }
 
     @Override
@@ -119,7 +119,7 @@
 
     @Override
     public void sendToPeer(int peer, byte[] bytes) {
-        counters.mustHold(false, "messages to peers are not carried");
+        counters.checkInvariant(false, "messages to peers are not carried");
     }
 
     @Override
--- a/balancer/src/main/java/calicochute/node/Node.java
+++ b/balancer/src/main/java/calicochute/node/Node.java
@@ -4,6 +4,7 @@
 import calicochute.backend.BackendServers;
 import calicochute.backend.DispatchListener;
 import calicochute.connection.Connector;
+import calicochute.cordon.CordonFile;
 import calicochute.decision.Balancer;
 import calicochute.decision.Balancer.Outcome;
 import calicochute.decision.Balancer.Settings;
@@ -17,18 +18,18 @@
 import calicochute.exchange.SessionListener;
 import calicochute.fleet.FleetPart;
 import calicochute.frontend.Frontend;
+import calicochute.lifecycle.Lifecycle;
 import calicochute.metrics.Counter;
 import calicochute.metrics.Counters;
-import calicochute.metrics.Figures;
 import calicochute.metrics.Log;
-import calicochute.outage.OutageFile;
-import calicochute.presence.Presence;
+import calicochute.metrics.OperatorStats;
+import calicochute.metrics.OperatorStats.SessionEnd;
 import calicochute.settings.Configuration;
 import calicochute.settings.SettingsException;
 import calicochute.settings.Succession;
 import calicochute.takeover.LearntFile;
-import calicochute.takeover.Lives;
 import calicochute.takeover.Origin;
+import calicochute.takeover.ProcessLock;
 import calicochute.takeover.SharedFolder;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -62,11 +63,11 @@
     private final Membership membership;
     private final Frontend frontend;
     private final AdminServer admin;
-    private final Lives lives;
+    private final ProcessLock processLock;
     private final Heritage heritage;
     private final Staff staff;
     private final FleetPart fleet;
-    private final Figures figures = new Figures();
+    private final OperatorStats stats = new OperatorStats();
     private final Balancer balancer;
     private final Balancer.Actions actions;
     private final Map<Long, Exchange> open = new HashMap<>();
@@ -101,22 +102,22 @@
                 configuration.connectionIdle(),
                 configuration.bounds(),
                 this);
-        membership = new Membership(backend, figures, queue, new OutageFile(shared, settings.tier()), this::tell);
+        membership = new Membership(backend, stats, queue, new CordonFile(shared, settings.tier()), this::tell);
         discovery = new Discovery(connector, queue, counters, configuration.discovery(), membership, settings);
         fleet = FleetStart.of(configuration, queue, () -> succession, this::tell);
         actions = new ModuleActions(this, open, backend, discovery, queue, counters);
         membership.also(fleet);
-        staff = new Staff(queue, membership, figures, fleet);
+        staff = new Staff(queue, membership, stats, fleet);
         frontend = new Frontend(
-                configuration, inherited, queue, this, counters, membership::any, staff::presence, () -> succession);
+                configuration, inherited, queue, this, counters, membership::any, staff::lifecycle, () -> succession);
         staff.endsIdle(frontend::closeIdle);
-        deadlines =
-                new DeadlineGuards(queue, () -> staff.presence().answersBy(succession::longestDeadline), this::overdue);
+        deadlines = new DeadlineGuards(
+                queue, () -> staff.lifecycle().responseDeadline(succession::longestDeadline), this::overdue);
         connector.onDescriptorShortage(frontend::handleDescriptorShortage);
         admin = configuration.admin() == null
                 ? null
                 : new AdminServer(staff, counters, frontend::handleDescriptorShortage);
-        lives = new Lives(shared);
+        processLock = new ProcessLock(shared);
         // Where processes follow each other on one socket.
         heritage = inherited == null || shared == null
                 ? null
@@ -127,8 +128,8 @@
                         queue,
                         counters,
                         membership::files,
-                        () -> staff.presence().state() != Presence.State.ENDING);
-        settings.classes().forEach(c -> figures.listClass(c.name()));
+                        () -> staff.lifecycle().state() != Lifecycle.State.STOPPING);
+        settings.classes().forEach(c -> stats.addClass(c.name()));
     }
 
     /** Serves from now on; returns the address it listens at. */
@@ -159,11 +160,11 @@
         Succession next = succession.next(changed.settings(), queue.now());
         queue.post(() -> {
             succession = next;
-            next.classes().forEach(c -> figures.listClass(c.name()));
+            next.classes().forEach(c -> stats.addClass(c.name()));
             backend.retune(changed.settings().limits().connectTimeout(), changed.connectionIdle());
             tell(new Balancer.SettingsChanged(next.forModule()));
             counters.count(Counter.RELOADS);
-            figures.reloaded(true);
+            stats.reloadEnded(true);
             Log.info(
                     "reloaded",
                     "discovery=" + changed.discovery() + " classes="
@@ -172,7 +173,7 @@
                                     .toList());
             discovery.move(changed.discovery());
             discovery.retune(changed.settings());
-            if (staff.presence().state() == Presence.State.ENDING) {
+            if (staff.lifecycle().state() == Lifecycle.State.STOPPING) {
                 // The platform ends this process by the deadlines it has just told.
                 endBy();
             }
@@ -185,7 +186,7 @@
     /** A file was turned down; nothing changed. */
     public void reloadFailed(String why) {
         counters.count(Counter.RELOADS_FAILED);
-        figures.reloaded(false);
+        stats.reloadEnded(false);
         Log.warn("reload-failed", why);
     }
 
@@ -214,11 +215,11 @@
 
     private void take(Exchange exchange) {
         counters.count(Counter.SESSIONS_TAKEN);
-        figures.taken();
+        stats.sessionStarted();
         if (!exchange.awaitsResponse()) {
             // Gone before this thread came to it: nothing is begun for it.
             counters.count(Counter.SESSIONS_CLIENT_GONE);
-            ended(exchange, Figures.End.GONE);
+            ended(exchange, SessionEnd.GONE);
             exchange.abandon();
             return;
         }
@@ -231,7 +232,7 @@
             // Guards against a second copy: the first session of this name is still being worked on.
             counters.count(Counter.SESSIONS_BAD_INPUT);
             exchange.respond(new Response.Duplicate());
-            ended(exchange, Figures.End.FAILED);
+            ended(exchange, SessionEnd.FAILED);
             return;
         }
         open.put(exchange.id, exchange);
@@ -294,7 +295,7 @@
                                 && !exchange.latestDispatch().pending()
                                 && !exchange.latestDispatch().succeeded());
         counters.count(whole ? Counter.SESSIONS_SERVED : cut ? Counter.SESSIONS_FAILED : Counter.SESSIONS_CLIENT_GONE);
-        ended(exchange, whole ? Figures.End.COMPLETED : cut ? Figures.End.FAILED : Figures.End.GONE);
+        ended(exchange, whole ? SessionEnd.COMPLETED : cut ? SessionEnd.FAILED : SessionEnd.GONE);
         fleet.answered(exchange, whole, cut);
         if (!whole && exchange.limits.cancel()) {
             exchange.pendingDispatches().forEach(backend::cancel);
@@ -306,7 +307,7 @@
         over(exchange, false);
         if (!exchange.closed()) {
             counters.count(Counter.SESSIONS_CLIENT_GONE);
-            ended(exchange, Figures.End.GONE);
+            ended(exchange, SessionEnd.GONE);
             fleet.answered(exchange, false, false);
             exchange.abandon();
             sessionOver(exchange);
@@ -350,16 +351,16 @@
             ended(
                     exchange,
                     answer instanceof Response.Served
-                            ? Figures.End.COMPLETED
-                            : answer instanceof Response.Denied ? Figures.End.REJECTED : Figures.End.FAILED);
+                            ? SessionEnd.COMPLETED
+                            : answer instanceof Response.Denied ? SessionEnd.REJECTED : SessionEnd.FAILED);
             fleet.answered(exchange, answer instanceof Response.Served, !(answer instanceof Response.Served));
             deadlines.drop(exchange);
             retire(exchange);
         }
     }
 
-    private void ended(Exchange exchange, Figures.End how) {
-        figures.ended(succession.classes().get(exchange.classIndex).name(), how);
+    private void ended(Exchange exchange, SessionEnd how) {
+        stats.sessionEnded(succession.classes().get(exchange.classIndex).name(), how);
     }
 
     /** Forgets a session that is closed and has no dispatch out. */
@@ -381,7 +382,7 @@
     public void dispatchEnded(Dispatch dispatch, Outcome outcome, Response answer) {
         Exchange exchange = dispatch.exchange;
         boolean first = dispatch.end(outcome);
-        counters.mustHold(first, "a dispatch ended twice");
+        counters.checkInvariant(first, "a dispatch ended twice");
         if (!exchange.awaitsResponse() && !exchange.streamingResponse()) {
             // The module must not try again for a client that has gone, even if this thread has not come to that yet.
             gone(exchange);
@@ -425,7 +426,7 @@
 
     @Override
     public void dispatchWritten() {
-        figures.dispatchWritten();
+        stats.dispatchWritten();
     }
 
     void tell(Balancer.Event event) {
@@ -467,22 +468,23 @@
             cut.cancel();
         }
         cut = queue.schedule(
-                Math.max(0, staff.presence().answersBy(succession::longestDeadline) - queue.now()), this::cutAnswers);
+                Math.max(0, staff.lifecycle().responseDeadline(succession::longestDeadline) - queue.now()),
+                this::cutAnswers);
     }
 
     /** Accepts a little longer, unless another process does; answers everything taken, and returns. */
     public void drain() throws InterruptedException {
         CountDownLatch begun = new CountDownLatch(1);
         queue.post(() -> {
-            staff.end(lives.other());
+            staff.end(processLock.otherProcessAlive());
             endBy();
             begun.countDown();
         });
         begun.await();
         Log.info(
                 "draining",
-                "unanswered=" + unanswered + " accompanied=" + staff.presence().accompanied());
-        while (staff.presence().accepts(queue.now())) {
+                "unanswered=" + unanswered + " accompanied=" + staff.lifecycle().otherProcessServing());
+        while (staff.lifecycle().acceptsConnections(queue.now())) {
             Thread.sleep(10);
         }
         frontend.stopAccepting();
--- a/balancer/src/main/java/calicochute/node/Staff.java
+++ b/balancer/src/main/java/calicochute/node/Staff.java
@@ -3,8 +3,8 @@
 import calicochute.admin.Operations;
 import calicochute.exchange.DecisionQueue;
 import calicochute.fleet.FleetPart;
-import calicochute.metrics.Figures;
-import calicochute.presence.Presence;
+import calicochute.lifecycle.Lifecycle;
+import calicochute.metrics.OperatorStats;
 import java.util.function.Consumer;
 
 /** What operators ask of a balancer, and whether its clients are wanted. */
@@ -14,16 +14,16 @@
 
     private final DecisionQueue queue;
     private final Membership membership;
-    private final Figures figures;
+    private final OperatorStats stats;
     private final FleetPart fleet;
     private Runnable endIdle = () -> {};
-    private volatile Presence presence = Presence.serving();
+    private volatile Lifecycle lifecycle = Lifecycle.serving();
     private volatile boolean listening;
 
-    Staff(DecisionQueue queue, Membership membership, Figures figures, FleetPart fleet) {
+    Staff(DecisionQueue queue, Membership membership, OperatorStats stats, FleetPart fleet) {
         this.queue = queue;
         this.membership = membership;
-        this.figures = figures;
+        this.stats = stats;
         this.fleet = fleet;
     }
 
@@ -37,13 +37,13 @@
         listening = true;
     }
 
-    Presence presence() {
-        return presence;
+    Lifecycle lifecycle() {
+        return lifecycle;
     }
 
     /** The end has come; on the decision thread. */
     void end(boolean accompanied) {
-        presence = presence.end(queue.now(), accompanied);
+        lifecycle = lifecycle.stop(queue.now(), accompanied);
         endIdle();
     }
 
@@ -58,29 +58,29 @@
     }
 
     @Override
-    public boolean serves() {
+    public boolean ready() {
         return listening && membership.any();
     }
 
     @Override
-    public String figures() {
-        return figures.text();
+    public String stats() {
+        return stats.text();
     }
 
     @Override
-    public void takeOut(String server, Consumer<Result> done) {
+    public void cordon(String server, Consumer<Result> done) {
         membership.change(server, o -> o.with(server, System.currentTimeMillis()), done);
     }
 
     @Override
-    public void callBack(String server, Consumer<Result> done) {
+    public void uncordon(String server, Consumer<Result> done) {
         membership.change(server, o -> o.without(server), done);
     }
 
     @Override
     public void quiesce(Consumer<Result> done) {
         queue.post(() -> {
-            presence = presence.quiesce(queue.now());
+            lifecycle = lifecycle.quiesce(queue.now());
             endIdle();
             done.accept(Result.DONE);
         });
@@ -89,15 +89,15 @@
     @Override
     public void resume(Consumer<Result> done) {
         queue.post(() -> {
-            presence = presence.resume();
+            lifecycle = lifecycle.resume();
             done.accept(Result.DONE);
         });
     }
 
-    /** Ends clients' idle connections for as long as the presence says so. */
+    /** Ends clients' idle connections for as long as the lifecycle says so. */
     private void endIdle() {
-        if (presence.lastAnswers()) {
-            if (presence.endsIdle(queue.now())) {
+        if (lifecycle.closesAfterResponse()) {
+            if (lifecycle.closesIdleConnections(queue.now())) {
                 endIdle.run();
             }
             queue.schedule(LOOK_AGAIN, this::endIdle);
--- a/balancer/src/main/java/calicochute/takeover/InheritedSocket.java
+++ b/balancer/src/main/java/calicochute/takeover/InheritedSocket.java
@@ -7,15 +7,16 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * The clients' listening socket where the platform holds it and every process inherits it. Java gives access to
- * descriptor 0 alone ({@link System#inheritedChannel}); it is never shut down here, since others hold it too.
+ * The clients' listening socket, where the platform holds it open and each process of the balancer inherits it. Java
+ * gives access to an inherited socket on descriptor 0 only ({@link System#inheritedChannel}). Other processes use the
+ * socket too, so it must never be shut down.
  */
 public final class InheritedSocket {
     private static final String VARIABLE = "PROXY_INHERITED_FD";
 
     private InheritedSocket() {}
 
-    /** The socket, or null where the platform holds none. */
+    /** The socket; null if the platform passes none. */
     public static ServerSocketChannel get() throws IOException {
         String descriptor = System.getenv(VARIABLE);
         if (descriptor == null || descriptor.isEmpty()) {
@@ -25,9 +26,9 @@
             throw new InheritedSocketException(
                     VARIABLE + " is '" + descriptor + "', but only descriptor 0 can be inherited");
         }
-        // Java points the standard streams at /dev/null once it hands out the channel: opened anew before, they go on.
-        PrintStream out = again(1, System.out);
-        PrintStream err = again(2, System.err);
+        // System.inheritedChannel redirects the standard streams to /dev/null; streams reopened before it keep working.
+        PrintStream out = reopen(1, System.out);
+        PrintStream err = reopen(2, System.err);
         Channel channel = System.inheritedChannel();
         System.setOut(out);
         System.setErr(err);
@@ -37,12 +38,12 @@
         throw new InheritedSocketException(VARIABLE + " is 0, but descriptor 0 is no listening socket");
     }
 
-    /** Appending, since a file opened anew would be written from its start. */
-    private static PrintStream again(int descriptor, PrintStream otherwise) {
+    /** Opens the descriptor's file again, to append: if it is a file, writing would otherwise begin at its start. */
+    private static PrintStream reopen(int descriptor, PrintStream fallback) {
         try {
             return new PrintStream(new FileOutputStream("/proc/self/fd/" + descriptor, true), true);
         } catch (IOException e) {
-            return otherwise;
+            return fallback;
         }
     }
 }
--- a/balancer/src/main/java/calicochute/takeover/InheritedSocketException.java
+++ b/balancer/src/main/java/calicochute/takeover/InheritedSocketException.java
@@ -3,11 +3,11 @@
 import calicochute.errors.Code;
 import calicochute.errors.CodedIoException;
 
-/** A listening socket was promised and is not there. */
+/** The environment announces an inherited listening socket that can't be used. */
 public final class InheritedSocketException extends CodedIoException {
     private static final long serialVersionUID = 1L;
 
-    InheritedSocketException(String seen) {
-        super(Code.INHERITED_SOCKET, "", seen, null);
+    InheritedSocketException(String problem) {
+        super(Code.INHERITED_SOCKET, "", problem, null);
     }
 }
--- a/balancer/src/main/java/calicochute/takeover/LearntFile.java
+++ b/balancer/src/main/java/calicochute/takeover/LearntFile.java
@@ -9,43 +9,53 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 
-/** What the module of the serving process has learnt, in the folder that the processes share. */
+/** The file in the shared folder by which a process hands the learnt state of its decision module to the next one. */
 public final class LearntFile {
+    /** Version of the file format. */
     private static final int VERSION = 2;
-    /** Older knowledge is worth no more than none. */
-    private static final long OLDEST_MS = 10_000;
+    /** Age at which the learnt state is discarded: estimates that old are worth no more than none. */
+    private static final long MAX_AGE_MS = 10_000;
 
     private final Gson gson = new Gson();
     private final Path file;
 
-    /** {@code learnt} as it was at that Unix time in milliseconds, and by whom. */
-    public record Note(int version, long atMs, Origin origin, LearntState learnt) {}
+    /**
+     * The file's content; Gson writes the components under their names.
+     *
+     * @param version of the file format
+     * @param atMs when it was written (Unix milliseconds)
+     * @param origin of the learnt state
+     */
+    public record Snapshot(int version, long atMs, Origin origin, LearntState learnt) {}
 
     public LearntFile(SharedFolder shared) {
         file = shared.file(".learnt");
     }
 
     public void write(Origin origin, LearntState learnt, long nowMs) throws IOException {
-        SharedFolder.replace(file, gson.toJson(new Note(VERSION, nowMs, origin, learnt)));
+        SharedFolder.replace(file, gson.toJson(new Snapshot(VERSION, nowMs, origin, learnt)));
     }
 
-    /** What was noted last; null if that is nothing, too old, torn, or of another origin than the reader's. */
-    public Note read(Origin reader, long nowMs) throws IOException {
+    /**
+     * The file's content; null if the file is missing, malformed or too old, holds values that can't have been learnt,
+     * or has another origin than the reader.
+     */
+    public Snapshot read(Origin reader, long nowMs) throws IOException {
         try {
-            Note note = gson.fromJson(Files.readString(file), Note.class);
-            if (note == null
-                    || note.version != VERSION
-                    || nowMs - note.atMs > OLDEST_MS
-                    || nowMs < note.atMs
-                    || note.learnt == null
-                    || !note.learnt.sane()) {
+            Snapshot snapshot = gson.fromJson(Files.readString(file), Snapshot.class);
+            if (snapshot == null
+                    || snapshot.version != VERSION
+                    || nowMs - snapshot.atMs > MAX_AGE_MS
+                    || nowMs < snapshot.atMs
+                    || snapshot.learnt == null
+                    || !snapshot.learnt.sane()) {
                 return null;
             }
-            if (!reader.equals(note.origin)) {
-                Log.warn("learnt-foreign", "learnt by " + note.origin + ", not taken by " + reader);
+            if (!reader.equals(snapshot.origin)) {
+                Log.warn("learnt-foreign", "learnt by " + snapshot.origin + ", not used by " + reader);
                 return null;
             }
-            return note;
+            return snapshot;
         } catch (NoSuchFileException | JsonParseException e) {
             return null;
         }
--- a/balancer/src/main/java/calicochute/takeover/Origin.java
+++ b/balancer/src/main/java/calicochute/takeover/Origin.java
@@ -6,11 +6,12 @@
 import java.util.TreeSet;
 
 /**
- * Whose knowledge it is: the balancer, and what its settings say of that which the knowledge is about. Where any of it
- * differs it was learnt of other work, under another deployment's settings, even if names are alike. Aims, deadlines,
- * limits and shares may change: they don't tell owners apart.
+ * Identifies what a learnt state is about: the balancer, and the parts of its settings that the estimates depend on. If
+ * any of them differs, the state was learnt for another workload or deployment, even if names are alike, and must not
+ * be used. Objectives, deadlines, limits and tenants' shares may change between two processes and are left out.
  *
- * @param classes what repeats of each do, by name
+ * @param classes by class name, the effect and the key scope of its requests
+ * @param tenants the tenants' names
  */
 public record Origin(String balancer, int tier, Map<String, String> classes, TreeSet<String> tenants) {
     public static Origin of(String balancer, Settings settings) {
--- a/balancer/src/main/java/calicochute/wire/Host.java
+++ b/balancer/src/main/java/calicochute/wire/WireHost.java
@@ -20,7 +20,7 @@
 import java.util.function.Function;
 
 /** Hosts many instances on the wire: translates batches to events and actions to replies, and decides nothing. */
-public final class Host {
+public final class WireHost {
     private static final Outcome[] OUTCOMES = Outcome.values();
     private static final int DIRECTORIES = 16;
     private final LineReader line;
@@ -32,7 +32,7 @@
 
     private record Instance(Balancer balancer, Map<String, Integer> classes, Map<String, Integer> tenants) {}
 
-    public Host(InputStream in, OutputStream out, Function<Settings, Balancer> factory) {
+    public WireHost(InputStream in, OutputStream out, Function<Settings, Balancer> factory) {
         line = new LineReader(in);
         reply = new ReplyWriter(out);
         this.factory = factory;
--- a/balancer/src/test/java/calicochute/cli/StartupTest.java
+++ b/balancer/src/test/java/calicochute/cli/StartupStateTest.java
@@ -2,18 +2,18 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import calicochute.cli.Startup.Step;
+import calicochute.cli.StartupState.Step;
 import java.util.List;
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-class StartupTest {
-    private static final UnaryOperator<Startup> STARTED = Startup::started;
-    private static final UnaryOperator<Startup> FAILED = Startup::failed;
-    private static final UnaryOperator<Startup> STOP = Startup::stop;
+class StartupStateTest {
+    private static final UnaryOperator<StartupState> STARTED = StartupState::started;
+    private static final UnaryOperator<StartupState> FAILED = StartupState::failed;
+    private static final UnaryOperator<StartupState> STOP = StartupState::stop;
 
-    private static List<Step> steps(List<UnaryOperator<Startup>> events) {
-        Startup[] now = {Startup.begun()};
+    private static List<Step> steps(List<UnaryOperator<StartupState>> events) {
+        StartupState[] now = {StartupState.begun()};
         return events.stream()
                 .map(event -> {
                     now[0] = event.apply(now[0]);
--- a/balancer/src/test/java/calicochute/frontend/IdleCloseTest.java
+++ b/balancer/src/test/java/calicochute/frontend/IdleCloseTest.java
@@ -7,10 +7,10 @@
 import calicochute.exchange.DecisionQueue;
 import calicochute.exchange.Exchange;
 import calicochute.exchange.SessionListener;
+import calicochute.lifecycle.Lifecycle;
 import calicochute.listening.ConnectionAcceptor;
 import calicochute.metrics.Counter;
 import calicochute.metrics.Counters;
-import calicochute.presence.Presence;
 import calicochute.settings.Bounds;
 import calicochute.settings.Configuration;
 import java.io.IOException;
@@ -80,7 +80,7 @@
                 NO_SESSIONS,
                 counters,
                 () -> true,
-                Presence::serving,
+                Lifecycle::serving,
                 () -> null);
     }
 
--- a/balancer/src/test/java/calicochute/metrics/LogTest.java
+++ b/balancer/src/test/java/calicochute/metrics/LogTest.java
@@ -13,29 +13,34 @@
 import org.junit.Test;
 import org.slf4j.LoggerFactory;
 
-/** The lines as they come out of the backend. */
+/** The lines that the SLF4J backend writes to standard output. */
 public class LogTest {
+    /** Regular expression of a line's time stamp. */
     private static final String TIME = "\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d\\.\\d{3}(Z|[+-]\\d\\d:\\d\\d) ";
-    private final ByteArrayOutputStream written = new ByteArrayOutputStream();
-    private final PrintStream before = System.out;
 
-    /** As a takeover does ({@code InheritedSocket}): the log follows standard output to its new stream. */
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream();
+    private final PrintStream originalOut = System.out;
+
+    /**
+     * Replaces standard output after the logger exists, as {@code InheritedSocket} does: the log must follow it to the
+     * new stream.
+     */
     @Before
-    public void listen() {
-        System.setOut(new PrintStream(written, true, StandardCharsets.UTF_8));
+    public void captureOutput() {
+        System.setOut(new PrintStream(output, true, StandardCharsets.UTF_8));
     }
 
     @After
-    public void giveBack() {
-        System.setOut(before);
+    public void restoreOutput() {
+        System.setOut(originalOut);
     }
 
     private List<String> lines() {
-        return written.toString(StandardCharsets.UTF_8).lines().collect(Collectors.toList());
+        return output.toString(StandardCharsets.UTF_8).lines().collect(Collectors.toList());
     }
 
     @Test
-    public void aLineIsTimeLevelEventDetails() {
+    public void lineHasTimeLevelEventAndDetails() {
         Log.warn("discovery-failed", "status 400");
         Log.info("list", "generation=1\nentries={}");
         List<String> lines = lines();
@@ -45,8 +50,8 @@
     }
 
     @Test
-    public void aFloodIsCutShort() {
-        // At most two of the clock's seconds are touched; whichever they are, far fewer than 500 lines may come out.
+    public void floodOfLinesIsLimited() {
+        // The loop touches at most two seconds of the clock, so far fewer than 500 lines may be written.
         for (int i = 0; i < 500; i++) {
             Log.warn("bad-input", "flood");
         }
@@ -55,8 +60,8 @@
     }
 
     @Test
-    public void librariesHaveTheirWarningsWrittenAndNothingBelow() {
-        LoggerFactory.getLogger("org.example.library").info("not for staff");
+    public void librariesLogWarningsButNotInfo() {
+        LoggerFactory.getLogger("org.example.library").info("not written");
         LoggerFactory.getLogger("org.example.library").warn("a warning");
         assertEquals(lines().toString(), 1, lines().size());
         assertTrue(lines().get(0), lines().get(0).matches(TIME + "WARN a warning"));
--- a/balancer/src/test/java/calicochute/process/ServeTest.java
+++ b/balancer/src/test/java/calicochute/process/ServeTest.java
@@ -19,7 +19,7 @@
 
 /** The program as its client, its backend servers and discovery meet it. */
 public class ServeTest extends OneServer {
-    /** So long after SIGTERM requests are still taken in ({@code Presence}). */
+    /** So long after SIGTERM requests are still taken in ({@code Lifecycle}). */
     private static final long TAKEN_IN_NANOS = 550_000_000;
 
     private Http send(String lane) throws Exception {
--- a/balancer/src/test/java/calicochute/takeover/LearntFileTest.java
+++ b/balancer/src/test/java/calicochute/takeover/LearntFileTest.java
@@ -14,8 +14,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** A learnt state is used only by the deployment that it was learnt in, and only if it is whole and fresh. */
 class LearntFileTest {
-    private static final long NOW = 1_000_000;
+    private static final long NOW_MS = 1_000_000;
     private static final LearntState LEARNT = new LearntState(
             Map.of("s1", new LearntState.ServerEstimate(0.5, true, 0)),
             Map.of("view", new LearntState.ClassEstimate(9, 5, 3, 7, 1)),
@@ -29,8 +30,8 @@
     @TempDir
     private Path folder;
 
-    /** The settings of a small deployment, with some entries put in place of its own. */
-    private static Origin origin(String balancer, String... changed) throws SettingsException {
+    /** The origin of a small deployment, some of whose settings are replaced by {@code key=value} entries. */
+    private static Origin origin(String balancer, String... replacements) throws SettingsException {
         Map<String, String> values = new HashMap<>(Map.of(
                 "nonce64",
                 "1",
@@ -49,15 +50,15 @@
                 "classes.1.key_scope",
                 "all"));
         values.putAll(Map.of("accounts.count", "2", "accounts.0.name", "east", "accounts.1.name", "west"));
-        for (String one : changed) {
-            values.put(one.substring(0, one.indexOf('=')), one.substring(one.indexOf('=') + 1));
+        for (String entry : replacements) {
+            values.put(entry.substring(0, entry.indexOf('=')), entry.substring(entry.indexOf('=') + 1));
         }
         return Origin.of(balancer, SettingsParser.parse(values));
     }
 
-    private LearntState taken(Origin reader) throws IOException {
-        LearntFile.Note note = file().read(reader, NOW + 100);
-        return note == null ? null : note.learnt();
+    private LearntState read(Origin reader) throws IOException {
+        LearntFile.Snapshot snapshot = file().read(reader, NOW_MS + 100);
+        return snapshot == null ? null : snapshot.learnt();
     }
 
     private LearntFile file() {
@@ -65,10 +66,10 @@
     }
 
     @Test
-    void whatAnotherDeploymentLearntIsNotTaken() throws Exception {
-        file().write(origin("n0"), LEARNT, NOW);
-        assertEquals(LEARNT, taken(origin("n0")));
-        String[] others = {
+    void stateOfAnotherDeploymentIsNotUsed() throws Exception {
+        file().write(origin("n0"), LEARNT, NOW_MS);
+        assertEquals(LEARNT, read(origin("n0")));
+        String[] differences = {
             "layer=0",
             "classes.0.name=read",
             "classes.0.effect=once",
@@ -78,19 +79,19 @@
             "accounts.0.name=north",
             "accounts.count=1"
         };
-        for (String other : others) {
-            assertNull(taken(origin("n0", other)), other);
+        for (String difference : differences) {
+            assertNull(read(origin("n0", difference)), difference);
         }
-        assertNull(taken(origin("n1")));
+        assertNull(read(origin("n1")));
     }
 
-    /** The same deployment, its limits and the order of its lists changed. */
+    /** The state stays usable if limits, objectives or the order of the settings' lists change. */
     @Test
-    void newAimsAndAnotherOrderTakeItOver() throws Exception {
-        file().write(origin("n0"), LEARNT, NOW);
+    void stateIsUsedAfterChangesOfLimitsAndOrder() throws Exception {
+        file().write(origin("n0"), LEARNT, NOW_MS);
         assertEquals(
                 LEARNT,
-                taken(origin(
+                read(origin(
                         "n0",
                         "classes.0.deadline=9",
                         "classes.0.objective=3",
@@ -98,7 +99,7 @@
                         "caps.max_attempts=2")));
         assertEquals(
                 LEARNT,
-                taken(origin(
+                read(origin(
                         "n0",
                         "classes.0.name=order",
                         "classes.0.effect=by_key",
@@ -111,17 +112,17 @@
     }
 
     @Test
-    void whatIsTornOrOldOrNamesNoOwnerIsNotTaken() throws Exception {
-        file().write(origin("n0"), LEARNT, NOW);
+    void truncatedOrOldOrOwnerlessStateIsNotUsed() throws Exception {
+        file().write(origin("n0"), LEARNT, NOW_MS);
         Path path = folder.resolve("calicochute-n0.learnt");
-        String whole = Files.readString(path);
-        assertNull(file().read(origin("n0"), NOW + 10_001));
-        assertNull(file().read(origin("n0"), NOW - 1));
-        for (int cut = 0; cut < whole.length(); cut += 7) {
-            Files.writeString(path, whole.substring(0, cut));
-            assertNull(taken(origin("n0")), "cut at " + cut);
+        String text = Files.readString(path);
+        assertNull(file().read(origin("n0"), NOW_MS + 10_001));
+        assertNull(file().read(origin("n0"), NOW_MS - 1));
+        for (int length = 0; length < text.length(); length += 7) {
+            Files.writeString(path, text.substring(0, length));
+            assertNull(read(origin("n0")), "truncated to " + length);
         }
-        Files.writeString(path, whole.replaceFirst("\"origin\":.*\"learnt\"", "\"learnt\""));
-        assertNull(taken(origin("n0")));
+        Files.writeString(path, text.replaceFirst("\"origin\":.*\"learnt\"", "\"learnt\""));
+        assertNull(read(origin("n0")));
     }
 }
--- a/balancer/src/test/java/calicochute/wire/HostTest.java
+++ b/balancer/src/test/java/calicochute/wire/WireHostTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The wire: every event read, every action written, malformed input named. */
-class HostTest {
+class WireHostTest {
     private static final String BORN = "born i=proxy/1 nonce64=5 me=1 balancers=4 layer=1 discovery=on_request"
             + " classes.count=1 classes.0.name=read classes.0.effect=by_key classes.0.key_scope=zone"
             + " classes.0.window=500 classes.0.objective=200 classes.0.deadline=900 classes.0.points=2.5"
@@ -54,7 +54,7 @@
 
     private String talk(String input) throws IOException, WireException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Host(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, s -> {
+        new WireHost(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, s -> {
                     settings = s;
                     return new Recorder();
                 })
@@ -185,7 +185,7 @@
 
     private static String real(String input) throws IOException, WireException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Host(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, Balancer::create).run();
+        new WireHost(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, Balancer::create).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
