--- a/balancer/src/main/java/calicochute/admin/AdminConnection.java
+++ b/balancer/src/main/java/calicochute/admin/AdminConnection.java
@@ -20,42 +20,45 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 import org.apache.hc.core5.util.Timeout;
 
-/** One caller's connection to the second address, for one call. All on that address's I/O thread. */
+/** A connection to the admin address, for one call. Used by that address's I/O thread. */
 final class AdminConnection {
-    private static final Http1Config LIMITS = Http1Config.custom()
+    private static final Http1Config HTTP_CONFIG = Http1Config.custom()
             .setBufferSize(Bounds.BUFFER)
             .setMaxLineLength(Bounds.LINE)
             .setMaxHeaderCount(Bounds.FIELDS)
             .build();
     private static final HttpProcessor PROCESSOR = HttpProcessorBuilder.create().build();
-    /** From the connection's start to the call's last byte, and from there to the end. */
-    private static final long CALL_MS = 2000;
+    /** Time from the start of the connection to the last byte of the call. */
+    private static final long CALL_TIMEOUT_MS = 2000;
+    /** Idle time-out from the last byte of the call on. */
+    private static final long ANSWER_TIMEOUT_MS = 5000;
 
-    private static final long ANSWER_MS = 5000;
     private final AdminServer server;
     private final ProtocolIOSession session;
-    private final long openedAt = System.nanoTime();
-    private volatile boolean whole;
+    private final long openedAtNanos = System.nanoTime();
+    private volatile boolean callComplete;
 
     private AdminConnection(AdminServer server, ProtocolIOSession session) {
         this.server = server;
         this.session = session;
     }
 
-    static ServerHttp1IOEventHandler on(ProtocolIOSession session, AdminServer server, Callback<Exception> onFault) {
+    /** Creates the event handler of a new connection. */
+    static ServerHttp1IOEventHandler handler(
+            ProtocolIOSession session, AdminServer server, Callback<Exception> onException) {
         AdminConnection connection = new AdminConnection(server, session);
-        session.setSocketTimeout(Timeout.ofMilliseconds(CALL_MS));
+        session.setSocketTimeout(Timeout.ofMilliseconds(CALL_TIMEOUT_MS));
         return new ServerHttp1IOEventHandler(new ServerHttp1StreamDuplexerFactory(
                         PROCESSOR,
                         (request, context) ->
-                                new BasicAsyncServerExpectationDecorator(new CallHandler(connection), onFault),
-                        LIMITS,
+                                new BasicAsyncServerExpectationDecorator(new CallHandler(connection), onException),
+                        HTTP_CONFIG,
                         CharCodingConfig.DEFAULT,
                         null,
-                        () -> new CompleteHeadParser<>(new DefaultHttpRequestParserFactory(LIMITS).create()),
+                        () -> new CompleteHeadParser<>(new DefaultHttpRequestParserFactory(HTTP_CONFIG).create()),
                         null,
                         null,
-                        onFault)
+                        onException)
                 .create("http", session)) {
             @Override
             public void connected(IOSession opened) throws IOException {
@@ -66,7 +69,7 @@
             @Override
             public void inputReady(IOSession from, ByteBuffer source) throws IOException {
                 super.inputReady(from, source);
-                connection.bound();
+                connection.enforceCallTimeout();
             }
 
             @Override
@@ -82,30 +85,33 @@
         };
     }
 
-    /** Guards against a caller that sends a byte now and then: HttpCore's own time-out starts anew with each. */
-    private void bound() {
-        if (!whole) {
-            long left = CALL_MS - (System.nanoTime() - openedAt) / 1_000_000;
-            if (left <= 0) {
+    /**
+     * Guards against a caller that sends its call slowly, byte by byte: HttpCore's time-out starts again with each byte
+     * received.
+     */
+    private void enforceCallTimeout() {
+        if (!callComplete) {
+            long remainingMs = CALL_TIMEOUT_MS - (System.nanoTime() - openedAtNanos) / 1_000_000;
+            if (remainingMs <= 0) {
                 close();
             } else {
-                session.setSocketTimeout(Timeout.ofMilliseconds(left));
+                session.setSocketTimeout(Timeout.ofMilliseconds(remainingMs));
             }
         }
     }
 
-    /** The call has come whole: from here on the caller waits for us. */
-    void whole() {
-        whole = true;
-        session.setSocketTimeout(Timeout.ofMilliseconds(ANSWER_MS));
+    /** Marks the call as received; from here on the time-out is that of the answer. */
+    void markCallComplete() {
+        callComplete = true;
+        session.setSocketTimeout(Timeout.ofMilliseconds(ANSWER_TIMEOUT_MS));
     }
 
-    boolean isWhole() {
-        return whole;
+    boolean callComplete() {
+        return callComplete;
     }
 
     void close() {
-        if (!whole) {
+        if (!callComplete) {
             counters().count(Counter.ADMIN_CALLERS_CLOSED);
         }
         session.close(CloseMode.IMMEDIATE);
--- a/balancer/src/main/java/calicochute/admin/AdminServer.java
+++ b/balancer/src/main/java/calicochute/admin/AdminServer.java
@@ -11,35 +11,37 @@
 import java.util.function.BooleanSupplier;
 import org.apache.hc.core5.function.Callback;
 
-/** The second address: operators' calls over HTTP/1.1, on a listener and an I/O thread of their own. */
+/** The HTTP/1.1 server of the admin address, with a listener and an I/O thread of its own. */
 public final class AdminServer {
+    /** Length of the listening socket's queue of connections that wait to be accepted. */
     private static final int BACKLOG = 256;
+
     private final Operations operations;
     private final Counters counters;
-    private final BooleanSupplier lacking;
-    /** Callers' connections, the oldest first. */
+    private final BooleanSupplier descriptorShortage;
+    /** Open connections, the oldest first. */
     private final Set<AdminConnection> connections = new LinkedHashSet<>();
 
-    /** @param lacking asked when nothing could be accepted */
-    public AdminServer(Operations operations, Counters counters, BooleanSupplier lacking) {
-        this.lacking = lacking;
+    /** @param descriptorShortage called when accepting fails, see {@link ConnectionAcceptor#onDescriptorShortage} */
+    public AdminServer(Operations operations, Counters counters, BooleanSupplier descriptorShortage) {
+        this.descriptorShortage = descriptorShortage;
         this.operations = operations;
         this.counters = counters;
     }
 
-    /** Starts to listen and returns the address in use. */
+    /** Starts to listen and returns the bound address. */
     public InetSocketAddress start(InetSocketAddress address) throws IOException {
-        Callback<Exception> onFault = e -> Log.info("admin-connection", String.valueOf(e.getMessage()));
-        ConnectionAcceptor listening = ConnectionAcceptor.bind(
+        Callback<Exception> onException = e -> Log.info("admin-connection", String.valueOf(e.getMessage()));
+        ConnectionAcceptor acceptor = ConnectionAcceptor.bind(
                 address,
                 BACKLOG,
                 Bounds.ADMIN_CONNECTIONS + Bounds.AHEAD,
                 "admin",
-                (session, attachment) -> AdminConnection.on(session, this, onFault),
-                onFault,
+                (session, attachment) -> AdminConnection.handler(session, this, onException),
+                onException,
                 counters);
-        listening.onDescriptorShortage(lacking);
-        return listening.start();
+        acceptor.onDescriptorShortage(descriptorShortage);
+        return acceptor.start();
     }
 
     Operations operations() {
@@ -51,14 +53,14 @@
     }
 
     /**
-     * Guards against callers who sit on connections: one too many costs the one that is oldest without a whole call,
-     * else the newcomer.
+     * Guards against callers that hold connections without using them. Above the maximum, the oldest connection without
+     * a complete call is closed; if all calls are complete, the new connection is.
      */
     synchronized void opened(AdminConnection connection) {
         connections.add(connection);
         if (connections.size() > Bounds.ADMIN_CONNECTIONS) {
             connections.stream()
-                    .filter(c -> !c.isWhole())
+                    .filter(c -> !c.callComplete())
                     .findFirst()
                     .orElse(connection)
                     .close();
--- a/balancer/src/main/java/calicochute/admin/Call.java
+++ b/balancer/src/main/java/calicochute/admin/Call.java
@@ -5,7 +5,7 @@
 import com.google.gson.JsonElement;
 import java.util.Map;
 
-/** One call of an operator, read from a request; without I/O. */
+/** A call of an operator, parsed from a request to the admin address. */
 sealed interface Call {
     record Health() implements Call {}
 
@@ -23,10 +23,16 @@
 
     record Resume() implements Call {}
 
-    /** No call of ours; the status and the words that say so. */
-    record Wrong(int status, String why) implements Call {}
+    /**
+     * A request that is no valid call.
+     *
+     * @param status of the answer
+     * @param reason text of the answer
+     */
+    record Invalid(int status, String reason) implements Call {}
 
     String PREFIX = "/admin/";
+    /** The HTTP method of each call, by the path after {@link #PREFIX}. */
     Map<String, String> METHODS = Map.of(
             "health",
             "GET",
@@ -45,15 +51,15 @@
             "resume",
             "POST");
 
-    static Call read(String method, String target, String body) {
+    static Call parse(String method, String target, String body) {
         String path = target.replaceFirst("\\?.*", "");
         String name = path.startsWith(PREFIX) ? path.substring(PREFIX.length()) : "";
-        String wanted = METHODS.get(name);
-        if (wanted == null) {
-            return new Wrong(404, "no such call: " + path);
+        String expectedMethod = METHODS.get(name);
+        if (expectedMethod == null) {
+            return new Invalid(404, "no such call: " + path);
         }
-        if (!wanted.equals(method)) {
-            return new Wrong(405, name + " goes with " + wanted);
+        if (!expectedMethod.equals(method)) {
+            return new Invalid(405, name + " goes with " + expectedMethod);
         }
         return switch (name) {
             case "health" -> new Health();
@@ -62,11 +68,12 @@
             case "fleet" -> new Fleet();
             case "quiesce" -> new Quiesce();
             case "resume" -> new Resume();
-            default -> host(name, body);
+            default -> hostCall(name, body);
         };
     }
 
-    private static Call host(String name, String body) {
+    /** A cordon or uncordon, which name the server in the body. */
+    private static Call hostCall(String name, String body) {
         try {
             JsonElement host = Document.parse(body).root().get("host");
             if (host != null
@@ -75,8 +82,8 @@
                 return name.equals("cordon") ? new Cordon(host.getAsString()) : new Uncordon(host.getAsString());
             }
         } catch (SettingsException e) {
-            return new Wrong(400, e.getMessage());
+            return new Invalid(400, e.getMessage());
         }
-        return new Wrong(400, "the body is not {\"host\":\"ID\"}");
+        return new Invalid(400, "the body is not {\"host\":\"ID\"}");
     }
 }
--- a/balancer/src/main/java/calicochute/admin/CallHandler.java
+++ b/balancer/src/main/java/calicochute/admin/CallHandler.java
@@ -20,31 +20,33 @@
 import org.apache.hc.core5.http.nio.ResponseChannel;
 import org.apache.hc.core5.http.protocol.HttpContext;
 
-/** One call on a connection of the second address: collects it, has it done, writes what came of it, and ends. */
+/** Receives a call on an admin connection, carries it out and writes the answer. */
 final class CallHandler implements AsyncServerExchangeHandler {
-    private static final int BODY_LIMIT = 4096;
+    private static final int MAX_BODY_BYTES = 4096;
     private final AdminConnection connection;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
     private HttpRequest request;
     private ResponseChannel channel;
     private HttpContext context;
+    /** The part of the answer's body that is still to be written. */
     private volatile ByteBuffer answer = ByteBuffer.allocate(0);
-    private boolean begun;
+    /** Set with the first answer. A call whose body was rejected as too long must not be carried out when it ends. */
+    private boolean answered;
 
     CallHandler(AdminConnection connection) {
         this.connection = connection;
     }
 
     @Override
-    public void handleRequest(HttpRequest head, EntityDetails entity, ResponseChannel out, HttpContext ctx)
+    public void handleRequest(HttpRequest head, EntityDetails entity, ResponseChannel out, HttpContext httpContext)
             throws HttpException, IOException {
         request = head;
         channel = out;
-        context = ctx;
+        context = httpContext;
         if (entity == null) {
-            begin();
-        } else if (entity.getContentLength() > BODY_LIMIT) {
-            respond(413, "body over " + BODY_LIMIT + " bytes");
+            execute();
+        } else if (entity.getContentLength() > MAX_BODY_BYTES) {
+            respond(413, "body over " + MAX_BODY_BYTES + " bytes");
         }
     }
 
@@ -55,8 +57,8 @@
 
     @Override
     public void consume(ByteBuffer data) throws IOException {
-        if (body.size() + data.remaining() > BODY_LIMIT) {
-            throw new IOException("body over " + BODY_LIMIT + " bytes");
+        if (body.size() + data.remaining() > MAX_BODY_BYTES) {
+            throw new IOException("body over " + MAX_BODY_BYTES + " bytes");
         }
         byte[] bytes = new byte[data.remaining()];
         data.get(bytes);
@@ -65,17 +67,17 @@
 
     @Override
     public void streamEnd(List<? extends Header> trailers) {
-        begin();
+        execute();
     }
 
-    private void begin() {
-        if (begun) {
+    private void execute() {
+        if (answered) {
             return;
         }
         Operations operations = connection.operations();
-        Call call = Call.read(request.getMethod(), request.getPath(), body.toString(StandardCharsets.UTF_8));
-        connection.whole();
-        connection.counters().count(call instanceof Call.Wrong ? Counter.ADMIN_CALLS_WRONG : Counter.ADMIN_CALLS);
+        Call call = Call.parse(request.getMethod(), request.getPath(), body.toString(StandardCharsets.UTF_8));
+        connection.markCallComplete();
+        connection.counters().count(call instanceof Call.Invalid ? Counter.ADMIN_CALLS_WRONG : Counter.ADMIN_CALLS);
         if (call instanceof Call.Health) {
             respond(operations.ready() ? 200 : 503, operations.ready() ? "serving" : "not yet");
         } else if (call instanceof Call.Stats) {
@@ -85,20 +87,20 @@
         } else if (call instanceof Call.Fleet) {
             respond(200, operations.fleet());
         } else if (call instanceof Call.Cordon cordon) {
-            operations.cordon(cordon.host(), r -> ended("cordon " + cordon.host(), r));
+            operations.cordon(cordon.host(), result -> finish("cordon " + cordon.host(), result));
         } else if (call instanceof Call.Uncordon uncordon) {
-            operations.uncordon(uncordon.host(), r -> ended("uncordon " + uncordon.host(), r));
+            operations.uncordon(uncordon.host(), result -> finish("uncordon " + uncordon.host(), result));
         } else if (call instanceof Call.Quiesce) {
-            operations.quiesce(r -> ended("quiesce", r));
+            operations.quiesce(result -> finish("quiesce", result));
         } else if (call instanceof Call.Resume) {
-            operations.resume(r -> ended("resume", r));
-        } else if (call instanceof Call.Wrong wrong) {
-            respond(wrong.status(), wrong.why());
+            operations.resume(result -> finish("resume", result));
+        } else if (call instanceof Call.Invalid invalid) {
+            respond(invalid.status(), invalid.reason());
         }
     }
 
-    private void ended(String what, Operations.Result result) {
-        Log.info("admin", what + " " + result);
+    private void finish(String call, Operations.Result result) {
+        Log.info("admin", call + " " + result);
         switch (result) {
             case DONE -> respond(200, "done");
             case NO_SUCH_SERVER -> respond(404, "never listed");
@@ -107,7 +109,7 @@
     }
 
     private void respond(int status, String text) {
-        begun = true;
+        answered = true;
         byte[] bytes = (text.endsWith("\n") ? text : text + "\n").getBytes(StandardCharsets.UTF_8);
         HttpResponse response = new BasicHttpResponse(status);
         response.addHeader("Content-Type", "text/plain; charset=utf-8");
@@ -138,11 +140,11 @@
 
     @Override
     public void failed(Exception cause) {
-        // The caller has gone: what was asked is done all the same.
+        // The caller has disconnected; a call that has begun is carried out nevertheless.
     }
 
     @Override
     public void releaseResources() {
-        // Nothing is held.
+        // No resources are held.
     }
 }
--- a/balancer/src/main/java/calicochute/admin/Operations.java
+++ b/balancer/src/main/java/calicochute/admin/Operations.java
@@ -3,38 +3,38 @@
 import java.util.function.Consumer;
 
 /**
- * What operators can ask of a balancer, whatever carries their calls. Any thread may call and nothing blocks; what
- * can't be known at once is told to {@code done}, from any thread, once.
+ * What operators can ask of a balancer, independent of the transport. Thread-safe and non-blocking. Operations that
+ * take time report their result to {@code done}, once, on any thread.
  */
 public interface Operations {
-    /** How a call ended. */
+    /** The result of an operation; written to the log under the constant's name. */
     enum Result {
         DONE,
         NO_SUCH_SERVER,
         FAILED
     }
 
-    /** True once this process can serve. */
+    /** Whether this process can serve: it listens and has had a backend server on its list. */
     boolean ready();
 
-    /** The figures, one a line. */
+    /** The statistics, one per line. */
     String stats();
 
-    /** The split experiments, one a line. */
+    /** The state of the experiments, one per line. */
     String experiments();
 
-    /** Who of the fleet is there, and what travels, one a line. */
+    /** The state of the balancers' fleet and of the messages between its members, one item per line. */
     String fleet();
 
-    /** Takes a backend server out, until it is called back. */
+    /** Takes a backend server out of use until it is uncordoned. */
     void cordon(String server, Consumer<Result> done);
 
-    /** Uses a backend server again. */
+    /** Puts a cordoned backend server back into use. */
     void uncordon(String server, Consumer<Result> done);
 
-    /** Sends clients away. */
+    /** Sends clients away, until {@link #resume}. */
     void quiesce(Consumer<Result> done);
 
-    /** Back to work. */
+    /** Takes clients again. */
     void resume(Consumer<Result> done);
 }
--- a/balancer/src/main/java/calicochute/cli/CheckCommand.java
+++ b/balancer/src/main/java/calicochute/cli/CheckCommand.java
@@ -11,7 +11,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Reads a configuration as serve would and says what it found. */
+/** Reads the configuration, and the operator's file if one is set, as {@code serve} does and prints a summary. */
 @Parameters(commandDescription = "Check a configuration without serving")
 final class CheckCommand implements CommandLine.Command {
     @ParametersDelegate
@@ -19,22 +19,23 @@
 
     @Override
     public void run() throws Exception {
-        Configuration told = configuration.read();
-        System.out.println(told.name() + ": tier " + told.settings().tier() + ", listens at " + told.listen()
-                + ", discovery at " + told.discovery() + ", "
-                + told.settings().classes().size() + " classes, "
-                + told.settings().tenants().size() + " tenants");
-        String named = System.getenv(FleetStart.VARIABLE);
-        if (named != null && !named.isEmpty()) {
-            List<Backend> servers = told.known().isEmpty()
+        Configuration config = configuration.read();
+        System.out.println(config.name() + ": tier " + config.settings().tier() + ", listens at " + config.listen()
+                + ", discovery at " + config.discovery() + ", "
+                + config.settings().classes().size() + " classes, "
+                + config.settings().tenants().size() + " tenants");
+        String operatorFile = System.getenv(FleetStart.VARIABLE);
+        if (operatorFile != null && !operatorFile.isEmpty()) {
+            List<Backend> servers = config.known().isEmpty()
                     ? List.of()
-                    : ServerList.parse(told.known()).entries();
-            OperatorFile file = OperatorFileReader.read(Path.of(named), told.name(), told.settings(), servers);
-            System.out.println(named + ": cluster " + file.cluster() + ", " + file.me() + " of "
+                    : ServerList.parse(config.known()).entries();
+            OperatorFile file =
+                    OperatorFileReader.read(Path.of(operatorFile), config.name(), config.settings(), servers);
+            System.out.println(operatorFile + ": cluster " + file.cluster() + ", " + file.me() + " of "
                     + file.peers().size() + " peers at " + file.listen()
                     + ", outcomes " + (file.share() ? "shared" : "kept") + ", "
                     + file.experiments().size() + " experiments"
-                    + (told.settings().limits().peers()
+                    + (config.settings().limits().peers()
                             ? ""
                             : "; off, since the settings forbid talk between balancers (caps.peers)"));
         }
--- a/balancer/src/main/java/calicochute/cli/CommandLine.java
+++ b/balancer/src/main/java/calicochute/cli/CommandLine.java
@@ -10,44 +10,48 @@
 import java.util.Map;
 
 /**
- * A program's sub-commands on JCommander, with {@code --help} at every level. The exit status is 0 when a command did
- * its work or help was asked for, 1 when it failed and 2 when it was not understood.
+ * A command line with sub-commands, parsed by JCommander, that accepts {@code --help} with and without a command. The
+ * exit status is {@link #DONE} if the command succeeded or help was printed, {@link #FAILED} if the command failed and
+ * {@link #WRONG_USAGE} if the arguments are invalid.
  */
 public final class CommandLine {
-    /** The statuses a command line ends with. */
+    /** Exit status: success. */
     public static final int DONE = 0;
-
+    /** Exit status: the command failed. */
     public static final int FAILED = 1;
+    /** Exit status: the arguments are invalid. */
     public static final int WRONG_USAGE = 2;
+
     private final String program;
     private final Map<String, Command> commands = new LinkedHashMap<>();
 
-    /** One sub-command; what it throws ends the program with a plain message. */
+    /** A sub-command. An exception of {@link #run} ends the program with its message and no stack trace. */
     public interface Command {
         void run() throws Exception;
     }
 
-    /** What every level understands beside its commands. */
+    /** The option of the command line itself. */
     private static final class Help {
         @Parameter(
                 names = {"--help", "-h"},
                 help = true,
-                description = "Say what there is to say, and end")
-        private boolean wanted;
+                description = "Print this help and exit")
+        private boolean help;
     }
 
     public CommandLine(String program) {
         this.program = program;
     }
 
+    /** Adds a sub-command. */
     public CommandLine command(String name, Command command) {
         commands.put(name, command);
         return this;
     }
 
-    /** Runs the command that the arguments name; returns the exit status. A help text goes to standard output. */
+    /** Runs the command that the arguments name and returns the exit status. Requested help goes to standard output. */
     public int run(String... args) {
-        // Before the parser: it would complain of required options that a call for help lacks.
+        // Handled before parsing, which would complain of required options that are missing beside --help.
         if (Arrays.stream(args).takeWhile(a -> !a.equals("--")).anyMatch(a -> a.equals("--help") || a.equals("-h"))) {
             help(Arrays.stream(args).filter(commands::containsKey).findFirst().orElse(null), System.out);
             return DONE;
@@ -60,8 +64,8 @@
             }
         } catch (ParameterException e) {
             System.err.println(program + ": " + e.getMessage());
-            String named = args.length > 0 && commands.containsKey(args[0]) ? args[0] : null;
-            help(named, System.err);
+            String command = args.length > 0 && commands.containsKey(args[0]) ? args[0] : null;
+            help(command, System.err);
             return WRONG_USAGE;
         }
         try {
@@ -87,6 +91,7 @@
         return builder.build();
     }
 
+    /** Prints the usage of the command, or that of the whole command line if it is null. */
     private void help(String command, PrintStream out) {
         StringBuilder text = new StringBuilder();
         JCommander parser = parser();
--- a/balancer/src/main/java/calicochute/cli/ConfigurationOption.java
+++ b/balancer/src/main/java/calicochute/cli/ConfigurationOption.java
@@ -5,7 +5,7 @@
 import com.beust.jcommander.Parameter;
 import java.nio.file.Path;
 
-/** Where the configuration is: an option, else the environment. */
+/** The option that names the configuration file; its default is taken from the environment. */
 final class ConfigurationOption {
     @Parameter(names = "--config", description = "The configuration file (default: $PROXY_CONFIG)")
     private String file = System.getenv("PROXY_CONFIG");
@@ -17,7 +17,7 @@
         return Configuration.read(Path.of(file));
     }
 
-    /** The file as it is now, in place of a running one. */
+    /** Reads the file again, as the successor of the running configuration. */
     Configuration readNext(Configuration running) throws SettingsException {
         return running.readNext(Path.of(file));
     }
--- a/balancer/src/main/java/calicochute/cli/HangupSignal.java
+++ b/balancer/src/main/java/calicochute/cli/HangupSignal.java
@@ -3,16 +3,16 @@
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Proxy;
 
-/** Hears SIGHUP. Without a handler of its own the virtual machine takes it for an order to end. */
+/** Handles SIGHUP, which ends a Java program that installs no handler for it. */
 final class HangupSignal {
     private HangupSignal() {}
 
     /**
-     * Runs the task, on a thread of its own, at each SIGHUP from now on. The class that does it is one that the
-     * compiler warns of and that has no replacement: hence by reflection, for a build without warnings.
+     * Runs the task at each SIGHUP from now on, on a thread that the virtual machine starts for it. The JDK's signal
+     * class is called by reflection, because the compiler warns of it and it has no replacement.
      *
-     * @return false if the process was started with SIGHUP ignored, as nohup does: the virtual machine leaves it so,
-     *     and the task will never run
+     * @return false if the process was started with SIGHUP ignored, as nohup does: the virtual machine keeps ignoring
+     *     it, and the task will never run
      */
     static boolean handle(Runnable task) {
         InvocationHandler handler = (proxy, method, arguments) -> {
@@ -33,15 +33,15 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> signalHandler = Class.forName("sun.misc.SignalHandler");
-            Object before = signal.getMethod("handle", signal, signalHandler)
+            Object previous = signal.getMethod("handle", signal, signalHandler)
                     .invoke(
                             null,
                             signal.getConstructor(String.class).newInstance("HUP"),
                             Proxy.newProxyInstance(
                                     HangupSignal.class.getClassLoader(), new Class<?>[] {signalHandler}, handler));
-            return before != signalHandler.getField("SIG_IGN").get(null);
+            return previous != signalHandler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("this Java does not let SIGHUP be handled", e);
+            throw new IllegalStateException("this Java runtime offers no handling of SIGHUP", e);
         }
     }
 }
--- a/balancer/src/main/java/calicochute/cli/Main.java
+++ b/balancer/src/main/java/calicochute/cli/Main.java
@@ -2,12 +2,12 @@
 
 import java.util.TimeZone;
 
-/** Command line entry of the balancer: its sub-commands. */
+/** Entry point of the balancer's command line. */
 public final class Main {
     private Main() {}
 
     public static void main(String[] args) {
-        // The log's backend writes times in the default zone: one log of many machines is read by UTC.
+        // The log backend writes times in the default zone; UTC makes the logs of several machines comparable.
         TimeZone.setDefault(TimeZone.getTimeZone("UTC"));
         int status = new CommandLine("calicochute")
                 .command("serve", new ServeCommand())
@@ -16,7 +16,7 @@
                 .command("rehearse", new RehearseCommand())
                 .command("version", new VersionCommand())
                 .run(args);
-        // A command that goes on in threads of its own has returned by now: only a failure ends the program here.
+        // A command that serves has returned while its threads go on, so the process must not exit here on success.
         if (status != CommandLine.DONE) {
             System.exit(status);
         }
--- a/balancer/src/main/java/calicochute/cli/RehearseCommand.java
+++ b/balancer/src/main/java/calicochute/cli/RehearseCommand.java
@@ -16,10 +16,10 @@
 import org.apache.hc.core5.http.message.BasicHttpRequest;
 
 /**
- * Runs each part once, as a balancer whose only backend server and discovery are itself, and ends. The build uses it to
- * find out which classes a start needs, for the class archive.
+ * Starts a balancer that is its own discovery and its only backend server, sends it a few sessions and exits. The build
+ * runs it to record the classes that a start loads, for the class data archive.
  */
-@Parameters(commandDescription = "Run each part once against itself on loopback, and end (the build's class archive)")
+@Parameters(commandDescription = "Serve a few sessions to itself on loopback and exit (for the build's class archive)")
 final class RehearseCommand implements CommandLine.Command {
     private static final String CONFIGURATION = """
         {"name":"rehearsal","listen":"%1$s","discovery":"%1$s","seed":"1","known":{"generation":1,"reset":true,
@@ -28,13 +28,15 @@
         "caps":{"max_attempts":2,"cancel":true},"report":{"fields":["rif"]},"discovery":"on_request",
         "obligations":{"ask_every":1000000}}}""";
     private static final int SESSIONS = 3;
-    private static final int PATIENCE_S = 5;
+    private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
+    private static final int MAX_RESPONSE_BYTES = 1 << 16;
+    private static final int ANSWER_TIMEOUT_S = 5;
 
     @Override
     public void run() throws Exception {
         String address;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            address = "127.0.0.1:" + free.getLocalPort();
+        try (ServerSocket freePort = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            address = "127.0.0.1:" + freePort.getLocalPort();
         }
         Path file = Files.createTempFile("rehearsal", ".json");
         Files.writeString(file, CONFIGURATION.formatted(address));
@@ -46,18 +48,18 @@
             clients.start();
             for (int i = 0; i < SESSIONS; i++) {
                 int id = i;
-                clients.open(listening, 1_000_000, c -> ask(c, address, id, answers), e -> {}, c -> {});
+                clients.open(listening, CONNECT_TIMEOUT_MICROS, c -> send(c, address, id, answers), e -> {}, c -> {});
             }
-            if (!answers.await(PATIENCE_S, TimeUnit.SECONDS)) {
-                throw new IllegalStateException("the rehearsal got no answer");
+            if (!answers.await(ANSWER_TIMEOUT_S, TimeUnit.SECONDS)) {
+                throw new IllegalStateException("not all sessions of the rehearsal were answered");
             }
         }
         node.drain();
-        // The decision thread lives as long as the program: only this ends it.
+        // The decision thread is never stopped and would keep the process alive.
         System.exit(0);
     }
 
-    private static void ask(Connection connection, String address, int id, CountDownLatch answers) {
+    private static void send(Connection connection, String address, int id, CountDownLatch answers) {
         BasicHttpRequest request = new BasicHttpRequest("POST", "/api");
         request.addHeader("Host", address);
         request.addHeader("X-Txn", String.format("%016x", id));
@@ -66,6 +68,6 @@
         request.addHeader("X-Remaining-Ms", "2000");
         request.addHeader("Idempotency-Key", "k" + id);
         request.addHeader("Content-Length", "2");
-        connection.call(request, new byte[2], 1 << 16, reply -> answers.countDown());
+        connection.call(request, new byte[2], MAX_RESPONSE_BYTES, reply -> answers.countDown());
     }
 }
--- a/balancer/src/main/java/calicochute/cli/ServeCommand.java
+++ b/balancer/src/main/java/calicochute/cli/ServeCommand.java
@@ -14,71 +14,78 @@
 import java.nio.file.Path;
 import java.util.function.UnaryOperator;
 
-/** Runs one real balancer until it is told to stop. */
+/** Runs a balancer until SIGTERM; SIGHUP reloads the configuration. */
 @Parameters(commandDescription = "Run one balancer on real sockets")
 final class ServeCommand implements CommandLine.Command {
-    private static final long LAST_WORDS_MS = 200;
+    /** How long a stop waits for a failed start to print its error message. */
+    private static final long ERROR_MESSAGE_TIMEOUT_MS = 200;
 
     @ParametersDelegate
     private final ConfigurationOption configuration = new ConfigurationOption();
-    /** The file's text as it was taken last. */
+    /** The configuration that was last read successfully. */
     private Configuration running;
 
-    private final Object starting = new Object();
-    private StartupState startup = StartupState.begun();
+    private final Object startupLock = new Object();
+    private StartupState startup = StartupState.starting();
 
     @Override
     public void run() throws SettingsException, IOException, InterruptedException {
-        Configuration told = configuration.read();
+        Configuration config = configuration.read();
         Counters counters = new Counters();
-        Node node = new Node(told, counters, InheritedSocket.get(), shared(told.name()));
-        // Before the start: without a handler SIGHUP ends a Java program, and /ready may say 200 as soon as it listens.
-        running = told;
+        Node node = new Node(config, counters, InheritedSocket.get(), sharedFolder(config.name()));
+        running = config;
+        // Installed before the start: without a handler SIGHUP ends a Java program, and /ready may answer 200 as soon
+        // as the process listens.
         if (!HangupSignal.handle(() -> reload(node))) {
             Log.warn(
                     "hangup-ignored",
-                    "started with SIGHUP ignored (nohup?): new settings can't be taken over until a restart");
+                    "started with SIGHUP ignored (by nohup?): settings cannot be reloaded without a restart");
         }
-        // Before the start: from its listening on clients may come, and a SIGTERM that finds no hook ends the process
-        // with what it has taken.
+        // Added before the start: clients may connect as soon as the process listens, and without the hook a SIGTERM
+        // would end the process with their sessions unanswered.
         Thread starter = Thread.currentThread();
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node, counters, starter), "drain"));
         InetSocketAddress address;
         try {
             address = node.start();
-            move(StartupState::started);
+            advance(StartupState::started);
         } catch (Exception | Error e) {
-            move(StartupState::failed);
+            advance(StartupState::failed);
             throw e;
         }
-        Log.info("serving", "name=" + told.name() + " tier=" + told.settings().tier() + " address=" + address);
+        Log.info(
+                "serving",
+                "name=" + config.name() + " tier=" + config.settings().tier() + " address=" + address);
     }
 
-    private void move(UnaryOperator<StartupState> event) {
-        synchronized (starting) {
+    /** Applies an event to the state of the start and wakes up a stop that waits for it. */
+    private void advance(UnaryOperator<StartupState> event) {
+        synchronized (startupLock) {
             startup = event.apply(startup);
-            starting.notifyAll();
+            startupLock.notifyAll();
         }
     }
 
-    /** What a stop has to do, once the start is over. */
-    private StartupState.Step stopping() throws InterruptedException {
-        synchronized (starting) {
-            move(StartupState::stop);
+    /** Waits until the start is over and returns what the shutdown hook has to do. */
+    private StartupState.Step awaitStop() throws InterruptedException {
+        synchronized (startupLock) {
+            advance(StartupState::stop);
             while (startup.step() == StartupState.Step.WAIT) {
-                starting.wait();
+                startupLock.wait();
             }
             return startup.step();
         }
     }
 
-    /** The folder that outlives a process and is the balancer's own; none unless the platform names one. */
-    private static SharedFolder shared(String balancer) {
+    /** The folder that the balancer's processes share; null unless the platform names one. */
+    private static SharedFolder sharedFolder(String balancer) {
         String folder = System.getenv("TMPDIR");
         return folder == null || folder.isEmpty() ? null : new SharedFolder(Path.of(folder), balancer);
     }
 
-    /** On SIGHUP: the file is read anew, and taken whole or not at all. One at a time. */
+    /**
+     * Handles SIGHUP: reads the file again and applies all of it or, if it is invalid, nothing. One reload at a time.
+     */
     private synchronized void reload(Node node) {
         try {
             Configuration next = configuration.readNext(running);
@@ -90,22 +97,24 @@
     }
 
     /**
-     * On SIGTERM: everything taken is answered, the counters are printed, and the exit status is 0. A start that failed
-     * ends with its own.
+     * The shutdown hook, which runs on SIGTERM: answers all sessions, logs the counters and exits with status 0. If the
+     * start has failed, the exit status is that of the failure.
      */
     private void stop(Node node, Counters counters, Thread starter) {
         int status = CommandLine.DONE;
         try {
-            // No switch: it has a class of its own, which is not there yet and may find no descriptor to be read with.
-            StartupState.Step step = stopping();
-            if (step == StartupState.Step.LEAVE) {
+            // No switch statement: the compiler generates a class for it, and loading that class here fails if the
+            // process has no file descriptor left.
+            StartupState.Step step = awaitStop();
+            if (step == StartupState.Step.RETURN) {
                 return;
             }
             if (step == StartupState.Step.DRAIN) {
                 node.drain();
             } else {
-                // It still says why; its own end would wait for this one.
-                starter.join(LAST_WORDS_MS);
+                // The starting thread still prints why it failed. Its System.exit waits for this hook and so sets no
+                // status.
+                starter.join(ERROR_MESSAGE_TIMEOUT_MS);
                 status = CommandLine.FAILED;
             }
         } catch (InterruptedException e) {
--- a/balancer/src/main/java/calicochute/cli/StartupState.java
+++ b/balancer/src/main/java/calicochute/cli/StartupState.java
@@ -1,41 +1,42 @@
 package calicochute.cli;
 
 /**
- * What a planned stop has to do, whenever it comes: an immutable state without I/O. From its listening on a process may
- * hold requests, which is a moment before its start is over.
+ * What the shutdown hook has to do, depending on how far the start has come. An immutable state machine without I/O. A
+ * process may hold requests from the time that it listens, which is shortly before its start is complete.
  *
- * <p>Guards against a stop that finds a process in its start: it would end with what it has taken unanswered, or drain
- * what is not there yet; and against a start that fails and ends with the status of a stop.
+ * <p>Guards against a stop during the start, which would leave requests unanswered or drain parts that do not exist
+ * yet, and against a failed start that exits with the status of a planned stop.
  *
- * @param stopping the virtual machine runs its hooks
- * @param failedFirst the start had failed before that: hooks run since the program ends by itself
+ * @param stopping the virtual machine runs its shutdown hooks
+ * @param failedFirst the start had failed before the hooks ran; they run because the program exits by itself
  */
 record StartupState(Phase phase, boolean stopping, boolean failedFirst) {
+    /** How far the start has come. */
     enum Phase {
         STARTING,
         SERVING,
         FAILED
     }
 
-    /** What the hook does next. */
+    /** What the shutdown hook does next. */
     enum Step {
-        /** Not called yet. */
-        NOTHING,
-        /** The start has yet to end, one way or the other. */
+        /** Nothing: no stop has been requested. */
+        NONE,
+        /** Wait until the start has succeeded or failed. */
         WAIT,
-        /** What was taken is answered; the status is that of a planned stop. */
+        /** Drain, and exit with the status of a planned stop. */
         DRAIN,
-        /** The start failed by itself: its status stands already. */
-        LEAVE,
-        /** The start failed while this waited for it: its status is still to be set. */
+        /** Return: the start failed before the stop, so the process exits with the status of the failure. */
+        RETURN,
+        /** Exit with the status of a failure: the start failed while the hook waited for it. */
         FAIL
     }
 
-    static StartupState begun() {
+    static StartupState starting() {
         return new StartupState(Phase.STARTING, false, false);
     }
 
-    /** The start is over, and clients may come. */
+    /** The start has succeeded. */
     StartupState started() {
         return phase == Phase.STARTING ? new StartupState(Phase.SERVING, stopping, false) : this;
     }
@@ -45,17 +46,17 @@
         return phase == Phase.STARTING ? new StartupState(Phase.FAILED, stopping, !stopping) : this;
     }
 
-    /** The hook has begun to run. */
+    /** The shutdown hook has begun to run. */
     StartupState stop() {
         return new StartupState(phase, true, failedFirst);
     }
 
     Step step() {
         if (!stopping) {
-            return Step.NOTHING;
+            return Step.NONE;
         }
         if (phase == Phase.FAILED) {
-            return failedFirst ? Step.LEAVE : Step.FAIL;
+            return failedFirst ? Step.RETURN : Step.FAIL;
         }
         return phase == Phase.STARTING ? Step.WAIT : Step.DRAIN;
     }
--- a/balancer/src/main/java/calicochute/cli/VersionCommand.java
+++ b/balancer/src/main/java/calicochute/cli/VersionCommand.java
@@ -2,7 +2,7 @@
 
 import com.beust.jcommander.Parameters;
 
-/** Prints the version in the jar's manifest. */
+/** Prints the version from the jar's manifest. */
 @Parameters(commandDescription = "Print the version")
 final class VersionCommand implements CommandLine.Command {
     @Override
--- a/balancer/src/main/java/calicochute/cli/WireHostCommand.java
+++ b/balancer/src/main/java/calicochute/cli/WireHostCommand.java
@@ -11,12 +11,14 @@
 import java.io.IOException;
 import java.io.OutputStream;
 
-/** Speaks the simulator's wire on standard input and output. */
-@Parameters(commandDescription = "WireHost the decision module on the simulator's wire, on standard input and output")
+/** Runs the decision module for the simulator, over the simulator's protocol on standard input and output. */
+@Parameters(commandDescription = "Run the decision module for the simulator, over standard input and output")
 final class WireHostCommand implements CommandLine.Command {
+    private static final int BUFFER_BYTES = 1 << 16;
+
     @Override
     public void run() throws IOException, WireException {
-        OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16);
+        OutputStream out = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), BUFFER_BYTES);
         new WireHost(new FileInputStream(FileDescriptor.in), out, Balancer::create).run();
     }
 }
--- a/balancer/src/main/java/calicochute/wire/LineReader.java
+++ b/balancer/src/main/java/calicochute/wire/LineReader.java
@@ -6,24 +6,38 @@
 import java.util.Arrays;
 
 /**
- * Reads lines and cuts each into its leading word and name=value fields, all as byte ranges of one buffer. A line's
- * ranges hold until the next line is read.
+ * Reads lines and splits each into its first word and its {@code name=value} fields, which are byte ranges of one
+ * buffer. The ranges are valid until the next line is read.
  */
 final class LineReader {
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
+    private static final int INITIAL_FIELDS = 32;
+    /** Initial size of the table of interned texts; a power of two, as every size of it. */
+    private static final int INITIAL_TEXTS = 1 << 10;
+    /** Texts beyond this number are not interned, which bounds the memory. */
+    private static final int MAX_TEXTS = 1 << 20;
+    /** Maximum length of a number; any number of that many digits fits into a {@code long}. */
+    private static final int MAX_DIGITS = 18;
+    /** Length of a request id. */
+    private static final int HEX_DIGITS = 16;
+
     private final InputStream in;
-    private byte[] buffer = new byte[1 << 16];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int lineStart;
     private int lineEnd;
-    private int next;
+    /** Where the next line starts. */
+    private int nextLineStart;
+    /** End of the bytes read. */
     private int limit;
+
     private int lineNumber;
     private int wordEnd;
-    private int fields;
-    private int[] nameAt = new int[32];
-    private int[] nameEnd = new int[32];
-    private int[] valueEnd = new int[32];
-    /** Interned texts: names that recur are made into a String once. */
-    private String[] texts = new String[1 << 10];
+    private int fieldCount;
+    private int[] nameStart = new int[INITIAL_FIELDS];
+    private int[] nameEnd = new int[INITIAL_FIELDS];
+    private int[] valueEnd = new int[INITIAL_FIELDS];
+    /** Hash table of interned texts, with linear probing: a text that recurs is decoded once. */
+    private String[] texts = new String[INITIAL_TEXTS];
 
     private int textCount;
 
@@ -33,8 +47,8 @@
 
     /** Moves to the next line; false at the end of input. */
     boolean next() throws IOException, WireException {
-        lineStart = next;
-        int scan = next;
+        lineStart = nextLineStart;
+        int scan = nextLineStart;
         while (true) {
             while (scan < limit && buffer[scan] != '\n') {
                 scan++;
@@ -42,40 +56,41 @@
             if (scan < limit) {
                 break;
             }
-            int held = limit - lineStart;
+            int remaining = limit - lineStart;
             if (lineStart > 0) {
-                System.arraycopy(buffer, lineStart, buffer, 0, held);
+                System.arraycopy(buffer, lineStart, buffer, 0, remaining);
             } else if (limit == buffer.length) {
                 buffer = Arrays.copyOf(buffer, buffer.length * 2);
             }
             lineStart = 0;
-            limit = held;
-            scan = held;
-            int got = in.read(buffer, limit, buffer.length - limit);
-            if (got < 0) {
+            limit = remaining;
+            scan = remaining;
+            int bytesRead = in.read(buffer, limit, buffer.length - limit);
+            if (bytesRead < 0) {
                 lineNumber++;
-                if (held > 0) {
+                if (remaining > 0) {
                     throw error("input ends in the middle of a line");
                 }
                 return false;
             }
-            limit += got;
+            limit += bytesRead;
         }
         lineNumber++;
-        next = scan + 1;
+        nextLineStart = scan + 1;
         lineEnd = scan > lineStart && buffer[scan - 1] == '\r' ? scan - 1 : scan;
-        cut();
+        split();
         return true;
     }
 
-    private void cut() throws WireException {
-        int p = skipTo(lineStart, (byte) ' ');
-        wordEnd = p;
-        fields = 0;
-        while (p < lineEnd) {
-            p++;
-            int start = p;
-            int end = skipTo(p, (byte) ' ');
+    /** Finds the word and the fields of the current line. */
+    private void split() throws WireException {
+        int position = skipTo(lineStart, (byte) ' ');
+        wordEnd = position;
+        fieldCount = 0;
+        while (position < lineEnd) {
+            position++;
+            int start = position;
+            int end = skipTo(position, (byte) ' ');
             if (end > start) {
                 int equals = start;
                 while (equals < end && buffer[equals] != '=') {
@@ -84,162 +99,170 @@
                 if (equals == end || equals == start) {
                     throw error("'" + text(start, end) + "' is not name=value");
                 }
-                add(start, equals, end);
+                addField(start, equals, end);
             }
-            p = end;
+            position = end;
         }
     }
 
-    private void add(int start, int equals, int end) {
-        if (fields == nameAt.length) {
-            nameAt = Arrays.copyOf(nameAt, fields * 2);
-            nameEnd = Arrays.copyOf(nameEnd, fields * 2);
-            valueEnd = Arrays.copyOf(valueEnd, fields * 2);
+    private void addField(int start, int equals, int end) {
+        if (fieldCount == nameStart.length) {
+            nameStart = Arrays.copyOf(nameStart, fieldCount * 2);
+            nameEnd = Arrays.copyOf(nameEnd, fieldCount * 2);
+            valueEnd = Arrays.copyOf(valueEnd, fieldCount * 2);
         }
-        nameAt[fields] = start;
-        nameEnd[fields] = equals;
-        valueEnd[fields++] = end;
+        nameStart[fieldCount] = start;
+        nameEnd[fieldCount] = equals;
+        valueEnd[fieldCount++] = end;
     }
 
     private int skipTo(int from, byte stop) {
-        int p = from;
-        while (p < lineEnd && buffer[p] != stop) {
-            p++;
+        int position = from;
+        while (position < lineEnd && buffer[position] != stop) {
+            position++;
         }
-        return p;
+        return position;
     }
 
+    /** Whether the line is empty. */
     boolean blank() {
         return lineStart == lineEnd;
     }
 
+    /** The line's first word. */
     String word() {
         return intern(lineStart, wordEnd);
     }
 
+    /** The number of fields. */
     int fields() {
-        return fields;
+        return fieldCount;
     }
 
     String name(int field) {
-        return text(nameAt[field], nameEnd[field]);
+        return text(nameStart[field], nameEnd[field]);
     }
 
     String value(int field) {
         return text(nameEnd[field] + 1, valueEnd[field]);
     }
 
-    /** The index of a field, or -1. */
+    /** The index of the first field of this name; -1 if there is none. */
     int find(String name) {
-        for (int i = 0; i < fields; i++) {
-            if (matches(nameAt[i], nameEnd[i], name)) {
+        for (int i = 0; i < fieldCount; i++) {
+            if (matches(nameStart[i], nameEnd[i], name)) {
                 return i;
             }
         }
         return -1;
     }
 
+    /** The value of a field that must be present. */
     String text(String name) throws WireException {
-        int i = find(name);
-        if (i < 0) {
+        int field = find(name);
+        if (field < 0) {
             throw error(word() + " lacks " + name);
         }
-        return intern(nameEnd[i] + 1, valueEnd[i]);
+        return intern(nameEnd[field] + 1, valueEnd[field]);
     }
 
+    /** The value of a field, or {@code absent} if there is none. */
     String text(String name, String absent) {
-        int i = find(name);
-        return i < 0 ? absent : intern(nameEnd[i] + 1, valueEnd[i]);
+        int field = find(name);
+        return field < 0 ? absent : intern(nameEnd[field] + 1, valueEnd[field]);
     }
 
-    /** As {@link #text(String, String)}, but not kept: for values that do not recur. */
+    /** As {@link #text(String, String)}, but not interned, for values that do not recur. */
     String freshText(String name, String absent) {
-        int i = find(name);
-        return i < 0 ? absent : value(i);
+        int field = find(name);
+        return field < 0 ? absent : value(field);
     }
 
     long number(String name) throws WireException {
-        int i = find(name);
-        if (i < 0) {
+        int field = find(name);
+        if (field < 0) {
             throw error(word() + " lacks " + name);
         }
-        return number(i, name);
+        return number(field, name);
     }
 
     long number(String name, long absent) throws WireException {
-        int i = find(name);
-        return i < 0 ? absent : number(i, name);
+        int field = find(name);
+        return field < 0 ? absent : number(field, name);
     }
 
     private long number(int field, String name) throws WireException {
-        int p = nameEnd[field] + 1;
+        int position = nameEnd[field] + 1;
         int end = valueEnd[field];
-        boolean minus = p < end && buffer[p] == '-';
-        if (minus) {
-            p++;
+        boolean negative = position < end && buffer[position] == '-';
+        if (negative) {
+            position++;
         }
-        if (p == end || end - p > 18) {
+        if (position == end || end - position > MAX_DIGITS) {
             throw error(name + " is not a whole number: '" + value(field) + "'");
         }
-        long n = 0;
-        for (; p < end; p++) {
-            int digit = buffer[p] - '0';
+        long number = 0;
+        for (; position < end; position++) {
+            int digit = buffer[position] - '0';
             if (digit < 0 || digit > 9) {
                 throw error(name + " is not a whole number: '" + value(field) + "'");
             }
-            n = n * 10 + digit;
+            number = number * 10 + digit;
         }
-        return minus ? -n : n;
+        return negative ? -number : number;
     }
 
     double decimal(String name, double absent) throws WireException {
-        int i = find(name);
-        if (i < 0) {
+        int field = find(name);
+        if (field < 0) {
             return absent;
         }
         try {
-            return Double.parseDouble(value(i));
+            return Double.parseDouble(value(field));
         } catch (NumberFormatException e) {
-            throw error(name + " is not a number: '" + value(i) + "'");
+            throw error(name + " is not a number: '" + value(field) + "'");
         }
     }
 
+    /** A field that is 0 or 1; false if it is missing. */
     boolean flag(String name) throws WireException {
-        int i = find(name);
-        if (i < 0 || matches(nameEnd[i] + 1, valueEnd[i], "0")) {
+        int field = find(name);
+        if (field < 0 || matches(nameEnd[field] + 1, valueEnd[field], "0")) {
             return false;
         }
-        if (!matches(nameEnd[i] + 1, valueEnd[i], "1")) {
-            throw error(name + " is neither 0 nor 1: '" + value(i) + "'");
+        if (!matches(nameEnd[field] + 1, valueEnd[field], "1")) {
+            throw error(name + " is neither 0 nor 1: '" + value(field) + "'");
         }
         return true;
     }
 
-    /** A request id: 16 hex digits. */
+    /** A request id of 16 hexadecimal digits, which must be present. */
     long hex(String name) throws WireException {
-        int i = find(name);
-        if (i < 0) {
+        int field = find(name);
+        if (field < 0) {
             throw error(word() + " lacks " + name);
         }
-        int p = nameEnd[i] + 1;
-        if (valueEnd[i] - p != 16) {
-            throw error(name + " is not 16 hex digits: '" + value(i) + "'");
+        int position = nameEnd[field] + 1;
+        if (valueEnd[field] - position != HEX_DIGITS) {
+            throw error(name + " is not 16 hex digits: '" + value(field) + "'");
         }
-        long n = 0;
-        for (; p < valueEnd[i]; p++) {
-            int digit = Character.digit(buffer[p], 16);
+        long number = 0;
+        for (; position < valueEnd[field]; position++) {
+            int digit = Character.digit(buffer[position], 16);
             if (digit < 0) {
-                throw error(name + " is not 16 hex digits: '" + value(i) + "'");
+                throw error(name + " is not 16 hex digits: '" + value(field) + "'");
             }
-            n = n << 4 | digit;
+            number = number << 4 | digit;
         }
-        return n;
+        return number;
     }
 
-    WireException error(String what) {
-        return new WireException("line " + lineNumber + ": " + what);
+    /** An exception for a problem with the current line. */
+    WireException error(String problem) {
+        return new WireException("line " + lineNumber + ": " + problem);
     }
 
+    /** Whether the bytes are the text, which is ASCII. */
     private boolean matches(int from, int to, String text) {
         int length = text.length();
         if (to - from != length) {
@@ -257,6 +280,10 @@
         return new String(buffer, from, to - from, StandardCharsets.UTF_8);
     }
 
+    /**
+     * The text of the bytes, interned unless it has characters other than ASCII: for those the hash of the bytes
+     * differs from that of the text, which {@link #growTexts} uses.
+     */
     private String intern(int from, int to) {
         int hash = 0;
         for (int i = from; i < to; i++) {
@@ -269,27 +296,27 @@
             }
             slot = slot + 1 & texts.length - 1;
         }
-        String made = text(from, to);
-        if (made.length() == to - from && textCount < 1 << 20) {
-            texts[slot] = made;
+        String decoded = text(from, to);
+        if (decoded.length() == to - from && textCount < MAX_TEXTS) {
+            texts[slot] = decoded;
             if (++textCount * 2 > texts.length) {
-                grow();
+                growTexts();
             }
         }
-        return made;
+        return decoded;
     }
 
-    private void grow() {
+    private void growTexts() {
         String[] old = texts;
         texts = new String[old.length * 2];
-        for (String t : old) {
-            if (t != null) {
-                int hash = t.hashCode();
+        for (String text : old) {
+            if (text != null) {
+                int hash = text.hashCode();
                 int slot = (hash ^ hash >>> 15) & texts.length - 1;
                 while (texts[slot] != null) {
                     slot = slot + 1 & texts.length - 1;
                 }
-                texts[slot] = t;
+                texts[slot] = text;
             }
         }
     }
--- a/balancer/src/main/java/calicochute/wire/ReplyWriter.java
+++ b/balancer/src/main/java/calicochute/wire/ReplyWriter.java
@@ -7,23 +7,26 @@
 import java.util.Arrays;
 import java.util.Base64;
 
-/** Writes the actions of the instance at hand as reply lines. */
+/** Writes the actions of balancer instances as reply lines, buffered until the reply ends. */
 final class ReplyWriter implements Actions {
+    private static final int INITIAL_BUFFER_BYTES = 1 << 14;
     private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
     private final OutputStream out;
-    private byte[] buffer = new byte[1 << 14];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int used;
+    /** Name of the instance whose actions are being written. */
     private String instance;
 
     ReplyWriter(OutputStream out) {
         this.out = out;
     }
 
+    /** Sets the instance whose actions follow. */
     void instance(String name) {
         instance = name;
     }
 
-    /** Closes the reply and hands it over. */
+    /** Ends the reply to a batch and flushes it. */
     void end() throws IOException {
         ascii("next\n");
         out.write(buffer, 0, used);
@@ -31,6 +34,7 @@
         used = 0;
     }
 
+    /** Reports an exception that the decision module threw. */
     void fault(String text) {
         start("exception");
         text(" body_text=", text.replace('\n', ' '));
@@ -40,7 +44,7 @@
     @Override
     public void send(long request, String backend, long timeout) {
         start("relay");
-        xid(request);
+        requestId(request);
         text(" backend=", backend);
         if (timeout != 0) {
             number(" within=", timeout);
@@ -51,7 +55,7 @@
     @Override
     public void refuse(long request, long retryAfter) {
         start("say_no");
-        xid(request);
+        requestId(request);
         if (retryAfter > 0) {
             number(" wait=", retryAfter);
         }
@@ -61,14 +65,14 @@
     @Override
     public void fail(long request) {
         start("surrender");
-        xid(request);
+        requestId(request);
         newline();
     }
 
     @Override
     public void cancel(long request, int attempt) {
         start("undo_send");
-        xid(request);
+        requestId(request);
         number(" seq_no=", attempt);
         newline();
     }
@@ -130,7 +134,7 @@
         text(" i=", instance);
     }
 
-    private void xid(long request) {
+    private void requestId(long request) {
         ascii(" xid=");
         hex(request);
     }
@@ -139,40 +143,40 @@
         put((byte) '\n');
     }
 
-    private void text(String label, String value) {
-        ascii(label);
+    private void text(String key, String value) {
+        ascii(key);
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
-        room(bytes.length);
+        ensureCapacity(bytes.length);
         System.arraycopy(bytes, 0, buffer, used, bytes.length);
         used += bytes.length;
     }
 
     private void ascii(String text) {
         int length = text.length();
-        room(length);
+        ensureCapacity(length);
         for (int i = 0; i < length; i++) {
             buffer[used++] = (byte) text.charAt(i);
         }
     }
 
-    private void number(String label, long value) {
-        ascii(label);
+    private void number(String key, long value) {
+        ascii(key);
         ascii(Long.toString(value));
     }
 
     private void hex(long value) {
-        room(16);
+        ensureCapacity(16);
         for (int shift = 60; shift >= 0; shift -= 4) {
             buffer[used++] = HEX[(int) (value >>> shift) & 15];
         }
     }
 
-    private void put(byte b) {
-        room(1);
-        buffer[used++] = b;
+    private void put(byte value) {
+        ensureCapacity(1);
+        buffer[used++] = value;
     }
 
-    private void room(int bytes) {
+    private void ensureCapacity(int bytes) {
         if (used + bytes > buffer.length) {
             buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, used + bytes));
         }
--- a/balancer/src/main/java/calicochute/wire/WireException.java
+++ b/balancer/src/main/java/calicochute/wire/WireException.java
@@ -3,7 +3,7 @@
 import calicochute.errors.Code;
 import calicochute.errors.CodedException;
 
-/** Malformed input; the message names the line and what is wrong with it. */
+/** The simulator's input is malformed; the message names the line and the problem. */
 public final class WireException extends CodedException {
     private static final long serialVersionUID = 1L;
 
--- a/balancer/src/main/java/calicochute/wire/WireHost.java
+++ b/balancer/src/main/java/calicochute/wire/WireHost.java
@@ -19,29 +19,43 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** Hosts many instances on the wire: translates batches to events and actions to replies, and decides nothing. */
+/**
+ * Runs any number of balancer instances for the simulator: translates each batch into events and the instances' actions
+ * into a reply.
+ */
 public final class WireHost {
     private static final Outcome[] OUTCOMES = Outcome.values();
-    private static final int DIRECTORIES = 16;
+    /** How many lists of backend servers are kept for later discovery events; their slots are 0 to 15. */
+    private static final int DIRECTORY_SLOTS = 16;
+    /** Initial capacity, at most, of a list whose announced length has not been verified. */
+    private static final int MAX_INITIAL_ENTRIES = 1 << 12;
+
     private final LineReader line;
     private final ReplyWriter reply;
     private final Function<Settings, Balancer> factory;
     private final Map<String, Instance> instances = new HashMap<>();
     private final List<List<Backend>> directories = new ArrayList<>();
-    private long now = Long.MIN_VALUE;
+    private long nowMicros = Long.MIN_VALUE;
 
+    /**
+     * A running balancer.
+     *
+     * @param classes index of each request class, by name
+     * @param tenants index of each tenant, by name
+     */
     private record Instance(Balancer balancer, Map<String, Integer> classes, Map<String, Integer> tenants) {}
 
+    /** @param factory creates an instance from its settings */
     public WireHost(InputStream in, OutputStream out, Function<Settings, Balancer> factory) {
         line = new LineReader(in);
         reply = new ReplyWriter(out);
         this.factory = factory;
-        for (int i = 0; i < DIRECTORIES; i++) {
+        for (int i = 0; i < DIRECTORY_SLOTS; i++) {
             directories.add(null);
         }
     }
 
-    /** Answers batches until the input ends. */
+    /** Answers batches until the input ends. Each starts with {@code batch} and ends with {@code commit}. */
     public void run() throws IOException, WireException {
         while (line.next()) {
             if (line.blank()) {
@@ -51,16 +65,16 @@
                 throw line.error("expected batch, got '" + line.word() + "'");
             }
             long time = line.number("time");
-            if (time < now) {
+            if (time < nowMicros) {
                 throw line.error("time goes back");
             }
-            now = time;
-            batch();
+            nowMicros = time;
+            readBatch();
             reply.end();
         }
     }
 
-    private void batch() throws IOException, WireException {
+    private void readBatch() throws IOException, WireException {
         while (line.next()) {
             if (line.blank()) {
                 continue;
@@ -69,20 +83,20 @@
             if (word.equals("commit")) {
                 return;
             }
-            handle(word);
+            handleEvent(word);
         }
         throw line.error("input ends inside a batch");
     }
 
-    private void handle(String word) throws IOException, WireException {
+    private void handleEvent(String word) throws IOException, WireException {
         switch (word) {
-            case "directory" -> directory();
-            case "born" -> born();
+            case "directory" -> readDirectory();
+            case "born" -> createInstance();
             case "halt" -> instances.remove(line.text("i"));
-            case "discovery" -> tell(discovery());
-            case "arrival" -> tell(arrival());
+            case "discovery" -> deliver(discovery());
+            case "arrival" -> deliver(arrival());
             case "outcome" ->
-                tell(new Balancer.AttemptEnded(
+                deliver(new Balancer.AttemptEnded(
                         line.hex("xid"),
                         attempt(),
                         line.text("backend"),
@@ -91,18 +105,19 @@
                         line.number("wait_time", 0),
                         load()));
             case "streaming" ->
-                tell(new Balancer.StreamStarted(
+                deliver(new Balancer.StreamStarted(
                         line.hex("xid"), attempt(), line.text("backend"), line.number("wait_time", 0)));
-            case "timed_out_client" -> tell(new Balancer.ClientGone(line.hex("xid")));
-            case "ring" -> tell(timer());
+            case "timed_out_client" -> deliver(new Balancer.ClientGone(line.hex("xid")));
+            case "ring" -> deliver(timer());
             case "probe_done" ->
-                tell(new Balancer.ProbeEnded(line.text("backend"), outcome(), line.number("wait_time", 0), load()));
-            case "note_from" -> tell(new Balancer.PeerMessage((int) line.number("sender", 0), bytes()));
+                deliver(new Balancer.ProbeEnded(line.text("backend"), outcome(), line.number("wait_time", 0), load()));
+            case "note_from" -> deliver(new Balancer.PeerMessage((int) line.number("sender", 0), bytes()));
             default -> throw line.error("unknown event '" + word + "'");
         }
     }
 
-    private void tell(Event event) throws WireException {
+    /** Delivers the event to the instance that the line names. */
+    private void deliver(Event event) throws WireException {
         String name = line.text("i");
         Instance instance = instance(name);
         reply.instance(name);
@@ -111,7 +126,7 @@
 
     private void deliver(Balancer balancer, Event event) {
         try {
-            balancer.on(now, event, reply);
+            balancer.on(nowMicros, event, reply);
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
             reply.fault(e + (trace.length > 0 ? " at " + trace[0] : ""));
@@ -126,7 +141,7 @@
         return instance;
     }
 
-    private void born() throws WireException {
+    private void createInstance() throws WireException {
         String name = line.text("i");
         Settings settings = settings();
         Map<String, Integer> classes = new HashMap<>();
@@ -148,13 +163,14 @@
         }
     }
 
-    private void directory() throws IOException, WireException {
+    /** Reads a list of backend servers into its slot, for the discovery events that refer to it. */
+    private void readDirectory() throws IOException, WireException {
         long slot = slot();
         long count = line.number("lines");
         if (count < 0) {
             throw line.error("lines is negative: '" + count + "'");
         }
-        List<Backend> entries = new ArrayList<>((int) Math.min(count, 1 << 12));
+        List<Backend> entries = new ArrayList<>((int) Math.min(count, MAX_INITIAL_ENTRIES));
         for (long i = 0; i < count; i++) {
             if (!line.next()) {
                 throw line.error("input ends inside a directory");
@@ -176,7 +192,7 @@
 
     private long slot() throws WireException {
         long slot = line.number("slot");
-        if (slot < 0 || slot >= DIRECTORIES) {
+        if (slot < 0 || slot >= DIRECTORY_SLOTS) {
             throw line.error("slot is not 0 to 15: '" + slot + "'");
         }
         return slot;
@@ -239,6 +255,7 @@
         return OUTCOMES[(int) code];
     }
 
+    /** The timer whose label is {@code PURPOSE:SUBJECT}, as {@link ReplyWriter#startTimer} writes it. */
     private Event timer() throws WireException {
         String label = line.freshText("label", "");
         int colon = label.indexOf(':');
@@ -247,10 +264,11 @@
                     Integer.parseInt(label, 0, colon, 10),
                     Long.parseUnsignedLong(label, colon + 1, label.length(), 16));
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
-            throw line.error("label is none of ours: '" + label + "'");
+            throw line.error("label is not that of a timer: '" + label + "'");
         }
     }
 
+    /** The load that the backend server reported; null if it reported none. */
     private double[] load() throws WireException {
         String row = line.freshText("metrics", null);
         if (row == null || row.isEmpty()) {
@@ -268,6 +286,7 @@
         return load;
     }
 
+    /** The payload of a peer's message, in base64; {@code -} stands for an empty one. */
     private byte[] bytes() throws WireException {
         String text = line.freshText("bytes", "-");
         try {
--- a/balancer/src/test/java/calicochute/cli/StartupStateTest.java
+++ b/balancer/src/test/java/calicochute/cli/StartupStateTest.java
@@ -7,44 +7,41 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
+/** A stop at any time of the start: what the shutdown hook does, and that the status of a failed start is kept. */
 class StartupStateTest {
     private static final UnaryOperator<StartupState> STARTED = StartupState::started;
     private static final UnaryOperator<StartupState> FAILED = StartupState::failed;
     private static final UnaryOperator<StartupState> STOP = StartupState::stop;
 
     private static List<Step> steps(List<UnaryOperator<StartupState>> events) {
-        StartupState[] now = {StartupState.begun()};
+        StartupState[] state = {StartupState.starting()};
         return events.stream()
                 .map(event -> {
-                    now[0] = event.apply(now[0]);
-                    return now[0].step();
+                    state[0] = event.apply(state[0]);
+                    return state[0].step();
                 })
                 .toList();
     }
 
-    /**
-     * A stop in the start waits for its end; what has started is drained; what has failed keeps the status of a
-     * failure.
-     */
+    /** A stop during the start waits until it is over; a started process is drained; a failed one keeps its status. */
     @Test
-    void everyOrderEndsWell() {
-        assertEquals(List.of(Step.NOTHING, Step.DRAIN), steps(List.of(STARTED, STOP)));
+    void stopBeforeAndAfterTheEndOfTheStart() {
+        assertEquals(List.of(Step.NONE, Step.DRAIN), steps(List.of(STARTED, STOP)));
         assertEquals(List.of(Step.WAIT, Step.DRAIN), steps(List.of(STOP, STARTED)));
-        assertEquals(List.of(Step.NOTHING, Step.LEAVE), steps(List.of(FAILED, STOP)));
+        assertEquals(List.of(Step.NONE, Step.RETURN), steps(List.of(FAILED, STOP)));
         assertEquals(List.of(Step.WAIT, Step.FAIL), steps(List.of(STOP, FAILED)));
     }
 
-    /** What comes twice or too late changes nothing. */
+    /** Events that come twice or too late change nothing. */
     @Test
-    void theFirstEndOfTheStartCounts() {
+    void firstEndOfTheStartCounts() {
         assertEquals(
                 List.of(Step.WAIT, Step.WAIT, Step.DRAIN, Step.DRAIN), steps(List.of(STOP, STOP, STARTED, FAILED)));
         assertEquals(List.of(Step.WAIT, Step.FAIL, Step.FAIL), steps(List.of(STOP, FAILED, STARTED)));
         assertEquals(
-                List.of(Step.NOTHING, Step.LEAVE, Step.LEAVE, Step.LEAVE),
+                List.of(Step.NONE, Step.RETURN, Step.RETURN, Step.RETURN),
                 steps(List.of(FAILED, STOP, STARTED, FAILED)));
         assertEquals(
-                List.of(Step.NOTHING, Step.NOTHING, Step.DRAIN, Step.DRAIN),
-                steps(List.of(STARTED, FAILED, STOP, STOP)));
+                List.of(Step.NONE, Step.NONE, Step.DRAIN, Step.DRAIN), steps(List.of(STARTED, FAILED, STOP, STOP)));
     }
 }
--- a/balancer/src/test/java/calicochute/example/Example.java
+++ b/balancer/src/test/java/calicochute/example/Example.java
@@ -1,27 +1,43 @@
 package calicochute.example;
 
 import calicochute.decision.Balancer;
-import calicochute.decision.Balancer.*;
+import calicochute.decision.Balancer.Actions;
+import calicochute.decision.Balancer.Arrival;
+import calicochute.decision.Balancer.AttemptEnded;
+import calicochute.decision.Balancer.Backend;
+import calicochute.decision.Balancer.BackendList;
+import calicochute.decision.Balancer.BackendState;
+import calicochute.decision.Balancer.Effect;
+import calicochute.decision.Balancer.Goal;
+import calicochute.decision.Balancer.KeyScope;
+import calicochute.decision.Balancer.Limits;
+import calicochute.decision.Balancer.ListKind;
+import calicochute.decision.Balancer.Outcome;
+import calicochute.decision.Balancer.RequestClass;
+import calicochute.decision.Balancer.Rules;
+import calicochute.decision.Balancer.Settings;
 import java.util.List;
 
+/** How a proxy uses the decision module: it creates a balancer, delivers events and carries out the actions. */
 public final class Example {
-    private static String done = "";
+    /** The latest decision on a request. */
+    private static String decision = "";
 
-    /** What the proxy does when asked; a real one opens connections here. */
+    /** Carries out the balancer's actions; a real proxy would open connections and send requests here. */
     private static final class Proxy implements Actions {
         @Override
         public void send(long request, String backend, long timeout) {
-            done = "send to " + backend;
+            decision = "send to " + backend;
         }
 
         @Override
         public void refuse(long request, long retryAfter) {
-            done = "refuse";
+            decision = "refuse";
         }
 
         @Override
         public void fail(long request) {
-            done = "fail";
+            decision = "fail";
         }
 
         @Override
@@ -49,6 +65,7 @@
         public void log(String text) {}
     }
 
+    /** Delivers a list with one backend, a request and its response; returns the decision on the request. */
     public static String run() {
         RequestClass read =
                 new RequestClass("read", Effect.REPEATABLE, KeyScope.ALL, 0, 500_000, 2_000_000, 1, 0, false);
@@ -71,15 +88,15 @@
                 new Goal(1, 0, 0, 0, 0, 0, 0));
         Balancer balancer = Balancer.create(settings);
         Actions proxy = new Proxy();
-        long now = 1_000_000;
+        long nowMicros = 1_000_000;
         balancer.on(
-                now,
+                nowMicros,
                 new BackendList(
                         ListKind.FULL, List.of(new Backend("b1", "zone-1", 0, 1, BackendState.READY, 0, "std"))),
                 proxy);
-        balancer.on(now + 5, new Arrival(7, 0, -1, null, 2_000_000, false), proxy);
-        String first = done;
-        balancer.on(now + 9_000, new AttemptEnded(7, 0, "b1", true, Outcome.OK, 8_995, null), proxy);
+        balancer.on(nowMicros + 5, new Arrival(7, 0, -1, null, 2_000_000, false), proxy);
+        String first = decision;
+        balancer.on(nowMicros + 9_000, new AttemptEnded(7, 0, "b1", true, Outcome.OK, 8_995, null), proxy);
         return first;
     }
 }
--- a/balancer/src/test/java/calicochute/wire/WireHostTest.java
+++ b/balancer/src/test/java/calicochute/wire/WireHostTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The wire: every event read, every action written, malformed input named. */
+/** Each event is parsed, each action written, and malformed input rejected with its line number. */
 class WireHostTest {
     private static final String BORN = "born i=proxy/1 nonce64=5 me=1 balancers=4 layer=1 discovery=on_request"
             + " classes.count=1 classes.0.name=read classes.0.effect=by_key classes.0.key_scope=zone"
@@ -26,25 +26,25 @@
     private final List<Event> events = new ArrayList<>();
     private Settings settings;
 
-    /** A balancer that writes down its events and answers the first arrival with every action there is. */
+    /** Records its events, answers an arrival with each kind of action and fails when a client goes away. */
     private final class Recorder implements Balancer {
         @Override
-        public void on(long now, Event event, Actions to) {
+        public void on(long now, Event event, Actions actions) {
             events.add(event);
-            if (event instanceof Arrival a) {
-                to.send(a.request(), "b1", 80);
-                to.send(a.request(), "b2", 0);
-                to.refuse(a.request(), 250);
-                to.fail(a.request());
-                to.cancel(a.request(), 1);
-                to.startTimer(500, 2, -1);
-                to.subscribe(true);
-                to.fetchList();
-                to.probe("b1");
-                to.closeIdleConnections("b2");
-                to.sendToPeer(-1, "hi 7".getBytes(StandardCharsets.UTF_8));
-                to.sendToPeer(2, new byte[0]);
-                to.log("two servers known");
+            if (event instanceof Arrival arrival) {
+                actions.send(arrival.request(), "b1", 80);
+                actions.send(arrival.request(), "b2", 0);
+                actions.refuse(arrival.request(), 250);
+                actions.fail(arrival.request());
+                actions.cancel(arrival.request(), 1);
+                actions.startTimer(500, 2, -1);
+                actions.subscribe(true);
+                actions.fetchList();
+                actions.probe("b1");
+                actions.closeIdleConnections("b2");
+                actions.sendToPeer(-1, "hi 7".getBytes(StandardCharsets.UTF_8));
+                actions.sendToPeer(2, new byte[0]);
+                actions.log("two servers known");
             }
             if (event instanceof ClientGone) {
                 throw new IllegalStateException("broken");
@@ -52,10 +52,10 @@
         }
     }
 
-    private String talk(String input) throws IOException, WireException {
+    private String run(String input) throws IOException, WireException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new WireHost(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, s -> {
-                    settings = s;
+        new WireHost(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, received -> {
+                    settings = received;
                     return new Recorder();
                 })
                 .run();
@@ -64,13 +64,13 @@
 
     @Test
     void emptyBatchesAndEndOfInput() throws Exception {
-        assertEquals("", talk(""));
-        assertEquals("next\nnext\n", talk("batch time=1\ncommit\n\nbatch time=1 novelty=3\ncommit\n"));
+        assertEquals("", run(""));
+        assertEquals("next\nnext\n", run("batch time=1\ncommit\n\nbatch time=1 novelty=3\ncommit\n"));
     }
 
     @Test
-    void settingsAreReadAndAbsentOnesHaveDefaults() throws Exception {
-        talk("batch time=1\n" + BORN + "commit\n");
+    void settingsAreReadAndMissingOnesHaveDefaults() throws Exception {
+        run("batch time=1\n" + BORN + "commit\n");
         assertEquals(1, settings.instance());
         assertEquals(4, settings.balancers());
         assertEquals(true, settings.subscribes());
@@ -83,8 +83,8 @@
     }
 
     @Test
-    void everyEventIsTranslated() throws Exception {
-        talk("batch time=1\n" + BORN
+    void eachEventIsTranslated() throws Exception {
+        run("batch time=1\n" + BORN
                 + "directory slot=3 lines=1\nrow backend=b1 zone=z cluster=2 capacity_hint=1.5 state=terminating machine=k\n"
                 + "discovery i=proxy/1 scope=restored seq_no=4 slot=3\n"
                 + "directory slot=3 lines=0\n"
@@ -115,60 +115,60 @@
     }
 
     @Test
-    void everyActionIsWritten() throws Exception {
-        String reply = talk(
+    void eachActionIsWritten() throws Exception {
+        String reply = run(
                 "batch time=1\n" + BORN
                         + "arrival i=proxy/1 xid=00ab000000000001 band=read billing=t affinity=k:1 patience_left=9 cost=3\ncommit\n");
-        String at = " i=proxy/1";
+        String instance = " i=proxy/1";
         String xid = " xid=00ab000000000001";
         assertEquals(
-                "relay" + at + xid + " backend=b1 within=80\n"
-                        + "relay" + at + xid + " backend=b2\n"
-                        + "say_no" + at + xid + " wait=250\n"
-                        + "surrender" + at + xid + "\n"
-                        + "undo_send" + at + xid + " seq_no=1\n"
-                        + "remind" + at + " offset=500 label=2:ffffffffffffffff\n"
-                        + "stream_changes" + at + " want=1\n"
-                        + "snapshot" + at + "\n"
-                        + "touch" + at + " backend=b1\n"
-                        + "free_links" + at + " backend=b2\n"
-                        + "broadcast_to" + at + " neighbour_id=-1 bytes=aGkgNw==\n"
-                        + "broadcast_to" + at + " neighbour_id=2 bytes=-\n"
-                        + "debug" + at + " body_text=two servers known\nnext\n",
+                "relay" + instance + xid + " backend=b1 within=80\n"
+                        + "relay" + instance + xid + " backend=b2\n"
+                        + "say_no" + instance + xid + " wait=250\n"
+                        + "surrender" + instance + xid + "\n"
+                        + "undo_send" + instance + xid + " seq_no=1\n"
+                        + "remind" + instance + " offset=500 label=2:ffffffffffffffff\n"
+                        + "stream_changes" + instance + " want=1\n"
+                        + "snapshot" + instance + "\n"
+                        + "touch" + instance + " backend=b1\n"
+                        + "free_links" + instance + " backend=b2\n"
+                        + "broadcast_to" + instance + " neighbour_id=-1 bytes=aGkgNw==\n"
+                        + "broadcast_to" + instance + " neighbour_id=2 bytes=-\n"
+                        + "debug" + instance + " body_text=two servers known\nnext\n",
                 reply);
         assertEquals(new Balancer.Arrival(0x00ab000000000001L, 0, 0, "k:1", 9, false), events.get(0));
     }
 
-    /** The real module: an instance's replies do not depend on who shares its process. */
+    /** With the real decision module, an instance's replies do not depend on other instances in the process. */
     @Test
-    void instancesActAlikeTogetherAndApart() throws Exception {
+    void instancesAreIndependent() throws Exception {
         StringBuilder alone = new StringBuilder();
         StringBuilder shared = new StringBuilder();
         for (int step = 0; step < 60; step++) {
-            String mine = step == 0 ? BORN + list("proxy/1") : arrival("proxy/1", step);
+            String own = step == 0 ? BORN + list("proxy/1") : arrival("proxy/1", step);
             String other = step == 0 ? BORN.replace("proxy/1", "proxy/2") + list("proxy/2") : arrival("proxy/2", step);
             alone.append("batch time=")
                     .append(step * 1000)
                     .append('\n')
-                    .append(mine)
+                    .append(own)
                     .append("commit\n");
             shared.append("batch time=")
                     .append(step * 1000)
                     .append('\n')
                     .append(other)
-                    .append(mine)
+                    .append(own)
                     .append("commit\n");
         }
-        List<String> apart = real(alone.toString())
+        List<String> repliesAlone = runModule(alone.toString())
                 .lines()
-                .filter(l -> l.contains("proxy/1"))
+                .filter(reply -> reply.contains("proxy/1"))
                 .toList();
-        List<String> together = real(shared.toString())
+        List<String> repliesShared = runModule(shared.toString())
                 .lines()
-                .filter(l -> l.contains("proxy/1"))
+                .filter(reply -> reply.contains("proxy/1"))
                 .toList();
-        assertEquals(apart, together);
-        assertEquals(true, apart.size() >= 59);
+        assertEquals(repliesAlone, repliesShared);
+        assertEquals(true, repliesAlone.size() >= 59);
     }
 
     private static String list(String instance) {
@@ -183,21 +183,21 @@
         return "arrival i=" + instance + String.format(" xid=%016x", step) + " band=read patience_left=900000\n";
     }
 
-    private static String real(String input) throws IOException, WireException {
+    private static String runModule(String input) throws IOException, WireException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new WireHost(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, Balancer::create).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    void haltAndBirthInOneBatchStartAfresh() throws Exception {
-        talk("batch time=1\n" + BORN + "halt i=proxy/1\n" + BORN.replace("me=1", "me=2") + "commit\n");
+    void instanceCanBeReplacedWithinOneBatch() throws Exception {
+        run("batch time=1\n" + BORN + "halt i=proxy/1\n" + BORN.replace("me=1", "me=2") + "commit\n");
         assertEquals(2, settings.instance());
     }
 
     @Test
-    void faultOfTheModuleIsReportedOnTheWire() throws Exception {
-        String reply = talk("batch time=1\n" + BORN + "timed_out_client i=proxy/1 xid=0000000000000001\ncommit\n");
+    void exceptionOfTheModuleIsReported() throws Exception {
+        String reply = run("batch time=1\n" + BORN + "timed_out_client i=proxy/1 xid=0000000000000001\ncommit\n");
         assertEquals("exception i=proxy/1 body_text=java.lang.IllegalStateException: broken", reply.split(" at ")[0]);
     }
 
@@ -211,7 +211,7 @@
                 "batch time=1;halt i=proxy/1|line 3: input ends inside a batch",
                 "batch time=1;dance i=proxy/1;commit|line 2: unknown event 'dance'",
                 "batch time=1;ring i=proxy/9 label=1:00;commit|line 2: ring for proxy/9, which is not running",
-                "batch time=1;BORN;ring i=proxy/1 label=sweep;commit|line 3: label is none of ours: 'sweep'",
+                "batch time=1;BORN;ring i=proxy/1 label=sweep;commit|line 3: label is not that of a timer: 'sweep'",
                 "batch time=1;BORN;ring label=1:00;commit|line 3: ring lacks i",
                 "batch time=1;BORN;arrival i=proxy/1 xid=12 band=read patience_left=5;commit"
                         + "|line 3: xid is not 16 hex digits: '12'",
@@ -236,17 +236,17 @@
                 "batch time=1;halt proxy/1;commit|line 2: 'proxy/1' is not name=value",
                 "batch time=2;commit;batch time=1;commit|line 3: time goes back",
             })
-    void malformedInputIsNamedWithItsLine(String input, String message) {
+    void malformedInputIsReportedWithItsLine(String input, String message) {
         String lines = input.replace("BORN", BORN.trim()).replace(";", "\n") + "\n";
         assertEquals(
-                message, assertThrows(WireException.class, () -> talk(lines)).getMessage());
+                message, assertThrows(WireException.class, () -> run(lines)).getMessage());
     }
 
     @Test
-    void inputCutInsideALineIsAnError() {
+    void truncatedLastLineIsAnError() {
         assertEquals(
                 "line 2: input ends in the middle of a line",
-                assertThrows(WireException.class, () -> talk("batch time=1\ncomm"))
+                assertThrows(WireException.class, () -> run("batch time=1\ncomm"))
                         .getMessage());
     }
 
@@ -258,7 +258,7 @@
                     .append(Integer.toHexString(i))
                     .append('\n');
         }
-        assertEquals("next\n", talk(batch + "commit\n"));
+        assertEquals("next\n", run(batch + "commit\n"));
         assertEquals(50_000, events.size());
         assertEquals(new Balancer.Timer(1, 49_999), events.get(49_999));
     }
