--- a/balancer/src/main/java/calicochute/metrics/Counter.java
+++ b/balancer/src/main/java/calicochute/metrics/Counter.java
@@ -11,6 +11,7 @@
     SESSIONS_FAILED,
     SESSIONS_CLIENT_GONE,
     SESSIONS_BAD_INPUT,
+    /** Sessions denied on arrival because the maximum number was open. */
     SESSIONS_OVER_LIMIT,
     /** Sessions answered by the deadline guard because the decision module had not answered them in time. */
     SESSIONS_ENDED_BY_DEADLINE,
@@ -41,6 +42,7 @@
     DISPATCHES_TIMED_OUT,
     DISPATCHES_CONNECT_FAILED,
     DISPATCHES_RESET,
+    /** Dispatches whose request the backend server rejected as invalid. */
     DISPATCHES_REJECTED,
     DISPATCHES_CANCELLED,
     DISPATCHES_MOOT,
@@ -61,6 +63,7 @@
     CONNECTIONS_TRIED_AGAIN,
     /** Connections opened ahead of demand. */
     SPARES_OPENED,
+    /** Connections opened ahead of demand that were not established or ended before their first use. */
     SPARES_FAILED,
     DISCOVERY_CALLS,
     DISCOVERY_ANSWERS,
