--- a/lab/src/main/java/calicochute/lab/discovery/CallQueue.java
+++ b/lab/src/main/java/calicochute/lab/discovery/CallQueue.java
@@ -1,37 +1,41 @@
 package calicochute.lab.discovery;
 
 /**
- * A service of fixed capacity that handles calls in turn, without I/O: says when a call that comes now would be done,
- * or that it waits too long and fails. Times in microseconds.
+ * A FIFO queue for a service of fixed capacity. It computes when a call that arrives now completes, or that the call
+ * fails because it would wait too long. The class does no I/O; times are in microseconds.
  */
 public final class CallQueue {
-    /** A call that failed for having waited too long. */
+    /** Result for a call that fails because it would wait too long. */
     public static final long FAILED = -1;
 
-    private final double perCall;
-    private final int linesPerCall;
-    private final long timeout;
+    private final double microsPerCall;
+    private final int entriesPerCall;
+    private final long timeoutMicros;
     private double freeAt;
 
-    /** @param perSecond calls a second; {@code linesPerCall} entries cost as much as one call */
-    public CallQueue(double perSecond, int linesPerCall, long timeout) {
-        perCall = 1e6 / perSecond;
-        this.linesPerCall = linesPerCall;
-        this.timeout = timeout;
+    /**
+     * @param perSecond calls without entries that the service handles per second
+     * @param entriesPerCall how many entries cost as much as a call itself
+     * @param timeoutMicros how long a call may wait
+     */
+    public CallQueue(double perSecond, int entriesPerCall, long timeoutMicros) {
+        microsPerCall = 1e6 / perSecond;
+        this.entriesPerCall = entriesPerCall;
+        this.timeoutMicros = timeoutMicros;
     }
 
-    /** When a call for so many entries is done, or {@link #FAILED}. */
-    public long call(long now, int lines) {
+    /** The time at which a call that returns so many entries completes, or {@link #FAILED}. */
+    public long call(long now, int entries) {
         double begin = Math.max(now, freeAt);
-        if (begin - now > timeout) {
+        if (begin - now > timeoutMicros) {
             return FAILED;
         }
-        freeAt = begin + perCall * (1 + (double) lines / linesPerCall);
+        freeAt = begin + microsPerCall * (1 + (double) entries / entriesPerCall);
         return (long) Math.ceil(freeAt);
     }
 
-    /** How long a failed call has waited. */
-    public long timeout() {
-        return timeout;
+    /** How long a call waits before it fails. */
+    public long timeoutMicros() {
+        return timeoutMicros;
     }
 }
--- a/lab/src/main/java/calicochute/lab/emulator/BadClients.java
+++ b/lab/src/main/java/calicochute/lab/emulator/BadClients.java
@@ -1,7 +1,7 @@
 package calicochute.lab.emulator;
 
+import calicochute.lab.socket.Connection;
 import calicochute.lab.socket.HttpMessage;
-import calicochute.lab.socket.Link;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -67,33 +67,33 @@
         site.sockets.connect(
                 balancer,
                 OWED_WITHIN,
-                new Link.Owner() {
+                new Connection.Listener() {
                     @Override
-                    public void message(Link link, HttpMessage message) {
+                    public void message(Connection connection, HttpMessage message) {
                         served += message.status() == 200 ? 1 : 0;
                         over[0] = true;
-                        link.close();
+                        connection.close();
                     }
 
                     @Override
-                    public void unreadable(Link link, String why) {
+                    public void malformed(Connection connection, String reason) {
                         over[0] = true;
-                        link.close();
+                        connection.close();
                     }
 
                     @Override
-                    public void closed(Link link, boolean reset, boolean midway) {
+                    public void closed(Connection connection, boolean reset, boolean midMessage) {
                         over[0] = true;
                     }
                 },
-                link -> {
+                connection -> {
                     if (!words.isEmpty()) {
-                        link.write(words.getBytes(StandardCharsets.ISO_8859_1));
+                        connection.write(words.getBytes(StandardCharsets.ISO_8859_1));
                     }
-                    site.world.after(OWED_WITHIN, () -> {
+                    site.eventLoop.scheduleAfter(OWED_WITHIN, () -> {
                         if (!over[0]) {
                             neglected++;
-                            link.reset();
+                            connection.reset();
                         }
                     });
                 },
--- a/lab/src/main/java/calicochute/lab/emulator/BalancerHost.java
+++ b/lab/src/main/java/calicochute/lab/emulator/BalancerHost.java
@@ -1,8 +1,8 @@
 package calicochute.lab.emulator;
 
 import calicochute.lab.plan.BalancerSpec;
+import calicochute.lab.socket.Connection;
 import calicochute.lab.socket.HttpMessage;
-import calicochute.lab.socket.Link;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -32,7 +32,7 @@
     private boolean paused;
     private int starts;
     private Consumer<BalancerHost> onReady = b -> {};
-    private Consumer<String> onCrash = why -> {};
+    private Consumer<String> onCrash = reason -> {};
     private Runnable onEnded = () -> {};
 
     /** CPU seconds used since the run's first start, and resident memory in bytes. */
@@ -102,12 +102,12 @@
             builder.redirectErrorStream(true);
             builder.redirectOutput(ProcessBuilder.Redirect.appendTo(
                     folder.resolve(spec.name() + ".log").toFile()));
-            site.referee.started(spec.name());
+            site.ruleChecker.balancerStarted(spec.name());
             Process started = builder.start();
             process = started;
-            started.onExit().thenAccept(p -> site.world.post(() -> ended(started)));
-            long latest = site.world.now() + START_LIMIT;
-            site.world.after(POLL, () -> poll(started, latest));
+            started.onExit().thenAccept(p -> site.eventLoop.post(() -> ended(started)));
+            long latest = site.eventLoop.now() + START_LIMIT;
+            site.eventLoop.scheduleAfter(POLL, () -> poll(started, latest));
         } catch (IOException e) {
             onCrash.accept(spec.name() + " can't be started: " + e.getMessage());
         }
@@ -117,42 +117,42 @@
         if (of != process || ready || ending) {
             return;
         }
-        if (site.world.now() > latest) {
+        if (site.eventLoop.now() > latest) {
             onCrash.accept(spec.name() + " was not ready within " + START_LIMIT / 1_000_000 + " s; see its log");
             return;
         }
         site.sockets.connect(
                 listen,
                 POLL * 40,
-                new Link.Owner() {
-                    private void again(Link link) {
-                        link.close();
-                        site.world.after(POLL, () -> poll(of, latest));
+                new Connection.Listener() {
+                    private void again(Connection connection) {
+                        connection.close();
+                        site.eventLoop.scheduleAfter(POLL, () -> poll(of, latest));
                     }
 
                     @Override
-                    public void message(Link link, HttpMessage message) {
+                    public void message(Connection connection, HttpMessage message) {
                         if (message.status() == 200 && of == process && !ending) {
-                            link.close();
+                            connection.close();
                             ready = true;
                             onReady.accept(BalancerHost.this);
                         } else {
-                            again(link);
+                            again(connection);
                         }
                     }
 
                     @Override
-                    public void unreadable(Link link, String why) {
-                        again(link);
+                    public void malformed(Connection connection, String reason) {
+                        again(connection);
                     }
 
                     @Override
-                    public void closed(Link link, boolean reset, boolean midway) {
-                        again(link);
+                    public void closed(Connection connection, boolean reset, boolean midMessage) {
+                        again(connection);
                     }
                 },
-                link -> link.write(HttpMessage.bytes("GET /ready HTTP/1.1", "Host: a\r\n", new byte[0])),
-                () -> site.world.after(POLL, () -> poll(of, latest)));
+                connection -> connection.write(HttpMessage.encode("GET /ready HTTP/1.1", "Host: a\r\n", new byte[0])),
+                () -> site.eventLoop.scheduleAfter(POLL, () -> poll(of, latest)));
     }
 
     private void ended(Process which) {
@@ -174,7 +174,7 @@
             return;
         }
         paused = on;
-        site.referee.paused(site.world.now(), spec.name(), on);
+        site.ruleChecker.balancerPaused(site.eventLoop.now(), spec.name(), on);
         try {
             // Not waited for: the world's other timers would be late.
             new ProcessBuilder("kill", on ? "-STOP" : "-CONT", Long.toString(last.pid())).start();
@@ -201,7 +201,7 @@
         ending = true;
         ready = false;
         onEnded = then;
-        site.referee.killed(spec.name());
+        site.ruleChecker.balancerKilled(spec.name());
         process.destroyForcibly();
     }
 
@@ -221,7 +221,7 @@
         }
         try {
             ProcessUsage usage = ProcessUsage.of(last.pid());
-            samples.add(new Sample(site.world.now(), usage.cpuSeconds(), usage.resident()));
+            samples.add(new Sample(site.eventLoop.now(), usage.cpuSeconds(), usage.resident()));
         } catch (IOException e) {
             // It has just ended.
         }
--- a/lab/src/main/java/calicochute/lab/emulator/Caller.java
+++ b/lab/src/main/java/calicochute/lab/emulator/Caller.java
@@ -3,9 +3,9 @@
 import calicochute.lab.plan.BalancerSpec;
 import calicochute.lab.scenario.Scenario.Effect;
 import calicochute.lab.scenario.Scenario.RequestClass;
+import calicochute.lab.socket.Connection;
 import calicochute.lab.socket.HttpMessage;
-import calicochute.lab.socket.Link;
-import calicochute.lab.world.World;
+import calicochute.lab.world.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -15,7 +15,7 @@
  * The callers of one balancer: sends requests, one at a time on a connection, keeps connections, and hears the answers.
  * Clients use one for each balancer of the first tier, a server that calls on the one of its own balancer.
  */
-final class Caller implements Link.Owner {
+final class Caller implements Connection.Listener {
     /** How long after its time an answer still counts, and the connection is kept for it. */
     private static final long ANSWER_SLACK = 50_000;
     /** A balancer's close that crosses a request is seen within this time; then it is sent once more. */
@@ -28,7 +28,7 @@
     private final InetSocketAddress address;
     private final long delay;
     private final int mostIdle;
-    private final Deque<Link> idle = new ArrayDeque<>();
+    private final Deque<Connection> idle = new ArrayDeque<>();
 
     /** How a call ended: with an answer, without a connection, with a broken one, or with its time. */
     enum End {
@@ -72,26 +72,26 @@
         private final boolean again;
         private final Consumer<Result> end;
         private final long deadline;
-        private Link link;
+        private Connection connection;
         private boolean taken;
         private boolean reused;
         private boolean resent;
         private boolean done;
         private long writtenAt;
-        private World.Alarm overdue;
+        private EventLoop.Timer overdue;
 
         Call(Request request, String key, boolean again, long patience, Consumer<Result> end) {
             this.request = request;
             this.key = key;
             this.again = again;
             this.end = end;
-            deadline = site.world.now() + patience;
+            deadline = site.eventLoop.now() + patience;
         }
 
         void start() {
             site.awaited++;
-            overdue = site.world.at(deadline + ANSWER_SLACK, this::overdue);
-            site.world.after(delay, () -> begin(true));
+            overdue = site.eventLoop.scheduleAt(deadline + ANSWER_SLACK, this::overdue);
+            site.eventLoop.scheduleAfter(delay, () -> begin(true));
         }
 
         private void begin(boolean mayReuse) {
@@ -99,8 +99,8 @@
                 return;
             }
             while (mayReuse && !idle.isEmpty()) {
-                Link kept = idle.pollLast();
-                if (kept.open()) {
+                Connection kept = idle.pollLast();
+                if (kept.isOpen()) {
                     reused = true;
                     write(kept);
                     return;
@@ -109,29 +109,29 @@
             reused = false;
             site.sockets.connect(
                     address,
-                    Math.min(CONNECT_TIMEOUT, deadline - site.world.now() + ANSWER_SLACK),
+                    Math.min(CONNECT_TIMEOUT, deadline - site.eventLoop.now() + ANSWER_SLACK),
                     Caller.this,
                     this::opened,
                     () -> finish(new Result(End.UNREACHABLE, 0, 0, "")));
         }
 
-        private void opened(Link fresh) {
+        private void opened(Connection fresh) {
             if (done) {
                 fresh.close();
             } else {
                 // A handshake's round trip before the first request.
-                site.world.after(2 * delay, () -> write(fresh));
+                site.eventLoop.scheduleAfter(2 * delay, () -> write(fresh));
             }
         }
 
-        private void write(Link on) {
+        private void write(Connection on) {
             if (done) {
                 on.close();
                 return;
             }
-            link = on;
-            link.mark = this;
-            writtenAt = site.world.now();
+            connection = on;
+            connection.attachment = this;
+            writtenAt = site.eventLoop.now();
             RequestClass c = site.classOf(request.root());
             boolean get = c.effect() == Effect.REPEATABLE;
             String fields = "Host: service.internal\r\nX-Txn: " + request.id() + "\r\nX-Lane: " + c.name()
@@ -144,13 +144,14 @@
                     + (again ? "X-Resent: 1\r\n" : "") + (key == null ? "" : "Idempotency-Key: " + key + "\r\n");
             if (!taken) {
                 taken = true;
-                site.referee.taken(writtenAt, request.id(), balancer.name(), site.rule(request.root()), deadline);
+                site.ruleChecker.sessionSent(
+                        writtenAt, request.id(), balancer.name(), site.rule(request.root()), deadline);
             }
-            if (!link.open()) {
+            if (!connection.isOpen()) {
                 closed();
                 return;
             }
-            link.write(HttpMessage.bytes(
+            connection.write(HttpMessage.encode(
                     (get ? "GET" : "POST") + " /api?n=" + request.root().arrival.number() + " HTTP/1.1",
                     fields,
                     get ? new byte[0] : BODY));
@@ -160,7 +161,7 @@
             if (done) {
                 return;
             }
-            site.referee.answered(answer.lastByteAt(), request.id(), answer.status(), answer.text());
+            site.ruleChecker.responseReceived(answer.lastByteAt(), request.id(), answer.status(), answer.text());
             String retryAfter = answer.field("retry-after");
             long pause = 0;
             if (retryAfter != null && retryAfter.matches("\\d{1,6}(\\.\\d{1,6})?")) {
@@ -168,19 +169,19 @@
             }
             Result result = new Result(End.ANSWERED, answer.status(), pause, answer.text());
             settled();
-            site.world.after(delay, () -> end.accept(result));
+            site.eventLoop.scheduleAfter(delay, () -> end.accept(result));
         }
 
         void closed() {
             if (done) {
                 return;
             }
-            if (reused && !resent && site.world.now() - writtenAt < CROSSING) {
+            if (reused && !resent && site.eventLoop.now() - writtenAt < CROSSING) {
                 resent = true;
                 begin(false);
                 return;
             }
-            site.referee.unanswered(site.world.now(), request.id(), "the balancer ended the connection");
+            site.ruleChecker.sessionUnanswered(site.eventLoop.now(), request.id(), "the balancer ended the connection");
             finish(new Result(End.BROKEN, 0, 0, ""));
         }
 
@@ -189,11 +190,11 @@
                 return;
             }
             if (taken) {
-                site.referee.unanswered(site.world.now(), request.id(), "silence");
+                site.ruleChecker.sessionUnanswered(site.eventLoop.now(), request.id(), "silence");
             }
-            if (link != null) {
-                link.mark = request.id();
-                link.close();
+            if (connection != null) {
+                connection.attachment = request.id();
+                connection.close();
             }
             finish(new Result(taken ? End.SILENT : End.UNREACHABLE, 0, 0, ""));
         }
@@ -213,38 +214,38 @@
     }
 
     @Override
-    public void message(Link link, HttpMessage answer) {
-        if (link.mark instanceof Call call) {
-            link.mark = call.request.id();
+    public void message(Connection connection, HttpMessage answer) {
+        if (connection.attachment instanceof Call call) {
+            connection.attachment = call.request.id();
             call.answered(answer);
             if ("close".equalsIgnoreCase(answer.field("connection")) || idle.size() >= mostIdle) {
-                link.close();
+                connection.close();
             } else {
-                idle.addLast(link);
+                idle.addLast(connection);
             }
-        } else if (link.mark instanceof String id) {
-            site.referee.answeredAgain(answer.firstByteAt(), id);
+        } else if (connection.attachment instanceof String id) {
+            site.ruleChecker.extraBytesReceived(answer.firstByteAt(), id);
         }
     }
 
     @Override
-    public void unreadable(Link link, String why) {
-        if (link.mark instanceof Call call) {
-            link.close();
+    public void malformed(Connection connection, String reason) {
+        if (connection.attachment instanceof Call call) {
+            connection.close();
             call.reused = false;
             call.closed();
-        } else if (link.mark instanceof String id) {
-            site.referee.answeredAgain(site.world.now(), id);
+        } else if (connection.attachment instanceof String id) {
+            site.ruleChecker.extraBytesReceived(site.eventLoop.now(), id);
         }
     }
 
     @Override
-    public void closed(Link link, boolean reset, boolean midway) {
-        if (link.mark instanceof Call call) {
-            link.mark = call.request.id();
+    public void closed(Connection connection, boolean reset, boolean midMessage) {
+        if (connection.attachment instanceof Call call) {
+            connection.attachment = call.request.id();
             call.closed();
         } else {
-            idle.remove(link);
+            idle.remove(connection);
         }
     }
 }
--- a/lab/src/main/java/calicochute/lab/emulator/ClientHost.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ClientHost.java
@@ -63,7 +63,7 @@
     /** One timer at a time: the next arrival's. */
     private void next(List<Arrival> arrivals, int index, long start) {
         Arrival arrival = arrivals.get(index);
-        site.world.at(start + arrival.at(), () -> {
+        site.eventLoop.scheduleAt(start + arrival.at(), () -> {
             if (index + 1 < arrivals.size()) {
                 next(arrivals, index + 1, start);
             }
@@ -93,7 +93,7 @@
 
     private void tryOnce(Root root, boolean again) {
         RequestClass c = site.classOf(root);
-        long left = root.plannedAt + c.giveUp().micros() - site.world.now();
+        long left = root.plannedAt + c.giveUp().micros() - site.eventLoop.now();
         root.tries++;
         List<Caller> balancers = balancers(root.arrival.zone());
         if (balancers.isEmpty()) {
@@ -117,7 +117,7 @@
     }
 
     private void ended(Root root, Caller.Result result) {
-        long now = site.world.now();
+        long now = site.eventLoop.now();
         if (result != null && result.served()) {
             Root.End end = now - root.plannedAt <= site.classOf(root).aim().micros() ? Root.End.SERVED : Root.End.LATE;
             root.workUsed = root.workDone;
@@ -128,7 +128,7 @@
         root.denials += denied ? 1 : 0;
         long pause = pause(root, result);
         if (mayAsk(root, result, now + pause)) {
-            site.world.after(pause, () -> tryOnce(root, true));
+            site.eventLoop.scheduleAfter(pause, () -> tryOnce(root, true));
             return;
         }
         close(
--- a/lab/src/main/java/calicochute/lab/emulator/DiscoveryHost.java
+++ b/lab/src/main/java/calicochute/lab/emulator/DiscoveryHost.java
@@ -1,17 +1,17 @@
 package calicochute.lab.emulator;
 
 import calicochute.lab.discovery.CallQueue;
-import calicochute.lab.discovery.Directory;
-import calicochute.lab.discovery.Directory.Entry;
-import calicochute.lab.discovery.Directory.Page;
-import calicochute.lab.discovery.Directory.State;
+import calicochute.lab.discovery.InstanceRegistry;
+import calicochute.lab.discovery.InstanceRegistry.Instance;
+import calicochute.lab.discovery.InstanceRegistry.ListUpdate;
+import calicochute.lab.discovery.InstanceRegistry.State;
 import calicochute.lab.plan.BalancerSpec;
 import calicochute.lab.scenario.Scenario;
 import calicochute.lab.server.MachineSpec;
+import calicochute.lab.socket.Connection;
 import calicochute.lab.socket.HttpMessage;
-import calicochute.lab.socket.Link;
 import calicochute.lab.socket.Sockets;
-import calicochute.lab.world.World;
+import calicochute.lab.world.EventLoop;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -45,7 +45,7 @@
     private static final Pattern TIMEOUT = Pattern.compile("timeout_ms=(\\d{1,9})");
     private final Site site;
     private final BiFunction<String, String, InetSocketAddress> address;
-    private final List<Directory> directories = new ArrayList<>();
+    private final List<InstanceRegistry> registries = new ArrayList<>();
     private final Map<String, Window> windows = new LinkedHashMap<>();
     private final Map<String, Map<String, Long>> toldStarts = new HashMap<>();
     private final CallQueue queue;
@@ -57,12 +57,12 @@
         this.address = address;
         Scenario.Discovery d = site.scenario.discovery();
         queue = new CallQueue(d.capacity().perSecond(), d.lines(), d.timeout().micros());
-        site.scenario.tiers().forEach(t -> directories.add(new Directory()));
+        site.scenario.tiers().forEach(t -> registries.add(new InstanceRegistry()));
     }
 
     void open() throws IOException {
         for (MachineSpec m : site.deployment.machines()) {
-            directories.get(m.tier()).set(entry(m, State.READY, 0));
+            registries.get(m.tier()).put(instance(m, State.READY, 0));
         }
         java.net.InetAddress host = site.nextAddress();
         for (BalancerSpec balancer : site.deployment.balancers()) {
@@ -72,8 +72,8 @@
         }
     }
 
-    private Entry entry(MachineSpec m, State state, long startedAt) {
-        return new Entry(m.id(), m.zone(), m.kind().name(), m.cell(), site.deployment.size(m), state, startedAt);
+    private Instance instance(MachineSpec m, State state, long startedAt) {
+        return new Instance(m.id(), m.zone(), m.kind().name(), m.cell(), site.deployment.size(m), state, startedAt);
     }
 
     InetSocketAddress at(BalancerSpec balancer) {
@@ -82,23 +82,23 @@
 
     /** The list that a balancer starts from: all that is visible now. */
     ObjectNode known(BalancerSpec balancer) {
-        Page page = directories.get(balancer.tier()).whole();
-        told(balancer, page);
-        return Settings.list(page, s -> address.apply(s, balancer.zone()));
+        ListUpdate update = registries.get(balancer.tier()).completeList();
+        told(balancer, update);
+        return Settings.list(update, s -> address.apply(s, balancer.zone()));
     }
 
     /** Enters a change of a machine's state, which becomes visible after {@code notice} microseconds. */
     void enter(MachineSpec machine, State state, long startedAt, long notice) {
-        site.world.after(notice, () -> {
-            directories.get(machine.tier()).set(entry(machine, state, startedAt));
+        site.eventLoop.scheduleAfter(notice, () -> {
+            registries.get(machine.tier()).put(instance(machine, state, startedAt));
             windows.values().forEach(Window::tell);
-            site.world.after(TOLD_AT_LATEST, () -> countsAsTold(machine, startedAt, state));
+            site.eventLoop.scheduleAfter(TOLD_AT_LATEST, () -> countsAsTold(machine, startedAt, state));
         });
     }
 
     /** Whatever became of its calls, a balancer counts as told now, unless the entry has changed again. */
     private void countsAsTold(MachineSpec machine, long startedAt, State state) {
-        Entry now = directories.get(machine.tier()).entry(machine.id());
+        Instance now = registries.get(machine.tier()).instance(machine.id());
         if (down || now == null || now.state() != state || now.startedAt() != startedAt) {
             return;
         }
@@ -113,25 +113,25 @@
         return toldStarts.getOrDefault(balancer, Map.of()).getOrDefault(server, 0L) >= startedAt;
     }
 
-    private void told(BalancerSpec balancer, Entry entry) {
-        if (entry.state() == State.READY) {
-            site.referee.toldReady(balancer.name(), entry.id());
-            toldStarts.computeIfAbsent(balancer.name(), b -> new HashMap<>()).put(entry.id(), entry.startedAt());
+    private void told(BalancerSpec balancer, Instance instance) {
+        if (instance.state() == State.READY) {
+            site.ruleChecker.toldReady(balancer.name(), instance.id());
+            toldStarts.computeIfAbsent(balancer.name(), b -> new HashMap<>()).put(instance.id(), instance.startedAt());
         } else {
-            site.referee.toldLeaving(site.world.now(), balancer.name(), entry.id());
+            site.ruleChecker.toldLeaving(site.eventLoop.now(), balancer.name(), instance.id());
         }
     }
 
-    private void told(BalancerSpec balancer, Page page) {
+    private void told(BalancerSpec balancer, ListUpdate update) {
         Set<String> named = new LinkedHashSet<>();
-        for (Entry entry : page.entries()) {
-            named.add(entry.id());
-            told(balancer, entry);
+        for (Instance instance : update.instances()) {
+            named.add(instance.id());
+            told(balancer, instance);
         }
-        if (page.whole()) {
+        if (update.complete()) {
             site.deployment.machines(balancer.tier()).stream()
                     .filter(m -> !named.contains(m.id()))
-                    .forEach(m -> site.referee.toldLeaving(site.world.now(), balancer.name(), m.id()));
+                    .forEach(m -> site.ruleChecker.toldLeaving(site.eventLoop.now(), balancer.name(), m.id()));
         }
     }
 
@@ -156,20 +156,20 @@
         Watch watch;
     }
 
-    private record Watch(long since, World.Alarm timeout) {}
+    private record Watch(long since, EventLoop.Timer timeout) {}
 
     /** Discovery as one balancer sees it. */
-    private final class Window implements Link.Owner, Sockets.Acceptor {
+    private final class Window implements Connection.Listener, Sockets.Acceptor {
         private final BalancerSpec balancer;
-        private final Directory directory;
+        private final InstanceRegistry registry;
         private final long delay;
-        private final Set<Link> links = new LinkedHashSet<>();
+        private final Set<Connection> connections = new LinkedHashSet<>();
         private InetSocketAddress address;
         private ListenerEndpoint listener;
 
         Window(BalancerSpec balancer) {
             this.balancer = balancer;
-            directory = directories.get(balancer.tier());
+            registry = registries.get(balancer.tier());
             delay = site.scenario.zones().across().micros();
         }
 
@@ -180,64 +180,68 @@
 
         void shut() {
             Closer.closeQuietly(listener);
-            links.forEach(Link::reset);
-            links.clear();
+            connections.forEach(Connection::reset);
+            connections.clear();
         }
 
         @Override
-        public Link.Owner apply(InetSocketAddress from) {
+        public Connection.Listener apply(InetSocketAddress from) {
             return this;
         }
 
         @Override
-        public void accepted(Link link) {
-            link.mark = new Caller();
+        public void accepted(Connection connection) {
+            connection.attachment = new Caller();
             if (down) {
-                link.reset();
+                connection.reset();
             } else {
-                links.add(link);
+                connections.add(connection);
             }
         }
 
         @Override
-        public void message(Link link, HttpMessage call) {
+        public void message(Connection connection, HttpMessage call) {
             if (down || site.cutZones.contains(balancer.zone())) {
                 return;
             }
-            Caller caller = (Caller) link.mark;
+            Caller caller = (Caller) connection.attachment;
             Matcher since = WATCH.matcher(call.target());
             if (!since.find()) {
-                take(link, directory.whole().entries().size(), () -> answer(link, directory.whole()));
+                take(
+                        connection,
+                        registry.completeList().instances().size(),
+                        () -> answer(connection, registry.completeList()));
                 return;
             }
             long known = Long.parseLong(since.group(1));
             Matcher timeout = TIMEOUT.matcher(call.target());
             long wait = timeout.find() ? Math.min(LONGEST_WATCH_MS, Long.parseLong(timeout.group(1))) : 0;
             Runnable look = () -> {
-                Page page = directory.since(known);
-                if (page.entries().isEmpty() && wait > 0) {
-                    caller.watch = new Watch(known, site.world.after(wait * 1000, () -> {
+                ListUpdate update = registry.changesSince(known);
+                if (update.instances().isEmpty() && wait > 0) {
+                    caller.watch = new Watch(known, site.eventLoop.scheduleAfter(wait * 1000, () -> {
                         caller.watch = null;
-                        answer(link, directory.since(known));
+                        answer(connection, registry.changesSince(known));
                     }));
                 } else {
-                    answer(link, page);
+                    answer(connection, update);
                 }
             };
-            if (caller.lastAnswerAt > site.world.now() - CONTINUES) {
-                site.world.after(delay, look);
+            if (caller.lastAnswerAt > site.eventLoop.now() - CONTINUES) {
+                site.eventLoop.scheduleAfter(delay, look);
             } else {
-                take(link, directory.since(known).entries().size(), look);
+                take(connection, registry.changesSince(known).instances().size(), look);
             }
         }
 
         /** Calls are handled in turn; one that would wait too long fails. */
-        private void take(Link link, int lines, Runnable task) {
-            long done = queue.call(site.world.now(), lines);
+        private void take(Connection connection, int entries, Runnable task) {
+            long done = queue.call(site.eventLoop.now(), entries);
             if (done == CallQueue.FAILED) {
-                site.world.after(queue.timeout(), () -> link.write(HttpMessage.answer(503, "", new byte[0])));
+                site.eventLoop.scheduleAfter(
+                        queue.timeoutMicros(), () -> connection.write(HttpMessage.response(503, "", new byte[0])));
             } else {
-                site.world.at(done + delay, () -> {
+                site.eventLoop.scheduleAt(done + delay, () -> {
                     if (!down) {
                         task.run();
                     }
@@ -245,46 +249,46 @@
             }
         }
 
-        private void answer(Link link, Page page) {
-            if (!link.open() || down || site.cutZones.contains(balancer.zone())) {
+        private void answer(Connection connection, ListUpdate update) {
+            if (!connection.isOpen() || down || site.cutZones.contains(balancer.zone())) {
                 return;
             }
-            ((Caller) link.mark).lastAnswerAt = site.world.now();
-            told(balancer, page);
-            link.write(HttpMessage.answer(
+            ((Caller) connection.attachment).lastAnswerAt = site.eventLoop.now();
+            told(balancer, update);
+            connection.write(HttpMessage.response(
                     200,
                     "Content-Type: application/json\r\n",
-                    Settings.list(page, s -> DiscoveryHost.this.address.apply(s, balancer.zone()))
+                    Settings.list(update, s -> DiscoveryHost.this.address.apply(s, balancer.zone()))
                             .toString()
                             .getBytes(StandardCharsets.UTF_8)));
         }
 
         /** Something is new: whoever watches hears of it. */
         void tell() {
-            for (Link link : List.copyOf(links)) {
-                Caller caller = (Caller) link.mark;
+            for (Connection connection : List.copyOf(connections)) {
+                Caller caller = (Caller) connection.attachment;
                 if (caller.watch != null) {
-                    Page page = directory.since(caller.watch.since);
-                    if (!page.entries().isEmpty()) {
+                    ListUpdate update = registry.changesSince(caller.watch.since);
+                    if (!update.instances().isEmpty()) {
                         caller.watch.timeout.cancel();
                         caller.watch = null;
-                        answer(link, page);
+                        answer(connection, update);
                     }
                 }
             }
         }
 
         @Override
-        public void unreadable(Link link, String why) {
-            link.close();
-            links.remove(link);
+        public void malformed(Connection connection, String reason) {
+            connection.close();
+            connections.remove(connection);
         }
 
         @Override
-        public void closed(Link link, boolean reset, boolean midway) {
-            links.remove(link);
-            if (((Caller) link.mark).watch != null) {
-                ((Caller) link.mark).watch.timeout.cancel();
+        public void closed(Connection connection, boolean reset, boolean midMessage) {
+            connections.remove(connection);
+            if (((Caller) connection.attachment).watch != null) {
+                ((Caller) connection.attachment).watch.timeout.cancel();
             }
         }
     }
--- a/lab/src/main/java/calicochute/lab/emulator/Emulation.java
+++ b/lab/src/main/java/calicochute/lab/emulator/Emulation.java
@@ -130,12 +130,12 @@
     /** Runs to the end and returns what it brought; nothing is left behind, whatever happens. */
     public Outcome run() throws InterruptedException {
         try {
-            site.world.start();
-            site.world.post(this::startBalancers);
+            site.eventLoop.start();
+            site.eventLoop.post(this::startBalancers);
             while (!over.await(200, TimeUnit.MILLISECONDS)) {
-                if (site.world.fault() != null) {
-                    StackTraceElement[] trace = site.world.fault().getStackTrace();
-                    ended = "the lab itself failed: " + site.world.fault()
+                if (site.eventLoop.failure() != null) {
+                    StackTraceElement[] trace = site.eventLoop.failure().getStackTrace();
+                    ended = "the lab itself failed: " + site.eventLoop.failure()
                             + (trace.length > 0 ? " at " + trace[0] : "");
                     break;
                 }
@@ -143,8 +143,8 @@
             if (ended == null) {
                 stopBalancers();
             }
-            site.world.stop();
-            site.world.join(5000);
+            site.eventLoop.stop();
+            site.eventLoop.join(5000);
             return outcome();
         } finally {
             destroy();
@@ -156,9 +156,9 @@
     }
 
     /** Ends the run at once, from any thread; {@link #run} then returns what there is. */
-    public void abort(String why) {
+    public void abort(String reason) {
         if (ended == null) {
-            ended = why;
+            ended = reason;
         }
         over.countDown();
     }
@@ -191,7 +191,7 @@
         readyAgain(balancer);
         startNext();
         if (--awaited == 0) {
-            site.world.after(scenario.settle().micros(), this::begin);
+            site.eventLoop.scheduleAfter(scenario.settle().micros(), this::begin);
         }
     }
 
@@ -205,19 +205,19 @@
 
     /** The run's start lies behind the lead-in, whose requests have planned times before it. */
     private void begin() {
-        startedAt = site.world.now() + scenario.leadIn().micros();
+        startedAt = site.eventLoop.now() + scenario.leadIn().micros();
         servers.values().forEach(ServerHost::begin);
         clients.send(arrivals, startedAt);
         troubleMaker.schedule(troubles, startedAt);
-        site.world.at(startedAt, this::measure);
+        site.eventLoop.scheduleAt(startedAt, this::measure);
     }
 
     private void measure() {
         running = true;
-        site.world.resetLateness();
+        site.eventLoop.resetLateness();
         cpuAtStart = cpu();
         sample();
-        site.world.every(SECOND, this::sample);
+        site.eventLoop.scheduleEvery(SECOND, this::sample);
         Thread sampler = new Thread(this::sampleBalancers, "sampler");
         sampler.setDaemon(true);
         sampler.start();
@@ -228,7 +228,7 @@
                 .orElse(0);
         long length = scenario.length().micros();
         // The last of the clients', then the last call that a server made for one of them.
-        site.world.at(startedAt + length, () -> awaitEnd(startedAt + length + 2 * longest + SECOND));
+        site.eventLoop.scheduleAt(startedAt + length, () -> awaitEnd(startedAt + length + 2 * longest + SECOND));
     }
 
     /** Reads of /proc take their time: on a thread of their own. */
@@ -249,15 +249,15 @@
      */
     private void awaitEnd(long latest) {
         site.closing = clients.open() == 0;
-        if (site.closing && site.awaited == 0 || site.world.now() > latest) {
+        if (site.closing && site.awaited == 0 || site.eventLoop.now() > latest) {
             running = false;
             cpuAtEnd = cpu();
-            wallAtEnd = site.world.now();
+            wallAtEnd = site.eventLoop.now();
             // The last look, so that a run shorter than two seconds has its use of CPU too.
             balancers.values().forEach(BalancerHost::sample);
             over.countDown();
         } else {
-            site.world.after(SECOND / 20, () -> awaitEnd(latest));
+            site.eventLoop.scheduleAfter(SECOND / 20, () -> awaitEnd(latest));
         }
     }
 
@@ -270,19 +270,19 @@
         if (!running) {
             return;
         }
-        long at = site.world.now() - startedAt;
+        long at = site.eventLoop.now() - startedAt;
         for (ServerHost server : servers.values()) {
             long[] last = lastCounts.computeIfAbsent(server.spec().id(), s -> new long[2]);
             serverSamples.add(new ServerSample(
                     at,
                     server.spec().id(),
                     server.spec().tier(),
-                    server.model().inWork(),
-                    server.model().inQueue(),
+                    server.model().busySlots(),
+                    server.model().queueLength(),
                     server.dispatches() - last[0],
                     server.turnedAway() - last[1],
-                    server.up() ? server.model().capacityShare(site.world.now()) : 0,
-                    server.model().sluggish()));
+                    server.up() ? server.model().capacityShare(site.eventLoop.now()) : 0,
+                    server.model().isSluggish()));
             last[0] = server.dispatches();
             last[1] = server.turnedAway();
         }
@@ -306,7 +306,7 @@
     /** A planned stop of all; a balancer that does not end or ends wrongly has failed. */
     private void stopBalancers() throws InterruptedException {
         CountDownLatch stopped = new CountDownLatch(balancers.size());
-        site.world.post(() -> balancers.values().forEach(b -> b.stop(stopped::countDown)));
+        site.eventLoop.post(() -> balancers.values().forEach(b -> b.stop(stopped::countDown)));
         // Many end side by side on few cores.
         long limit = STOP_LIMIT_S + balancers.size() / 10;
         if (!stopped.await(limit, TimeUnit.SECONDS)) {
@@ -333,12 +333,12 @@
             usage.put(balancer.spec(), samples);
             counters.put(balancer.spec(), counters(balancer.log()));
         }
-        double wall = wallAtEnd > startedAt ? wallAtEnd - startedAt : site.world.now() - startedAt;
+        double wall = wallAtEnd > startedAt ? wallAtEnd - startedAt : site.eventLoop.now() - startedAt;
         double labCpu = startedAt == 0 ? 0 : ((cpuAtEnd == 0 ? cpu() : cpuAtEnd) - cpuAtStart) / 1e3 / wall;
         long probes = counters.values().stream()
                 .mapToLong(c -> c.getOrDefault("probes_sent", 0L))
                 .sum();
-        var late = site.world.lateness();
+        var late = site.eventLoop.lateness();
         return new Outcome(
                 site.deployment,
                 seed,
@@ -350,11 +350,11 @@
                 serverSamples,
                 usage,
                 counters,
-                site.referee.verdict(),
+                site.ruleChecker.allBreaches(),
                 new long[] {late.getValueAtPercentile(50), late.getValueAtPercentile(99), late.getMaxValue()},
                 labCpu,
                 probes,
-                site.referee.dispatches(),
+                site.ruleChecker.dispatches(),
                 servers.values().stream().mapToLong(ServerHost::crossings).sum(),
                 new Outcome.BadClientCount(badClients.sent(), badClients.neglected(), badClients.served()),
                 fleet == null ? Map.of() : fleet.counts(),
@@ -367,11 +367,11 @@
                 servers.values().stream().mapToInt(ServerHost::coldStarts).sum(),
                 servers.values().stream().mapToInt(s -> s.work().falls).sum(),
                 servers.values().stream()
-                        .mapToDouble(s -> s.model().budget().worst())
+                        .mapToDouble(s -> s.model().coldStartBudget().worstShare())
                         .max()
                         .orElse(0),
                 servers.values().stream()
-                        .mapToDouble(s -> s.model().budget().worstInformed())
+                        .mapToDouble(s -> s.model().coldStartBudget().worstInformedShare())
                         .max()
                         .orElse(0));
     }
--- a/lab/src/main/java/calicochute/lab/emulator/FleetHost.java
+++ b/lab/src/main/java/calicochute/lab/emulator/FleetHost.java
@@ -1,10 +1,10 @@
 package calicochute.lab.emulator;
 
 import calicochute.lab.network.Conditions;
+import calicochute.lab.network.DatagramProxy;
 import calicochute.lab.network.Fault;
 import calicochute.lab.network.FleetFile;
-import calicochute.lab.network.Net;
-import calicochute.lab.network.Wire;
+import calicochute.lab.network.LinkModel;
 import calicochute.lab.plan.BalancerSpec;
 import calicochute.lab.plan.TroublePlan;
 import calicochute.lab.scenario.Scenario;
@@ -28,7 +28,7 @@
     private final Scenario.Fleet fleet;
     private final Path folder;
     private final Map<String, Integer> numbers = new HashMap<>();
-    private final Net net;
+    private final DatagramProxy proxy;
 
     FleetHost(Site site, Path folder) throws IOException {
         this.site = site;
@@ -45,9 +45,9 @@
             }
         }
         Scenario.Network n = fleet.network();
-        net = new Net(
+        proxy = new DatagramProxy(
                 real,
-                new Wire(
+                new LinkModel(
                         real.size(),
                         new Conditions(n.loss(), n.delay().micros(), n.repeat(), n.reorder()),
                         way -> site.streams.of("network", way)));
@@ -71,7 +71,7 @@
                     file,
                     FleetFile.of(
                                     site.scenario.tiers().get(balancer.tier()).name(),
-                                    net,
+                                    proxy,
                                     numbers.get(balancer.name()),
                                     cluster,
                                     fleet.share(),
@@ -79,7 +79,7 @@
                                     fleet.experiments(),
                                     state)
                             .yaml());
-            return Map.of(FleetFile.VARIABLE, file.toAbsolutePath().toString());
+            return Map.of(FleetFile.ENVIRONMENT_VARIABLE, file.toAbsolutePath().toString());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -106,24 +106,24 @@
     }
 
     void begin(Fault fault) {
-        net.begin(fault);
+        proxy.beginFault(fault);
     }
 
     void end(Fault fault) {
-        net.end(fault);
+        proxy.endFault(fault);
     }
 
     /** Datagrams by what became of them. */
     Map<String, Long> counts() {
         Map<String, Long> counts = new LinkedHashMap<>();
-        for (Net.Counted what : Net.Counted.values()) {
-            counts.put(what.name().toLowerCase(Locale.ROOT), net.count(what));
+        for (DatagramProxy.Count what : DatagramProxy.Count.values()) {
+            counts.put(what.name().toLowerCase(Locale.ROOT), proxy.count(what));
         }
         return counts;
     }
 
     @Override
     public void close() {
-        net.close();
+        proxy.close();
     }
 }
--- a/lab/src/main/java/calicochute/lab/emulator/LoadReports.java
+++ b/lab/src/main/java/calicochute/lab/emulator/LoadReports.java
@@ -13,7 +13,7 @@
     private final UniformRandomProvider chance;
     private final Deque<Snapshot> snapshots = new ArrayDeque<>();
 
-    private record Snapshot(long at, int inflight, long taken) {}
+    private record Snapshot(long at, int inflight, long accepted) {}
 
     LoadReports(MachineSpec spec, UniformRandomProvider chance) {
         this.spec = spec;
@@ -21,7 +21,7 @@
     }
 
     void take(long now, ServerModel.Load load) {
-        snapshots.addLast(new Snapshot(now, load.inflight(), load.taken()));
+        snapshots.addLast(new Snapshot(now, load.inflight(), load.accepted()));
         if (snapshots.size() > 4) {
             snapshots.pollFirst();
         }
@@ -38,7 +38,8 @@
             }
         }
         double noise = 1 + 0.03 * (2 * chance.nextDouble() - 1);
-        double rate = seen == null || before == null ? 0 : (seen.taken - before.taken) * 1e6 / (seen.at - before.at);
+        double rate =
+                seen == null || before == null ? 0 : (seen.accepted - before.accepted) * 1e6 / (seen.at - before.at);
         return String.format(
                 Locale.ROOT, "rif=%.0f,rate=%.2f", seen == null ? 0 : seen.inflight * noise, Math.max(0, rate * noise));
     }
--- a/lab/src/main/java/calicochute/lab/emulator/OverheadRun.java
+++ b/lab/src/main/java/calicochute/lab/emulator/OverheadRun.java
@@ -91,7 +91,7 @@
         List<Process> processes = new ArrayList<>();
         BalancerHost balancer = null;
         try {
-            site.world.start();
+            site.eventLoop.start();
             BalancerSpec spec = site.deployment.balancers().get(0);
             Settings settings = new Settings(site);
             balancer = new BalancerHost(
@@ -102,8 +102,8 @@
                     (s, listen, n) -> settings.configuration(s, listen, discovery.at(s), 1, discovery.known(s)),
                     s -> java.util.Map.of());
             CountDownLatch ready = new CountDownLatch(1);
-            balancer.listeners(b -> ready.countDown(), why -> System.err.println(why));
-            site.world.post(balancer::start);
+            balancer.listeners(b -> ready.countDown(), reason -> System.err.println(reason));
+            site.eventLoop.post(balancer::start);
             if (!ready.await(START_LIMIT_S, TimeUnit.SECONDS)) {
                 throw new StartException("", "the balancer was not ready within " + START_LIMIT_S + " s");
             }
@@ -142,7 +142,7 @@
                 balancer.destroy();
             }
             processes.forEach(Process::destroyForcibly);
-            site.world.stop();
+            site.eventLoop.stop();
             site.sockets.close();
         }
     }
@@ -169,7 +169,7 @@
     private Request request() {
         Arrival arrival = new Arrival(numbers++, 0, 0, 0, 0, REQUEST_WORK, 1, List.of(0), 0, false, false);
         return site.request(
-                new Root(arrival, site.world.now(), 1),
+                new Root(arrival, site.eventLoop.now(), 1),
                 0,
                 site.deployment.balancers().get(0));
     }
@@ -183,8 +183,8 @@
         double before = route.pid == 0 ? 0 : ProcessUsage.of(route.pid).cpuSeconds();
         CountDownLatch over = new CountDownLatch(1);
         UniformRandomProvider times = site.streams.of("overhead", 0);
-        site.world.post(() -> {
-            long begin = site.world.now() + 50_000;
+        site.eventLoop.post(() -> {
+            long begin = site.eventLoop.now() + 50_000;
             long[] open = new long[1];
             send(route, times, rate, begin + micros, begin, counts, open, over);
         });
@@ -209,10 +209,10 @@
             CountDownLatch over) {
         long next = at + Math.round(Streams.exponential(times, 1e6 / rate));
         if (next >= end) {
-            site.world.at(end, () -> awaitNone(open, over));
+            site.eventLoop.scheduleAt(end, () -> awaitNone(open, over));
             return;
         }
-        site.world.at(next, () -> {
+        site.eventLoop.scheduleAt(next, () -> {
             send(route, times, rate, end, next, counts, open, over);
             open[0]++;
             route.caller.ask(request(), null, false, patience(), result -> {
@@ -220,7 +220,7 @@
                 if (counts) {
                     route.sent++;
                     route.failed += result.served() ? 0 : 1;
-                    route.latency.recordValue(Math.min(HIGHEST, site.world.now() - next));
+                    route.latency.recordValue(Math.min(HIGHEST, site.eventLoop.now() - next));
                 }
             });
         });
@@ -230,7 +230,7 @@
         if (open[0] == 0) {
             over.countDown();
         } else {
-            site.world.after(5000, () -> awaitNone(open, over));
+            site.eventLoop.scheduleAfter(5000, () -> awaitNone(open, over));
         }
     }
 
@@ -239,8 +239,8 @@
         CountDownLatch over = new CountDownLatch(together);
         long[] done = new long[1];
         long[] end = new long[1];
-        site.world.post(() -> {
-            end[0] = site.world.now() + micros;
+        site.eventLoop.post(() -> {
+            end[0] = site.eventLoop.now() + micros;
             for (int i = 0; i < together; i++) {
                 again(route, end, done, over);
             }
@@ -250,7 +250,7 @@
     }
 
     private void again(Route route, long[] end, long[] done, CountDownLatch over) {
-        if (site.world.now() >= end[0]) {
+        if (site.eventLoop.now() >= end[0]) {
             over.countDown();
             return;
         }
--- a/lab/src/main/java/calicochute/lab/emulator/ServerDoor.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ServerDoor.java
@@ -2,8 +2,8 @@
 
 import calicochute.lab.emulator.ServerJob.Held;
 import calicochute.lab.socket.Blackhole;
+import calicochute.lab.socket.Connection;
 import calicochute.lab.socket.HttpMessage;
-import calicochute.lab.socket.Link;
 import calicochute.lab.socket.Sockets;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -13,12 +13,12 @@
 import org.apache.hc.core5.reactor.ListenerEndpoint;
 
 /** A server's address for callers of one zone. */
-final class ServerDoor implements Link.Owner, Sockets.Acceptor {
+final class ServerDoor implements Connection.Listener, Sockets.Acceptor {
     final String zone;
     /** One way from its callers, in microseconds. */
     final long delay;
 
-    final Set<Link> links = new LinkedHashSet<>();
+    final Set<Connection> connections = new LinkedHashSet<>();
     private final ServerHost server;
     private final Site site;
     private InetSocketAddress address;
@@ -69,16 +69,17 @@
             shut();
             if (away) {
                 blackhole = new Blackhole(address);
-                links.forEach(l -> ((Held) l.mark).dead = true);
+                connections.forEach(connection -> ((Held) connection.attachment).dead = true);
             } else {
-                for (Link link : links) {
-                    if (((Held) link.mark).job != null) {
-                        site.referee.ended(site.world.now(), ((Held) link.mark).job.dispatch);
+                for (Connection connection : connections) {
+                    if (((Held) connection.attachment).job != null) {
+                        site.ruleChecker.dispatchEnded(
+                                site.eventLoop.now(), ((Held) connection.attachment).job.dispatch);
                     }
-                    link.reset();
+                    connection.reset();
                 }
-                server.connections.addAndGet(-links.size());
-                links.clear();
+                server.openConnections.addAndGet(-connections.size());
+                connections.clear();
                 listener = site.sockets.listen(address, this);
             }
         } catch (IOException e) {
@@ -88,47 +89,47 @@
 
     /** On an I/O thread: a connection too many is ended as it comes up. */
     @Override
-    public Link.Owner apply(InetSocketAddress from) {
-        if (server.connections.incrementAndGet() > server.spec().kind().connections()) {
-            server.connections.decrementAndGet();
+    public Connection.Listener apply(InetSocketAddress from) {
+        if (server.openConnections.incrementAndGet() > server.spec().kind().connections()) {
+            server.openConnections.decrementAndGet();
             return null;
         }
         return this;
     }
 
     @Override
-    public void accepted(Link link) {
+    public void accepted(Connection connection) {
         Held held = new Held();
-        held.idleSince = site.world.now();
-        link.mark = held;
+        held.idleSince = site.eventLoop.now();
+        connection.attachment = held;
         if (!server.up()) {
-            link.reset();
+            connection.reset();
         } else {
             held.dead = blackhole != null;
-            links.add(link);
+            connections.add(connection);
         }
     }
 
     @Override
-    public void message(Link link, HttpMessage message) {
+    public void message(Connection connection, HttpMessage message) {
         if (server.up()) {
-            server.work().arrived(this, link, message);
+            server.work().arrived(this, connection, message);
         }
     }
 
     @Override
-    public void unreadable(Link link, String why) {
+    public void malformed(Connection connection, String reason) {
         // Balancers must not send this on; whoever did is answered as a server would.
-        link.write(HttpMessage.answer(400, "Connection: close\r\n", new byte[0]));
-        link.close();
-        closed(link, false, true);
+        connection.write(HttpMessage.response(400, "Connection: close\r\n", new byte[0]));
+        connection.close();
+        closed(connection, false, true);
     }
 
     @Override
-    public void closed(Link link, boolean reset, boolean midway) {
-        if (links.remove(link)) {
-            server.connections.decrementAndGet();
+    public void closed(Connection connection, boolean reset, boolean midMessage) {
+        if (connections.remove(connection)) {
+            server.openConnections.decrementAndGet();
         }
-        server.work().gaveUp(link);
+        server.work().gaveUp(connection);
     }
 }
--- a/lab/src/main/java/calicochute/lab/emulator/ServerHost.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ServerHost.java
@@ -3,7 +3,7 @@
 import calicochute.lab.emulator.ServerJob.Held;
 import calicochute.lab.server.MachineSpec;
 import calicochute.lab.server.ServerModel;
-import calicochute.lab.socket.Link;
+import calicochute.lab.socket.Connection;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
@@ -24,7 +24,7 @@
     private final ServerWork work;
     private final Informed informed;
     /** Open ones over all doors; counted on I/O threads too. */
-    final AtomicInteger connections = new AtomicInteger();
+    final AtomicInteger openConnections = new AtomicInteger();
 
     private boolean up;
     private boolean silent;
@@ -49,7 +49,7 @@
                 Emulation.FALL_SPAN,
                 site.deployment.meanWork()
                         * site.scenario.tiers().get(spec.tier()).work(),
-                site.world.now());
+                site.eventLoop.now());
         work = new ServerWork(this, site, model, chance);
         for (String zone : site.scenario.zones().names()) {
             doors.put(zone, new ServerDoor(this, site, zone));
@@ -123,9 +123,10 @@
     /** What it does by itself: reports and closing idle connections. */
     void begin() {
         long phase = (long) (spec.reportEvery() * chance.nextDouble());
-        site.world.after(phase, () -> site.world.every(spec.reportEvery(), work::report));
+        site.eventLoop.scheduleAfter(phase, () -> site.eventLoop.scheduleEvery(spec.reportEvery(), work::report));
         // Not all servers in one moment: the world's other timers would wait.
-        site.world.after((long) (SWEEP * chance.nextDouble()), () -> site.world.every(SWEEP, this::closeIdle));
+        site.eventLoop.scheduleAfter(
+                (long) (SWEEP * chance.nextDouble()), () -> site.eventLoop.scheduleEvery(SWEEP, this::closeIdle));
     }
 
     /** Its way to the next tier from now on; null: none. */
@@ -140,18 +141,18 @@
             return;
         }
         up = false;
-        long now = site.world.now();
+        long now = site.eventLoop.now();
         for (ServerDoor door : doors.values()) {
             door.shut();
-            for (Link link : List.copyOf(door.links)) {
-                if (link.mark instanceof Held held && held.job != null) {
-                    site.referee.ended(now, held.job.dispatch);
+            for (Connection connection : List.copyOf(door.connections)) {
+                if (connection.attachment instanceof Held held && held.job != null) {
+                    site.ruleChecker.dispatchEnded(now, held.job.dispatch);
                 }
-                link.reset();
+                connection.reset();
             }
-            door.links.clear();
+            door.connections.clear();
         }
-        connections.set(0);
+        openConnections.set(0);
         work.clear(now);
     }
 
@@ -168,13 +169,13 @@
             throw new IllegalStateException(e);
         }
         up = true;
-        startedAt = site.world.now();
+        startedAt = site.eventLoop.now();
         coldStarts++;
         model.start(startedAt);
     }
 
     void drain() {
-        model.drain(true);
+        model.setDraining(true);
     }
 
     /** The machine vanishes from the network, or comes back with all its old connections reset. */
@@ -190,13 +191,13 @@
 
     void slow(double factor) {
         work.pump();
-        model.slow(site.world.now(), factor);
+        model.setSlowdown(site.eventLoop.now(), factor);
         work.schedule();
     }
 
     void hang(boolean on) {
         work.pump();
-        model.hang(site.world.now(), on);
+        model.setHung(site.eventLoop.now(), on);
         work.schedule();
     }
 
@@ -220,14 +221,15 @@
         if (!up || silent || work.paused()) {
             return;
         }
-        long limit = site.world.now() - (stale ? STALE_IDLE : spec.kind().idle().micros());
+        long limit =
+                site.eventLoop.now() - (stale ? STALE_IDLE : spec.kind().idle().micros());
         for (ServerDoor door : doors.values()) {
-            door.links.removeIf(link -> {
-                Held held = (Held) link.mark;
+            door.connections.removeIf(connection -> {
+                Held held = (Held) connection.attachment;
                 boolean idle = held.job == null && !held.fresh && !held.dead && held.idleSince < limit;
                 if (idle) {
-                    connections.decrementAndGet();
-                    link.close();
+                    openConnections.decrementAndGet();
+                    connection.close();
                 }
                 return idle;
             });
--- a/lab/src/main/java/calicochute/lab/emulator/ServerJob.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ServerJob.java
@@ -1,21 +1,21 @@
 package calicochute.lab.emulator;
 
-import calicochute.lab.referee.Referee;
-import calicochute.lab.socket.Link;
+import calicochute.lab.referee.RuleChecker;
+import calicochute.lab.socket.Connection;
 
 /** One request in a server's machine. */
 final class ServerJob {
     final long id;
-    final Link link;
+    final Connection connection;
     final Request request;
-    final Referee.Dispatch dispatch;
+    final RuleChecker.Dispatch dispatch;
     int callsLeft;
     double rest;
     double own;
 
-    ServerJob(long id, Link link, Request request, Referee.Dispatch dispatch) {
+    ServerJob(long id, Connection connection, Request request, RuleChecker.Dispatch dispatch) {
         this.id = id;
-        this.link = link;
+        this.connection = connection;
         this.request = request;
         this.dispatch = dispatch;
     }
--- a/lab/src/main/java/calicochute/lab/emulator/ServerWork.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ServerWork.java
@@ -1,14 +1,14 @@
 package calicochute.lab.emulator;
 
 import calicochute.lab.emulator.ServerJob.Held;
-import calicochute.lab.referee.Referee;
+import calicochute.lab.referee.RuleChecker;
 import calicochute.lab.scenario.Scenario.Tier;
 import calicochute.lab.server.MachineSpec;
 import calicochute.lab.server.ServerModel;
 import calicochute.lab.server.ServerModel.Admission;
+import calicochute.lab.socket.Connection;
 import calicochute.lab.socket.HttpMessage;
-import calicochute.lab.socket.Link;
-import calicochute.lab.world.World;
+import calicochute.lab.world.EventLoop;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -32,7 +32,7 @@
     /** Its way to the next tier; null in the last one, and while its balancer does not run. */
     private Caller next;
 
-    private World.Alarm wake;
+    private EventLoop.Timer wake;
     private long wakeAt = Long.MAX_VALUE;
     private long lastJob;
     private boolean paused;
@@ -63,7 +63,7 @@
     }
 
     void report() {
-        reports.take(site.world.now(), model.load());
+        reports.take(site.eventLoop.now(), model.load());
     }
 
     boolean paused() {
@@ -75,7 +75,7 @@
         jobs.clear();
         deferred.clear();
         paused = false;
-        model.pause(now, false);
+        model.setPaused(now, false);
         model.start(now);
         schedule();
     }
@@ -83,7 +83,7 @@
     void pause(boolean on) {
         pump();
         paused = on;
-        model.pause(site.world.now(), on);
+        model.setPaused(site.eventLoop.now(), on);
         if (!on) {
             List<Runnable> waiting = List.copyOf(deferred);
             deferred.clear();
@@ -92,34 +92,35 @@
         schedule();
     }
 
-    void arrived(ServerDoor door, Link link, HttpMessage message) {
-        Held held = (Held) link.mark;
+    void arrived(ServerDoor door, Connection connection, HttpMessage message) {
+        Held held = (Held) connection.attachment;
         if (held.dead) {
             return;
         }
         String path = message.target();
         if (path.equals("/health") || path.equals("/status/load")) {
-            site.world.after(door.delay, () -> whenAwake(() -> probed(door, link)));
+            site.eventLoop.scheduleAfter(door.delay, () -> whenAwake(() -> probed(door, connection)));
             return;
         }
         String id = message.field("x-txn");
-        Referee.Dispatch dispatch = site.referee.dispatched(message.firstByteAt(), message.lastByteAt(), id, spec.id());
+        RuleChecker.Dispatch dispatch =
+                site.ruleChecker.dispatchReceived(message.firstByteAt(), message.lastByteAt(), id, spec.id());
         dispatches++;
         crossings += door.zone.equals(spec.zone()) ? 0 : 1;
         Request request = id == null ? null : site.requests.get(id);
         if (request == null || request.tier() != spec.tier()) {
-            link.write(HttpMessage.answer(id == null ? 404 : 400, "", NONE));
+            connection.write(HttpMessage.response(id == null ? 404 : 400, "", NONE));
             return;
         }
         request.root().dispatches[spec.tier()]++;
-        site.sent(message.lastByteAt(), request, spec.index(), site.referee.dispatches(id) == 1);
-        ServerJob job = new ServerJob(++lastJob, link, request, dispatch);
+        site.sent(message.lastByteAt(), request, spec.index(), site.ruleChecker.dispatches(id) == 1);
+        ServerJob job = new ServerJob(++lastJob, connection, request, dispatch);
         held.job = job;
         // A fresh connection's handshake takes round trips before its first request counts.
         long handshake = held.fresh ? 4 * door.delay : 0;
         boolean fresh = held.fresh;
         held.fresh = false;
-        site.world.after(door.delay + handshake, () -> whenAwake(() -> begin(job, door, fresh)));
+        site.eventLoop.scheduleAfter(door.delay + handshake, () -> whenAwake(() -> begin(job, door, fresh)));
     }
 
     private void whenAwake(Runnable task) {
@@ -131,25 +132,25 @@
     }
 
     private void begin(ServerJob job, ServerDoor door, boolean fresh) {
-        Held held = (Held) job.link.mark;
-        if (held.dead || !job.link.open()) {
+        Held held = (Held) job.connection.attachment;
+        if (held.dead || !job.connection.isOpen()) {
             return;
         }
         if (resets > 0 && chance.nextDouble() < resets) {
-            site.referee.ended(site.world.now(), job.dispatch);
-            job.link.reset();
-            door.links.remove(job.link);
-            server.connections.decrementAndGet();
+            site.ruleChecker.dispatchEnded(site.eventLoop.now(), job.dispatch);
+            job.connection.reset();
+            door.connections.remove(job.connection);
+            server.openConnections.decrementAndGet();
             return;
         }
         pump();
-        long now = site.world.now();
+        long now = site.eventLoop.now();
         Root root = job.request.root();
         job.own = root.arrival.work() * tier.work();
         job.callsLeft = callsOn ? root.arrival.calls().get(spec.tier()) : 0;
         job.rest = job.callsLeft > 0 ? job.own / 2 : 0;
         double extra = fresh ? tier.kinds().get(0).handshake().micros() : 0;
-        Admission admission = model.offer(
+        Admission admission = model.submit(
                 now,
                 job.id,
                 job.own - job.rest,
@@ -157,38 +158,39 @@
                 extra,
                 server.informed(job.request.balancer().name()));
         switch (admission) {
-            case TAKEN -> jobs.put(job.id, job);
-            case TURNED_AWAY -> {
+            case ACCEPTED -> jobs.put(job.id, job);
+            case REJECTED -> {
                 turnedAway++;
                 answer(job, door, 503);
             }
-            case SWALLOWED -> {
+            case IGNORED -> {
                 // Nothing more is heard of it.
             }
-            case FELL_OVER -> {
+            case COLLAPSED -> {
                 falls++;
-                site.referee.fellOver(now, spec.id(), model.informedShare());
+                site.ruleChecker.coldServerCollapsed(now, spec.id(), model.informedShare());
                 server.crash();
             }
         }
         schedule();
     }
 
-    private void probed(ServerDoor door, Link link) {
-        if (!link.open() || link.mark instanceof Held held && held.dead) {
+    private void probed(ServerDoor door, Connection connection) {
+        if (!connection.isOpen() || connection.attachment instanceof Held held && held.dead) {
             return;
         }
         pump();
-        model.burn(site.world.now(), -(++lastJob), spec.kind().probeWork().micros());
+        model.runOutsideSlots(
+                site.eventLoop.now(), -(++lastJob), spec.kind().probeWork().micros());
         schedule();
         byte[] answer =
-                HttpMessage.answer(200, "", reports.text(site.world.now()).getBytes(StandardCharsets.US_ASCII));
-        site.world.after(door.delay, () -> link.write(answer));
+                HttpMessage.response(200, "", reports.text(site.eventLoop.now()).getBytes(StandardCharsets.US_ASCII));
+        site.eventLoop.scheduleAfter(door.delay, () -> connection.write(answer));
     }
 
     /** Lets the model catch up, and carries on what has ended there. */
     void pump() {
-        for (long id : model.advance(site.world.now())) {
+        for (long id : model.advance(site.eventLoop.now())) {
             ServerJob job = jobs.get(id);
             if (job != null) {
                 pieceDone(job);
@@ -197,7 +199,7 @@
     }
 
     void schedule() {
-        long at = model.next(site.world.now());
+        long at = model.nextEventTime(site.eventLoop.now());
         if (at == wakeAt) {
             return;
         }
@@ -207,7 +209,7 @@
         wakeAt = at;
         wake = at == Long.MAX_VALUE
                 ? null
-                : site.world.at(at, () -> {
+                : site.eventLoop.scheduleAt(at, () -> {
                     wakeAt = Long.MAX_VALUE;
                     pump();
                     schedule();
@@ -249,7 +251,7 @@
                 job.rest = 0;
                 job.own = rest;
                 pump();
-                model.resume(site.world.now(), job.id, rest);
+                model.resume(site.eventLoop.now(), job.id, rest);
                 schedule();
             }
         });
@@ -257,43 +259,45 @@
 
     private void end(ServerJob job, int status) {
         jobs.remove(job.id);
-        model.release(site.world.now(), job.id);
+        model.release(site.eventLoop.now(), job.id);
         schedule();
         answer(job, server.door(job.request.balancer().zone()), status);
     }
 
     private void answer(ServerJob job, ServerDoor door, int status) {
-        site.world.after(door.delay, () -> {
-            Held held = (Held) job.link.mark;
-            if (!job.link.open() || held.dead || held.job != job || !server.up()) {
+        site.eventLoop.scheduleAfter(door.delay, () -> {
+            Held held = (Held) job.connection.attachment;
+            if (!job.connection.isOpen() || held.dead || held.job != job || !server.up()) {
                 return;
             }
             held.job = null;
-            held.idleSince = site.world.now();
+            held.idleSince = site.eventLoop.now();
             if (status == 503) {
-                site.referee.neverRan(site.world.now(), job.dispatch);
-                job.link.write(HttpMessage.answer(503, "X-Turned-Away: 1\r\n", NONE));
+                site.ruleChecker.dispatchNotRun(site.eventLoop.now(), job.dispatch);
+                job.connection.write(HttpMessage.response(503, "X-Turned-Away: 1\r\n", NONE));
             } else if (spoilt > 0 && chance.nextDouble() < spoilt) {
                 Spoilt.values()[chance.nextInt(Spoilt.values().length)].write(
-                        job.link, status, Referee.token(job.dispatch));
-                site.referee.ended(site.world.now(), job.dispatch);
+                        job.connection, status, RuleChecker.responseToken(job.dispatch));
+                site.ruleChecker.dispatchEnded(site.eventLoop.now(), job.dispatch);
             } else {
-                site.referee.ended(site.world.now(), job.dispatch);
-                job.link.write(HttpMessage.answer(
+                site.ruleChecker.dispatchEnded(site.eventLoop.now(), job.dispatch);
+                job.connection.write(HttpMessage.response(
                         status,
                         "",
-                        status != 200 ? NONE : Referee.token(job.dispatch).getBytes(StandardCharsets.US_ASCII)));
+                        status != 200
+                                ? NONE
+                                : RuleChecker.responseToken(job.dispatch).getBytes(StandardCharsets.US_ASCII)));
             }
         });
     }
 
-    void gaveUp(Link link) {
-        if (link.mark instanceof Held held && held.job != null) {
+    void gaveUp(Connection connection) {
+        if (connection.attachment instanceof Held held && held.job != null) {
             ServerJob job = held.job;
             held.job = null;
-            site.referee.ended(site.world.now(), job.dispatch);
+            site.ruleChecker.dispatchEnded(site.eventLoop.now(), job.dispatch);
             pump();
-            if (model.withdraw(site.world.now(), job.id)) {
+            if (model.cancelQueued(site.eventLoop.now(), job.id)) {
                 jobs.remove(job.id);
             }
             schedule();
--- a/lab/src/main/java/calicochute/lab/emulator/Settings.java
+++ b/lab/src/main/java/calicochute/lab/emulator/Settings.java
@@ -1,6 +1,6 @@
 package calicochute.lab.emulator;
 
-import calicochute.lab.discovery.Directory;
+import calicochute.lab.discovery.InstanceRegistry;
 import calicochute.lab.plan.BalancerSpec;
 import calicochute.lab.scenario.Scenario;
 import calicochute.lab.scenario.Scenario.Effect;
@@ -134,21 +134,21 @@
     }
 
     /** A list in discovery's form; {@code address} gives each server's for the balancer that asks. */
-    static ObjectNode list(Directory.Page page, Function<String, InetSocketAddress> address) {
+    static ObjectNode list(InstanceRegistry.ListUpdate update, Function<String, InetSocketAddress> address) {
         ObjectNode root = JSON.objectNode();
-        root.put("generation", page.version()).put("reset", page.whole());
+        root.put("generation", update.version()).put("reset", update.complete());
         ArrayNode instances = root.putArray("instances");
-        for (Directory.Entry e : page.entries()) {
+        for (InstanceRegistry.Instance instance : update.instances()) {
             instances
                     .addObject()
-                    .put("instanceId", e.id())
-                    .put("hostPort", Site.text(address.apply(e.id())))
-                    .put("zone", e.zone())
-                    .put("machineType", e.kind())
-                    .put("cell", e.cell())
-                    .put("lifecycle", e.state().word())
-                    .put("weight", e.size())
-                    .put("startedAtMs", e.startedAt() / 1000);
+                    .put("instanceId", instance.id())
+                    .put("hostPort", Site.text(address.apply(instance.id())))
+                    .put("zone", instance.zone())
+                    .put("machineType", instance.kind())
+                    .put("cell", instance.cell())
+                    .put("lifecycle", instance.state().word())
+                    .put("weight", instance.size())
+                    .put("startedAtMs", instance.startedAt() / 1000);
         }
         return root;
     }
--- a/lab/src/main/java/calicochute/lab/emulator/Site.java
+++ b/lab/src/main/java/calicochute/lab/emulator/Site.java
@@ -5,11 +5,11 @@
 import calicochute.lab.plan.BalancerSpec;
 import calicochute.lab.plan.Deployment;
 import calicochute.lab.referee.ClassRule;
-import calicochute.lab.referee.Referee;
+import calicochute.lab.referee.RuleChecker;
 import calicochute.lab.scenario.Scenario;
 import calicochute.lab.scenario.Scenario.RequestClass;
 import calicochute.lab.socket.Sockets;
-import calicochute.lab.world.World;
+import calicochute.lab.world.EventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -25,12 +25,12 @@
 
 /** What all parts of an emulation share: world, sockets, referee, the requests under way, and who is cut off. */
 final class Site {
-    final World world = new World();
-    final Sockets sockets = new Sockets(world);
+    final EventLoop eventLoop = new EventLoop();
+    final Sockets sockets = new Sockets(eventLoop);
     final Deployment deployment;
     final Scenario scenario;
     final Streams streams;
-    final Referee referee;
+    final RuleChecker ruleChecker;
     final Map<String, Request> requests = new HashMap<>();
     final Set<String> cutZones = new HashSet<>();
     /** Every dispatch that came to a server, by tier, in order. */
@@ -50,7 +50,7 @@
         this.deployment = deployment;
         this.scenario = deployment.scenario();
         this.streams = streams;
-        referee = new Referee(scenario.discovery().grace().micros() + Settings.SOCKET_SLACK);
+        ruleChecker = new RuleChecker(scenario.discovery().grace().micros() + Settings.SOCKET_SLACK);
         ids = streams.of("ids", 0);
         scenario.tiers().forEach(t -> dispatches.add(new ArrayList<>()));
         deployment.balancers().forEach(b -> balancerNumbers.put(b.name(), balancerNumbers.size()));
--- a/lab/src/main/java/calicochute/lab/emulator/Troubles.java
+++ b/lab/src/main/java/calicochute/lab/emulator/Troubles.java
@@ -1,11 +1,11 @@
 package calicochute.lab.emulator;
 
-import calicochute.lab.discovery.Directory.State;
+import calicochute.lab.discovery.InstanceRegistry.State;
 import calicochute.lab.network.Fault;
 import calicochute.lab.plan.TroublePlan;
 import calicochute.lab.scenario.Trouble;
 import calicochute.lab.server.MachineSpec;
-import calicochute.lab.world.World;
+import calicochute.lab.world.EventLoop;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -44,7 +44,7 @@
 
     void schedule(List<TroublePlan> plans, long start) {
         for (TroublePlan plan : plans) {
-            World world = site.world;
+            EventLoop eventLoop = site.eventLoop;
             Trouble trouble = plan.trouble();
             long from = start + plan.from();
             long to = start + plan.to();
@@ -60,32 +60,34 @@
                 case DRAIN -> {
                     for (int i = 0; i < plan.victims().size(); i++) {
                         ServerHost server = servers.get(plan.victims().get(i));
-                        world.at(
+                        eventLoop.scheduleAt(
                                 from + i * trouble.every().micros(),
                                 () -> drain(server, trouble.lasts().micros()));
                     }
                 }
                 case ZONE_CUT -> {
-                    world.at(from, () -> cut(trouble.zone(), true));
-                    world.at(to, () -> cut(trouble.zone(), false));
+                    eventLoop.scheduleAt(from, () -> cut(trouble.zone(), true));
+                    eventLoop.scheduleAt(to, () -> cut(trouble.zone(), false));
                 }
                 case DISCOVERY_DOWN -> {
-                    world.at(from, () -> discovery.down(true));
-                    world.at(to, () -> discovery.down(false));
+                    eventLoop.scheduleAt(from, () -> discovery.down(true));
+                    eventLoop.scheduleAt(to, () -> discovery.down(false));
                 }
-                case BALANCER_KILL -> plan.victims().forEach(b -> world.at(from, () -> kill(balancers.get(b), to)));
-                case BALANCER_RESTART -> plan.victims().forEach(b -> world.at(from, () -> restart(balancers.get(b))));
+                case BALANCER_KILL ->
+                    plan.victims().forEach(b -> eventLoop.scheduleAt(from, () -> kill(balancers.get(b), to)));
+                case BALANCER_RESTART ->
+                    plan.victims().forEach(b -> eventLoop.scheduleAt(from, () -> restart(balancers.get(b))));
                 case BALANCER_PAUSE ->
                     plan.victims().forEach(b -> {
-                        world.at(from, () -> pause(balancers.get(b)));
-                        world.at(to, () -> resume(balancers.get(b)));
+                        eventLoop.scheduleAt(from, () -> pause(balancers.get(b)));
+                        eventLoop.scheduleAt(to, () -> resume(balancers.get(b)));
                     });
                 case NET_LOSS, NET_DELAY, NET_CUT, NET_SPLIT, NET_SLOW_PEER -> {
                     Fault fault = fleet.fault(plan);
-                    world.at(from, () -> fleet.begin(fault));
-                    world.at(to, () -> fleet.end(fault));
+                    eventLoop.scheduleAt(from, () -> fleet.begin(fault));
+                    eventLoop.scheduleAt(to, () -> fleet.end(fault));
                 }
-                case BAD_CLIENTS -> world.at(from, () -> badClients(trouble, from, to, 0));
+                case BAD_CLIENTS -> eventLoop.scheduleAt(from, () -> badClients(trouble, from, to, 0));
                 case JUMP -> {
                     // Drawn with the arrivals.
                 }
@@ -96,8 +98,8 @@
 
     private void during(TroublePlan plan, long from, long to, Consumer<ServerHost> begin, Consumer<ServerHost> end) {
         for (String victim : plan.victims()) {
-            site.world.at(from, () -> begin.accept(servers.get(victim)));
-            site.world.at(to, () -> end.accept(servers.get(victim)));
+            site.eventLoop.scheduleAt(from, () -> begin.accept(servers.get(victim)));
+            site.eventLoop.scheduleAt(to, () -> end.accept(servers.get(victim)));
         }
     }
 
@@ -161,11 +163,11 @@
 
     private void drain(ServerHost server, long away) {
         enter(server, State.TERMINATING, notice());
-        site.world.after(notice() + DRAIN_FOR, () -> {
+        site.eventLoop.scheduleAfter(notice() + DRAIN_FOR, () -> {
             server.drain();
-            site.world.after(500_000, () -> {
+            site.eventLoop.scheduleAfter(500_000, () -> {
                 crash(server);
-                site.world.after(away, () -> restart(server));
+                site.eventLoop.scheduleAfter(away, () -> restart(server));
             });
         });
     }
@@ -181,14 +183,14 @@
 
     private void kill(BalancerHost balancer, long until) {
         balancer.kill(() -> {});
-        site.world.after(site.scenario.clients().notice().micros(), () -> clients.leaveOut(balancer));
-        site.world.at(until, balancer::start);
+        site.eventLoop.scheduleAfter(site.scenario.clients().notice().micros(), () -> clients.leaveOut(balancer));
+        site.eventLoop.scheduleAt(until, balancer::start);
     }
 
     private void pause(BalancerHost balancer) {
         balancer.pause(true);
         if (balancer.spec().owner() == null) {
-            site.world.after(site.scenario.clients().notice().micros(), () -> {
+            site.eventLoop.scheduleAfter(site.scenario.clients().notice().micros(), () -> {
                 if (balancer.paused()) {
                     clients.leaveOut(balancer);
                 }
@@ -205,12 +207,12 @@
     }
 
     private void restart(BalancerHost balancer) {
-        site.world.after(FRONT_KEEPS, () -> clients.leaveOut(balancer));
+        site.eventLoop.scheduleAfter(FRONT_KEEPS, () -> clients.leaveOut(balancer));
         balancer.stop(balancer::start);
     }
 
     private void badClients(Trouble trouble, long from, long to, int index) {
-        if (site.world.now() >= to) {
+        if (site.eventLoop.now() >= to) {
             return;
         }
         List<BalancerHost> ready = balancers.values().stream()
@@ -219,12 +221,12 @@
         if (!ready.isEmpty()) {
             badClients.send(ready.get(index % ready.size()).address());
         }
-        site.world.at(
+        site.eventLoop.scheduleAt(
                 from + Math.round((index + 1) * 1e6 / trouble.rate().perSecond()),
                 () -> badClients(trouble, from, to, index + 1));
     }
 
-    private Consumer<String> crash = why -> {};
+    private Consumer<String> crash = reason -> {};
 
     /** Who hears of a balancer that ended by itself. */
     void onCrash(Consumer<String> listener) {
--- a/lab/src/main/java/calicochute/lab/network/Fault.java
+++ b/lab/src/main/java/calicochute/lab/network/Fault.java
@@ -2,40 +2,40 @@
 
 import java.util.BitSet;
 
-/** Something wrong between balancers, which are named by their numbers. Several may hold at one time. */
+/** A network fault between balancers, which are named by their numbers. Several faults may be active at a time. */
 public interface Fault {
-    /** Whether nothing passes from one to the other. */
+    /** Whether the fault drops all datagrams from one balancer to another. */
     default boolean cuts(int from, int to) {
         return false;
     }
 
-    /** The part of what is sent from one to the other that is lost. */
+    /** The share of the datagrams from one balancer to another that is lost, between 0 and 1. */
     default double loss(int from, int to) {
         return 0;
     }
 
-    /** How much longer it takes, in microseconds. */
+    /** The additional delay from one balancer to another, in microseconds. */
     default long delay(int from, int to) {
         return 0;
     }
 
-    /** A part of what these send and get is lost. */
-    record Loss(BitSet whose, double part) implements Fault {
+    /** A share of the datagrams from and to these balancers is lost. */
+    record Loss(BitSet balancers, double share) implements Fault {
         @Override
         public double loss(int from, int to) {
-            return whose.get(from) || whose.get(to) ? part : 0;
+            return balancers.get(from) || balancers.get(to) ? share : 0;
         }
     }
 
-    /** What these send and get takes longer, by so many microseconds. */
-    record Delay(BitSet whose, long micros) implements Fault {
+    /** Datagrams from and to these balancers are delayed. */
+    record Delay(BitSet balancers, long micros) implements Fault {
         @Override
         public long delay(int from, int to) {
-            return whose.get(from) || whose.get(to) ? micros : 0;
+            return balancers.get(from) || balancers.get(to) ? micros : 0;
         }
     }
 
-    /** Nothing passes one way; the other way is open. */
+    /** Datagrams are dropped in one direction only. */
     record Cut(BitSet from, BitSet to) implements Fault {
         @Override
         public boolean cuts(int sender, int receiver) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Nothing passes between these and the others. */
+    /** Datagrams are dropped between these balancers and all others. */
     record Split(BitSet side) implements Fault {
         @Override
         public boolean cuts(int from, int to) {
@@ -51,16 +51,16 @@
         }
     }
 
-    /** What comes to these comes late, by so many microseconds, as to a process that reads too slowly. */
-    record SlowPeer(BitSet who, long micros) implements Fault {
+    /** Datagrams to these balancers are delayed, as for a process that reads too slowly. */
+    record SlowPeer(BitSet receivers, long micros) implements Fault {
         @Override
         public long delay(int from, int to) {
-            return who.get(to) ? micros : 0;
+            return receivers.get(to) ? micros : 0;
         }
     }
 
-    /** A set of balancers. */
-    static BitSet of(int... balancers) {
+    /** The set of the balancers with these numbers. */
+    static BitSet setOf(int... balancers) {
         BitSet set = new BitSet();
         for (int balancer : balancers) {
             set.set(balancer);
--- a/lab/src/main/java/calicochute/lab/network/FleetFile.java
+++ b/lab/src/main/java/calicochute/lab/network/FleetFile.java
@@ -9,8 +9,9 @@
 import java.util.List;
 
 /**
- * A balancer's operator file: its cluster, its own id and address, the others with the addresses that they are reached
- * at (the stand-ins'), and what is turned on. {@code state}: the folder that it keeps over its restarts; null for none.
+ * The operator's file of a balancer: its cluster, its own id and address, its peers with the addresses of their proxy
+ * sockets, and the features that are enabled. {@code state} is the folder whose contents survive restarts; null for
+ * none.
  */
 public record FleetFile(
         String cluster,
@@ -21,16 +22,16 @@
         boolean bandit,
         List<Object> experiments,
         @JsonInclude(JsonInclude.Include.NON_NULL) String state) {
-    /** The environment variable by which a balancer finds its file. */
-    public static final String VARIABLE = "PROXY_FLEET";
+    /** The environment variable that names a balancer's operator file. */
+    public static final String ENVIRONMENT_VARIABLE = "PROXY_FLEET";
 
     /** Another balancer. */
     public record Peer(String id, String address) {}
 
-    /** The file of one process of a net, among those that {@code cluster} names by their numbers in it. */
+    /** The file of one process behind the proxy; {@code cluster} has the process numbers of its cluster's members. */
     public static FleetFile of(
             String name,
-            Net net,
+            DatagramProxy proxy,
             int me,
             List<Integer> cluster,
             boolean share,
@@ -40,16 +41,18 @@
         List<Peer> peers = new ArrayList<>();
         for (int other : cluster) {
             if (other != me) {
-                peers.add(new Peer(id(other), text(net.address(other))));
+                peers.add(new Peer(id(other), text(proxy.proxyAddress(other))));
             }
         }
-        return new FleetFile(name, id(me), text(net.real(me)), peers, share, bandit, experiments, state);
+        return new FleetFile(name, id(me), text(proxy.processAddress(me)), peers, share, bandit, experiments, state);
     }
 
+    /** The id of the process with this number. */
     public static String id(int number) {
         return "n" + number;
     }
 
+    /** The file's contents as YAML. */
     public String yaml() {
         try {
             return YAMLMapper.builder()
--- /dev/null
+++ b/lab/src/main/java/calicochute/lab/network/package-info.java
@@ -0,0 +1,2 @@
+/** Network between balancer processes with faults that can be injected: a UDP proxy and the model of its links. */
+package calicochute.lab.network;
--- a/lab/src/main/java/calicochute/lab/referee/Breach.java
+++ b/lab/src/main/java/calicochute/lab/referee/Breach.java
@@ -1,6 +1,9 @@
 package calicochute.lab.referee;
 
-/** A rule that was broken: by which balancer, over which session (or server), and the times, in Unix microseconds. */
+/**
+ * A breach of a rule: the balancer, the session and the server, each empty if not known, and the Unix time in
+ * microseconds.
+ */
 public record Breach(Rule rule, String balancer, String session, String server, long at, String details) {
     @Override
     public String toString() {
--- a/lab/src/main/java/calicochute/lab/referee/ClassRule.java
+++ b/lab/src/main/java/calicochute/lab/referee/ClassRule.java
@@ -2,5 +2,8 @@
 
 import calicochute.lab.scenario.Scenario.Effect;
 
-/** What a session's class allows; {@code window} in microseconds from the first dispatch that may have run. */
+/**
+ * When a session of a class may be dispatched again. {@code window} applies to keyed sessions: the microseconds from
+ * the first dispatch that may have run within which another dispatch is allowed.
+ */
 public record ClassRule(Effect effect, long window) {}
--- a/lab/src/main/java/calicochute/lab/referee/Rule.java
+++ b/lab/src/main/java/calicochute/lab/referee/Rule.java
@@ -1,6 +1,6 @@
 package calicochute.lab.referee;
 
-/** What a balancer must keep to, each with the words in which a breach is told. */
+/** The rules that a balancer must keep, each with a description of its breach. */
 public enum Rule {
     LOST("a session was taken and got no final answer before its client gave up"),
     ANSWERED_TWICE("a session got more than one final answer"),
@@ -18,6 +18,7 @@
         this.words = words;
     }
 
+    /** The description of a breach, as reports show it. */
     public String words() {
         return words;
     }
--- /dev/null
+++ b/lab/src/main/java/calicochute/lab/referee/package-info.java
@@ -0,0 +1,2 @@
+/** Checks from the traffic on the emulated sockets whether balancers keep the rules. */
+package calicochute.lab.referee;
--- a/lab/src/main/java/calicochute/lab/relay/Relay.java
+++ b/lab/src/main/java/calicochute/lab/relay/Relay.java
@@ -32,14 +32,16 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * A bare relay on HttpCore: one server behind it, nothing decided, nothing guarded. What it costs is what the sockets'
- * library costs; what a balancer costs beyond that is its own.
+ * A minimal HTTP relay on HttpCore to one backend server, without load balancing and without limits. It is the baseline
+ * of the overhead measurement: it costs what the HTTP library costs, and a balancer's own cost is what it needs beyond
+ * that.
  */
 public final class Relay {
-    private static final Set<String> NOT_PASSED = Set.of("host", "connection", "content-length", "transfer-encoding");
-    private static final int CONNECTIONS = 2000;
-    private static final Timeout PATIENCE = Timeout.ofSeconds(10);
-    private static final IOReactorConfig ONE_THREAD = IOReactorConfig.custom()
+    private static final Set<String> HEADERS_NOT_FORWARDED =
+            Set.of("host", "connection", "content-length", "transfer-encoding");
+    private static final int MAX_CONNECTIONS = 2000;
+    private static final Timeout RESPONSE_TIMEOUT = Timeout.ofSeconds(10);
+    private static final IOReactorConfig SINGLE_THREAD_CONFIG = IOReactorConfig.custom()
             .setIoThreadCount(1)
             .setTcpNoDelay(true)
             .setBacklogSize(1024)
@@ -48,18 +50,18 @@
 
     private Relay() {}
 
-    /** Listens and relays until the process ends; returns once it listens. */
-    public static void start(InetSocketAddress listen, InetSocketAddress to) throws Exception {
+    /** Starts a relay that runs until the process ends; returns once it listens. */
+    public static void start(InetSocketAddress listen, InetSocketAddress backend) throws Exception {
         HttpAsyncRequester requester = AsyncRequesterBootstrap.bootstrap()
-                .setIOReactorConfig(ONE_THREAD)
-                .setMaxTotal(CONNECTIONS)
-                .setDefaultMaxPerRoute(CONNECTIONS)
+                .setIOReactorConfig(SINGLE_THREAD_CONFIG)
+                .setMaxTotal(MAX_CONNECTIONS)
+                .setDefaultMaxPerRoute(MAX_CONNECTIONS)
                 .create();
         requester.start();
-        HttpHost host = new HttpHost("http", to.getAddress(), to.getHostString(), to.getPort());
+        HttpHost host = new HttpHost("http", backend.getAddress(), backend.getHostString(), backend.getPort());
         HttpAsyncServer server = AsyncServerBootstrap.bootstrap()
-                .setIOReactorConfig(ONE_THREAD)
-                // Whatever host a request names: HttpCore's own router answers 421 for names that it was not told.
+                .setIOReactorConfig(SINGLE_THREAD_CONFIG)
+                // Accepts any host name: HttpCore's own router answers 421 for hosts that are not registered with it.
                 .setRequestRouter(
                         (request, context) -> () -> new BasicServerExchangeHandler<>(new Handler(requester, host)))
                 .create();
@@ -82,7 +84,7 @@
                     .setHttpHost(host)
                     .setPath(request.getPath());
             for (Header header : request.getHeaders()) {
-                if (!NOT_PASSED.contains(header.getName().toLowerCase(Locale.ROOT))) {
+                if (!HEADERS_NOT_FORWARDED.contains(header.getName().toLowerCase(Locale.ROOT))) {
                     copy.addHeader(header);
                 }
             }
@@ -92,15 +94,15 @@
             requester.execute(
                     copy.build(),
                     new BasicResponseConsumer<>(new BasicAsyncEntityConsumer()),
-                    PATIENCE,
+                    RESPONSE_TIMEOUT,
                     new FutureCallback<Message<HttpResponse, byte[]>>() {
                         @Override
-                        public void completed(Message<HttpResponse, byte[]> answer) {
+                        public void completed(Message<HttpResponse, byte[]> response) {
                             respond(
                                     trigger,
                                     context,
-                                    answer.getHead().getCode(),
-                                    answer.getBody() == null ? new byte[0] : answer.getBody());
+                                    response.getHead().getCode(),
+                                    response.getBody() == null ? new byte[0] : response.getBody());
                         }
 
                         @Override
@@ -123,7 +125,7 @@
                                 new BasicAsyncEntityProducer(body, ContentType.APPLICATION_OCTET_STREAM)),
                         context);
             } catch (IOException | org.apache.hc.core5.http.HttpException e) {
-                // The client has gone.
+                // The client has closed the connection.
             }
         }
     }
--- a/lab/src/main/java/calicochute/lab/server/MachineSpec.java
+++ b/lab/src/main/java/calicochute/lab/server/MachineSpec.java
@@ -3,8 +3,9 @@
 import calicochute.lab.scenario.Scenario.Kind;
 
 /**
- * One machine as drawn: what its kind says, with its own speed. {@code speed} is that of one core; {@code reportEvery}
- * and {@code reportDelay} say in microseconds how often its load report is taken anew and how late it is seen.
+ * One machine as drawn for a run: its kind and its individual values. {@code speed} is that of one core;
+ * {@code reportEvery} and {@code reportDelay} are the microseconds between two load reports and those after which a
+ * report becomes visible.
  */
 public record MachineSpec(
         String id,
@@ -16,15 +17,17 @@
         double speed,
         long reportEvery,
         long reportDelay) {
-    /** Work in microseconds that it does in a microsecond, warm and with all cores busy. */
+    /** Microseconds of work that the machine does per microsecond when it is warm and all cores are busy. */
     public double capacity() {
         return kind.cores() * speed;
     }
 
+    /** How many requests the machine works on at a time. */
     public int slots() {
         return (int) Math.max(1, Math.round(kind.slots() * kind.cores()));
     }
 
+    /** How many requests may wait for a slot. */
     public int queue() {
         return (int) Math.round(kind.queue() * kind.cores());
     }
--- a/lab/src/main/java/calicochute/lab/server/ServerModel.java
+++ b/lab/src/main/java/calicochute/lab/server/ServerModel.java
@@ -12,42 +12,44 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A backend server's machine without sockets: slots, a waiting room, cores shared evenly by what runs (processor
- * sharing in virtual time: all running jobs gain at one rate, so the next to end is the one with the least virtual time
- * left), loss when crowded, a cold start, slowdowns, pauses and hangs. Times and work in microseconds; time is an
- * argument and never goes back.
+ * The machine of a backend server, without sockets. It has slots, a queue, and cores that running jobs share evenly.
+ * This is processor sharing, computed in virtual time: all running jobs progress at one rate, so the next job to finish
+ * is the one with the least virtual end. Efficiency falls when the machine holds many jobs; it can also be cold,
+ * slowed, paused or hung. Times and work are in microseconds; callers pass the time, which never goes back.
  */
 public final class ServerModel {
-    /** While capacity changes by itself the model looks again this often. */
-    private static final long COLD_STEP = 50_000;
+    /** How often the model is recomputed while its capacity changes without an event, in microseconds. */
+    private static final long CHANGING_CAPACITY_STEP_MICROS = 50_000;
+
+    /** A job with less work left than this has finished. */
+    private static final double WORK_EPSILON_MICROS = 1e-6;
 
-    private static final double DONE = 1e-6;
     private final MachineSpec spec;
     private final Kind kind;
     private final UniformRandomProvider noise;
-    private final SluggishState sluggish;
-    private final ColdBudget budget;
+    private final SluggishState sluggishState;
+    private final ColdStartBudget coldStartBudget;
     private final Map<Long, Job> jobs = new HashMap<>();
-    private final PriorityQueue<Job> running = new PriorityQueue<>();
-    private final Deque<Job> waiting = new ArrayDeque<>();
-    private long last;
-    private double virtual;
-    private int held;
+    private final PriorityQueue<Job> runningJobs = new PriorityQueue<>();
+    private final Deque<Job> queuedJobs = new ArrayDeque<>();
+    private long updatedAt;
+    private double virtualTime;
+    private int busySlots;
     private long startedAt;
     private boolean cold;
-    private double workDone;
-    private double slower = 1;
+    private double workSinceStart;
+    private double slowdown = 1;
     private boolean paused;
-    private boolean hanging;
+    private boolean hung;
     private boolean draining;
-    private long taken;
+    private long acceptedCount;
 
     private static final class Job implements Comparable<Job> {
         final long id;
         double work;
-        double endsAt;
-        boolean runs;
-        boolean waits;
+        double virtualEnd;
+        boolean running;
+        boolean queued;
 
         Job(long id, double work) {
             this.id = id;
@@ -56,158 +58,163 @@
 
         @Override
         public int compareTo(Job other) {
-            int byEnd = Double.compare(endsAt, other.endsAt);
+            int byEnd = Double.compare(virtualEnd, other.virtualEnd);
             return byEnd != 0 ? byEnd : Long.compare(id, other.id);
         }
     }
 
-    /** What becomes of work that is offered. */
+    /** What the machine does with a submitted job. */
     public enum Admission {
-        /** It runs or waits. */
-        TAKEN,
-        /** The machine is full or drains: it has not run. */
-        TURNED_AWAY,
-        /** Accepted by a machine that hangs: nothing more is heard of it. */
-        SWALLOWED,
-        /** It was too much for a cold machine, which has just fallen over. */
-        FELL_OVER
+        /** The job runs or is queued. */
+        ACCEPTED,
+        /** The machine is full or draining; the job has not run. */
+        REJECTED,
+        /** The machine hangs: there will be no response. */
+        IGNORED,
+        /** The job exceeded the cold start budget, and the machine has collapsed. */
+        COLLAPSED
     }
 
-    /** The load that a machine would report of itself. */
-    public record Load(int inflight, long taken) {}
+    /** The machine's load: jobs running or queued, and the number of jobs accepted so far. */
+    public record Load(int inflight, long accepted) {}
 
-    /** @param meanWork of a request at this machine, in microseconds */
+    /**
+     * @param collapseMultiple the multiple of its capacity under which the machine collapses while cold
+     * @param collapseSpan the time over which that work is counted, in microseconds
+     * @param meanWork the mean work of a request at this machine, in microseconds
+     */
     public ServerModel(
             MachineSpec spec,
             UniformRandomProvider noise,
-            double fallMultiple,
-            long fallSpan,
+            double collapseMultiple,
+            long collapseSpan,
             double meanWork,
             long now) {
         this.spec = spec;
         kind = spec.kind();
         this.noise = noise;
-        sluggish = new SluggishState(kind.sluggish());
-        budget = new ColdBudget(fallMultiple, fallSpan, meanWork);
-        last = now;
+        sluggishState = new SluggishState(kind.sluggish());
+        coldStartBudget = new ColdStartBudget(collapseMultiple, collapseSpan, meanWork);
+        updatedAt = now;
     }
 
-    /** Starts anew: empty, and cold from now on. */
+    /** Starts the machine again, empty and cold. */
     public void start(long now) {
         jobs.clear();
-        running.clear();
-        waiting.clear();
-        held = 0;
-        virtual = 0;
-        last = now;
+        runningJobs.clear();
+        queuedJobs.clear();
+        busySlots = 0;
+        virtualTime = 0;
+        updatedAt = now;
         startedAt = now;
         cold = true;
-        workDone = 0;
+        workSinceStart = 0;
         draining = false;
-        budget.clear();
+        coldStartBudget.clear();
     }
 
     /**
-     * A job that has come, of {@code whole} work of which {@code work} is its first piece; {@code extra} is added for
-     * what it came on (a handshake).
+     * Submits a job. {@code work} is that of its first part, {@code totalWork} that of all parts, and {@code extra}
+     * that of the connection's handshake, if any. {@code senderInformed} says whether the sender had been told of the
+     * last start.
      */
-    public Admission offer(long now, long id, double work, double whole, double extra, boolean fromInformed) {
-        settle(now);
-        if (cold && budget.add(now, whole + extra, fromInformed, capacity(now))) {
-            return Admission.FELL_OVER;
+    public Admission submit(long now, long id, double work, double totalWork, double extra, boolean senderInformed) {
+        updateTo(now);
+        if (cold && coldStartBudget.add(now, totalWork + extra, senderInformed, capacity(now))) {
+            return Admission.COLLAPSED;
         }
-        if (hanging) {
-            return Admission.SWALLOWED;
+        if (hung) {
+            return Admission.IGNORED;
         }
-        Job job = new Job(id, work * noise() + extra);
-        if (draining || held >= spec.slots() && waiting.size() >= spec.queue()) {
-            // The handshake has been done all the same.
+        Job job = new Job(id, work * drawNoise() + extra);
+        if (draining || busySlots >= spec.slots() && queuedJobs.size() >= spec.queue()) {
+            // The handshake costs its work even if the request is rejected.
             if (extra > 0) {
-                burn(now, -1 - id, extra);
+                runOutsideSlots(now, -1 - id, extra);
             }
-            return Admission.TURNED_AWAY;
+            return Admission.REJECTED;
         }
         jobs.put(id, job);
-        taken++;
-        if (held < spec.slots()) {
-            held++;
+        acceptedCount++;
+        if (busySlots < spec.slots()) {
+            busySlots++;
             run(job);
         } else {
-            job.waits = true;
-            waiting.add(job);
+            job.queued = true;
+            queuedJobs.add(job);
         }
-        return Admission.TAKEN;
+        return Admission.ACCEPTED;
     }
 
-    /** Work beside the slots, such as a probe's. */
-    public void burn(long now, long id, double work) {
-        settle(now);
+    /** Runs work that needs no slot, such as that of a probe; its id has to be negative. */
+    public void runOutsideSlots(long now, long id, double work) {
+        updateTo(now);
         Job job = new Job(id, work);
         jobs.put(id, job);
         run(job);
     }
 
-    private double noise() {
+    private double drawNoise() {
         return kind.noise() <= 0 ? 1 : Streams.lognormal(noise, 1, kind.noise());
     }
 
     private void run(Job job) {
-        job.runs = true;
-        job.endsAt = virtual + job.work;
-        running.add(job);
+        job.running = true;
+        job.virtualEnd = virtualTime + job.work;
+        runningJobs.add(job);
     }
 
-    /** A further piece of a job whose last one has ended and that has kept its slot. */
+    /** Runs the next part of a job that has kept its slot since its last part ended. */
     public void resume(long now, long id, double work) {
-        settle(now);
+        updateTo(now);
         Job job = jobs.get(id);
-        if (job != null && !job.runs && !job.waits) {
+        if (job != null && !job.running && !job.queued) {
             job.work = work;
             run(job);
         }
     }
 
-    /** The job is over: its slot goes to the next one that waits. */
+    /** Ends a job; its slot goes to the first job in the queue. */
     public void release(long now, long id) {
-        settle(now);
+        updateTo(now);
         Job job = jobs.remove(id);
         if (job == null) {
             return;
         }
-        if (job.waits) {
-            waiting.remove(job);
+        if (job.queued) {
+            queuedJobs.remove(job);
             return;
         }
-        running.remove(job);
+        runningJobs.remove(job);
         if (id < 0) {
             return;
         }
-        held--;
-        Job next = waiting.poll();
+        busySlots--;
+        Job next = queuedJobs.poll();
         if (next != null) {
-            next.waits = false;
-            held++;
+            next.queued = false;
+            busySlots++;
             run(next);
         }
     }
 
-    /** A job nobody waits for any more: dropped if it has not begun. True if it was. */
-    public boolean withdraw(long now, long id) {
+    /** Removes a job that has not begun, since its caller has given up; false if it has begun or is not known. */
+    public boolean cancelQueued(long now, long id) {
         Job job = jobs.get(id);
-        if (job != null && job.waits) {
+        if (job != null && job.queued) {
             release(now, id);
             return true;
         }
         return false;
     }
 
-    /** Brings the model to a time, and says which jobs' pieces have ended since, in order. */
+    /** Advances the model to a time and returns the jobs whose current part has ended since, in that order. */
     public List<Long> advance(long now) {
-        settle(now);
+        updateTo(now);
         List<Long> ended = new ArrayList<>();
-        while (!running.isEmpty() && running.peek().endsAt <= virtual + DONE) {
-            Job job = running.poll();
-            job.runs = false;
+        while (!runningJobs.isEmpty() && runningJobs.peek().virtualEnd <= virtualTime + WORK_EPSILON_MICROS) {
+            Job job = runningJobs.poll();
+            job.running = false;
             if (job.id < 0) {
                 jobs.remove(job.id);
             }
@@ -216,113 +223,118 @@
         return ended;
     }
 
-    /** When the model should be looked at again; {@link Long#MAX_VALUE} if nothing happens by itself. */
-    public long next(long now) {
+    /** When {@link #advance} is to be called next; {@link Long#MAX_VALUE} if nothing will happen without an event. */
+    public long nextEventTime(long now) {
         long soonest = Long.MAX_VALUE;
         double rate = rate(now);
-        if (!running.isEmpty() && rate > 0) {
-            double left = Math.max(0, running.peek().endsAt - virtual);
+        if (!runningJobs.isEmpty() && rate > 0) {
+            double left = Math.max(0, runningJobs.peek().virtualEnd - virtualTime);
             soonest = now + (long) Math.ceil(left / rate);
         }
         if ((cold || kind.sluggish() != null) && !jobs.isEmpty()) {
-            soonest = Math.min(soonest, now + COLD_STEP);
+            soonest = Math.min(soonest, now + CHANGING_CAPACITY_STEP_MICROS);
         }
         return soonest;
     }
 
-    private void settle(long now) {
-        if (now > last) {
-            double gained = rate(last) * (now - last);
-            int active = running.size();
-            // What has just ended stands still at its end; the error is below one step of the caller's timer.
-            virtual += gained;
-            workDone += gained * active;
-            last = now;
+    private void updateTo(long now) {
+        if (now > updatedAt) {
+            double gained = rate(updatedAt) * (now - updatedAt);
+            int active = runningJobs.size();
+            // Ended jobs keep running until advance() removes them; the error is below one step of the caller's timer.
+            virtualTime += gained;
+            workSinceStart += gained * active;
+            updatedAt = now;
         }
-        sluggish.look(now, (double) waitingCount() / kind.cores(), (double) running.size() / kind.cores());
+        sluggishState.update(now, (double) waitingJobs() / kind.cores(), (double) runningJobs.size() / kind.cores());
         if (cold && capacityShare(now) >= 1) {
             cold = false;
-            budget.clear();
+            coldStartBudget.clear();
         }
     }
 
-    private int waitingCount() {
-        return waiting.size() + Math.max(0, running.size() - kind.cores());
+    private int waitingJobs() {
+        return queuedJobs.size() + Math.max(0, runningJobs.size() - kind.cores());
     }
 
-    /** Work that each running job gains in a microsecond. */
+    /** Work that each running job progresses by in a microsecond. */
     private double rate(long now) {
-        int active = running.size();
-        if (paused || hanging || active == 0) {
+        int active = runningJobs.size();
+        if (paused || hung || active == 0) {
             return 0;
         }
-        double heldPerCore = (double) (held + waiting.size()) / kind.cores();
-        double efficiency = 1 / (1 + kind.crowding() * Math.max(0, heldPerCore - kind.crowdedAt()));
+        double jobsPerCore = (double) (busySlots + queuedJobs.size()) / kind.cores();
+        double efficiency = 1 / (1 + kind.crowding() * Math.max(0, jobsPerCore - kind.crowdedAt()));
         return spec.speed()
                 * Math.min(1, (double) kind.cores() / active)
                 * efficiency
                 * capacityShare(now)
-                / slower
-                / sluggish.slower();
+                / slowdown
+                / sluggishState.slowdown();
     }
 
-    /** The part of its capacity that a machine has which may be cold. */
+    /** The share of its capacity that the machine has now: below 1 while it is cold. */
     public double capacityShare(long now) {
         if (!cold) {
             return 1;
         }
-        double time = (double) (now - startedAt) / kind.warmTime().micros();
-        double work = kind.warmByWork()
-                ? workDone / (0.5 * spec.capacity() * kind.warmTime().micros())
+        double warmByTime = (double) (now - startedAt) / kind.warmTime().micros();
+        double warmByWork = kind.warmByWork()
+                ? workSinceStart / (0.5 * spec.capacity() * kind.warmTime().micros())
                 : 0;
-        return Math.min(1, kind.coldShare() + (1 - kind.coldShare()) * Math.max(time, work));
+        return Math.min(1, kind.coldShare() + (1 - kind.coldShare()) * Math.max(warmByTime, warmByWork));
     }
 
-    /** Work in a microsecond that it can do now. */
+    /** Microseconds of work that the machine can do per microsecond now. */
     public double capacity(long now) {
-        return spec.capacity() * capacityShare(now) / slower / sluggish.slower();
+        return spec.capacity() * capacityShare(now) / slowdown / sluggishState.slowdown();
     }
 
-    public void slow(long now, double factor) {
-        settle(now);
-        slower = factor;
+    /** Makes the machine slower by a factor; 1 for its usual speed. */
+    public void setSlowdown(long now, double factor) {
+        updateTo(now);
+        slowdown = factor;
     }
 
-    public void pause(long now, boolean on) {
-        settle(now);
-        paused = on;
+    /** Pauses the machine or lets it continue: while paused no job progresses. */
+    public void setPaused(long now, boolean paused) {
+        updateTo(now);
+        this.paused = paused;
     }
 
-    public void hang(long now, boolean on) {
-        settle(now);
-        hanging = on;
+    /** Makes the machine hang or recover: while hung it progresses no job and answers none that is submitted. */
+    public void setHung(long now, boolean hung) {
+        updateTo(now);
+        this.hung = hung;
     }
 
-    public void drain(boolean on) {
-        draining = on;
+    /** While draining the machine rejects all jobs submitted. */
+    public void setDraining(boolean draining) {
+        this.draining = draining;
     }
 
-    public boolean sluggish() {
-        return sluggish.sluggish();
+    public boolean isSluggish() {
+        return sluggishState.isSluggish();
     }
 
+    /** The share of the recent work that came from balancers that had been told of the last start. */
     public double informedShare() {
-        return budget.informedShare();
+        return coldStartBudget.informedShare();
     }
 
-    public ColdBudget budget() {
-        return budget;
+    public ColdStartBudget coldStartBudget() {
+        return coldStartBudget;
     }
 
-    public int inWork() {
-        return held;
+    public int busySlots() {
+        return busySlots;
     }
 
-    public int inQueue() {
-        return waiting.size();
+    public int queueLength() {
+        return queuedJobs.size();
     }
 
     public Load load() {
-        return new Load(held + waiting.size(), taken);
+        return new Load(busySlots + queuedJobs.size(), acceptedCount);
     }
 }
--- a/lab/src/main/java/calicochute/lab/server/SluggishState.java
+++ b/lab/src/main/java/calicochute/lab/server/SluggishState.java
@@ -3,46 +3,47 @@
 import calicochute.lab.scenario.Scenario.Sluggish;
 
 /**
- * Whether a machine has turned sluggish: it does once far more requests than cores have waited for long, and recovers
- * only when it has been mostly idle for a while, or after the longest time. A state machine without I/O; times in
- * microseconds.
+ * Decides whether a machine is sluggish. It becomes sluggish once the number of waiting requests per core has stayed
+ * above a limit for some time, and recovers when its utilisation has stayed low for some time, or after a maximum time.
+ * A state machine without I/O; times are in microseconds.
  */
 final class SluggishState {
     private final Sluggish rule;
-    private long crowdedSince = -1;
-    private long restingSince = -1;
+    private long overloadedSince = -1;
+    private long idleSince = -1;
     private long sluggishSince = -1;
 
     SluggishState(Sluggish rule) {
         this.rule = rule;
     }
 
-    /** Looks at a machine: how many wait for each core, and the part of its cores in use. */
-    void look(long now, double waitingPerCore, double use) {
+    /** Takes the machine's present state: waiting requests per core, and the share of its cores that is in use. */
+    void update(long now, double waitingPerCore, double utilisation) {
         if (rule == null) {
             return;
         }
         if (sluggishSince < 0) {
-            crowdedSince = waitingPerCore < rule.at() ? -1 : crowdedSince < 0 ? now : crowdedSince;
-            if (crowdedSince >= 0 && now - crowdedSince >= rule.after().micros()) {
+            overloadedSince = waitingPerCore < rule.at() ? -1 : overloadedSince < 0 ? now : overloadedSince;
+            if (overloadedSince >= 0 && now - overloadedSince >= rule.after().micros()) {
                 sluggishSince = now;
-                crowdedSince = -1;
-                restingSince = -1;
+                overloadedSince = -1;
+                idleSince = -1;
             }
             return;
         }
-        restingSince = use >= rule.below() ? -1 : restingSince < 0 ? now : restingSince;
-        if (restingSince >= 0 && now - restingSince >= rule.rest().micros()
+        idleSince = utilisation >= rule.below() ? -1 : idleSince < 0 ? now : idleSince;
+        if (idleSince >= 0 && now - idleSince >= rule.rest().micros()
                 || now - sluggishSince >= rule.most().micros()) {
             sluggishSince = -1;
         }
     }
 
-    boolean sluggish() {
+    boolean isSluggish() {
         return sluggishSince >= 0;
     }
 
-    double slower() {
-        return sluggish() ? rule.slower() : 1;
+    /** The factor by which the machine is slower now; 1 if it is not sluggish. */
+    double slowdown() {
+        return isSluggish() ? rule.slower() : 1;
     }
 }
--- a/lab/src/main/java/calicochute/lab/socket/Blackhole.java
+++ b/lab/src/main/java/calicochute/lab/socket/Blackhole.java
@@ -9,12 +9,12 @@
 import java.util.List;
 
 /**
- * An address at which connections never come up: its queue of connections not yet accepted is kept full, so the system
- * drops every further request for one, as a network does on whose other side nobody is.
+ * An address at which connections are never established: its accept queue is kept full, so the operating system drops
+ * every further SYN, as if no host were at the address.
  */
 public final class Blackhole implements AutoCloseable {
-    /** A backlog of one holds two connections on Linux; more fillers than that stay half-open and do no harm. */
-    private static final int FILLERS = 3;
+    /** On Linux a backlog of one holds two connections; a third one stays half-open and does no harm. */
+    private static final int FILLER_CONNECTIONS = 3;
 
     private final ServerSocket listener = new ServerSocket();
     private final List<SocketChannel> fillers = new ArrayList<>();
@@ -22,7 +22,7 @@
     public Blackhole(InetSocketAddress address) throws IOException {
         listener.setReuseAddress(true);
         bind(address);
-        for (int i = 0; i < FILLERS; i++) {
+        for (int i = 0; i < FILLER_CONNECTIONS; i++) {
             SocketChannel filler = SocketChannel.open();
             filler.configureBlocking(false);
             filler.setOption(StandardSocketOptions.SO_LINGER, 0);
@@ -31,16 +31,16 @@
         }
     }
 
-    /** The address's former listener may need a moment to end. */
+    /** Binds with retries, since the previous listener of the address may still be closing. */
     private void bind(InetSocketAddress address) throws IOException {
         for (int i = 0; !listener.isBound(); i++) {
             try {
                 listener.bind(address, 1);
-            } catch (IOException e) {
-                if (i >= Sockets.LISTEN_TRIES) {
-                    throw e;
+            } catch (IOException exception) {
+                if (i >= Sockets.LISTEN_ATTEMPTS) {
+                    throw exception;
                 }
-                Sockets.pause();
+                Sockets.pauseBeforeRetry();
             }
         }
     }
@@ -52,8 +52,8 @@
             for (SocketChannel filler : fillers) {
                 filler.close();
             }
-        } catch (IOException e) {
-            // Sockets that were only there to be in the way.
+        } catch (IOException exception) {
+            // The sockets carry no data, so a failure to close one loses nothing.
         }
     }
 }
--- a/lab/src/main/java/calicochute/lab/socket/MessageParser.java
+++ b/lab/src/main/java/calicochute/lab/socket/MessageParser.java
@@ -8,14 +8,14 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts the bytes of one direction of a connection into messages (RFC 9112 with lengths; balancers send no chunks to
- * backend servers). A state machine without I/O: bytes and times go in, whole messages come out, and what can't be read
- * ends it.
+ * Splits the bytes of one direction of a connection into HTTP/1.1 messages (RFC 9112). Bodies need a Content-Length;
+ * chunked ones are rejected, since balancers send none to backend servers. The parser does no I/O: it takes bytes and
+ * the time at which they were read, passes on complete messages, and is unusable after a malformed one.
  */
 final class MessageParser {
-    private static final int LONGEST_HEAD = 1 << 16;
-    private static final int LONGEST_BODY = 1 << 22;
-    private byte[] held = new byte[1024];
+    private static final int MAX_HEAD_BYTES = 1 << 16;
+    private static final int MAX_BODY_BYTES = 1 << 22;
+    private byte[] buffer = new byte[1024];
     private int length;
     private long firstByteAt;
     private int headEnd = -1;
@@ -24,33 +24,34 @@
     private String startLine;
     private Map<String, String> fields;
 
-    /** What it can't read, in plain words. */
-    static final class Unreadable extends Exception {
+    /** Thrown for bytes that are no valid message; its text says why. */
+    static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Unreadable(String why) {
-            super(why);
+        MalformedMessageException(String reason) {
+            super(reason);
         }
     }
 
-    /** Whether bytes of a message have come that is not whole yet. */
-    boolean begun() {
+    /** Whether some but not all bytes of a message have been read. */
+    boolean hasPartialMessage() {
         return length > 0;
     }
 
-    void feed(byte[] bytes, int count, long now, Consumer<HttpMessage> whole) throws Unreadable {
+    /** Takes {@code count} bytes read at {@code now}, and passes each message that is complete to {@code completed}. */
+    void feed(byte[] bytes, int count, long now, Consumer<HttpMessage> completed) throws MalformedMessageException {
         if (length == 0) {
             firstByteAt = now;
         }
-        if (length + count > held.length) {
-            held = Arrays.copyOf(held, Math.max(length + count, held.length * 2));
+        if (length + count > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(length + count, buffer.length * 2));
         }
-        System.arraycopy(bytes, 0, held, length, count);
+        System.arraycopy(bytes, 0, buffer, length, count);
         length += count;
         while (length > 0) {
-            if (headEnd < 0 && !head()) {
-                if (length > LONGEST_HEAD) {
-                    throw new Unreadable("a head without end");
+            if (headEnd < 0 && !findHead()) {
+                if (length > MAX_HEAD_BYTES) {
+                    throw new MalformedMessageException("message head is too long");
                 }
                 return;
             }
@@ -58,8 +59,9 @@
             if (length < end) {
                 return;
             }
-            whole.accept(new HttpMessage(startLine, fields, Arrays.copyOfRange(held, headEnd, end), firstByteAt, now));
-            System.arraycopy(held, end, held, 0, length - end);
+            completed.accept(
+                    new HttpMessage(startLine, fields, Arrays.copyOfRange(buffer, headEnd, end), firstByteAt, now));
+            System.arraycopy(buffer, end, buffer, 0, length - end);
             length -= end;
             headEnd = -1;
             searched = 0;
@@ -67,11 +69,11 @@
         }
     }
 
-    /** Reads the head if its end has come. */
-    private boolean head() throws Unreadable {
+    /** Parses the head if all of it has been read; false if it has not. */
+    private boolean findHead() throws MalformedMessageException {
         for (int i = Math.max(3, searched); i < length; i++) {
-            if (held[i] == '\n' && held[i - 1] == '\r' && held[i - 2] == '\n' && held[i - 3] == '\r') {
-                parse(new String(held, 0, i + 1, StandardCharsets.ISO_8859_1));
+            if (buffer[i] == '\n' && buffer[i - 1] == '\r' && buffer[i - 2] == '\n' && buffer[i - 3] == '\r') {
+                parseHead(new String(buffer, 0, i + 1, StandardCharsets.ISO_8859_1));
                 headEnd = i + 1;
                 return true;
             }
@@ -80,30 +82,32 @@
         return false;
     }
 
-    private void parse(String head) throws Unreadable {
+    private void parseHead(String head) throws MalformedMessageException {
         String[] lines = head.split("\r\n");
         startLine = lines[0];
         if (!startLine.contains("HTTP/1.")) {
-            throw new Unreadable("not HTTP: " + startLine.substring(0, Math.min(40, startLine.length())));
+            throw new MalformedMessageException(
+                    "start line is not HTTP/1.x: " + startLine.substring(0, Math.min(40, startLine.length())));
         }
         fields = new HashMap<>();
         for (int i = 1; i < lines.length; i++) {
             int colon = lines[i].indexOf(':');
             if (colon <= 0) {
-                throw new Unreadable("a field without a name");
+                throw new MalformedMessageException("header field has no name");
             }
             fields.putIfAbsent(
                     lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
                     lines[i].substring(colon + 1).trim());
         }
-        String said = fields.get("content-length");
+        String contentLength = fields.get("content-length");
         try {
-            bodyLength = said == null ? 0 : Integer.parseInt(said);
+            bodyLength = contentLength == null ? 0 : Integer.parseInt(contentLength);
         } catch (NumberFormatException e) {
             bodyLength = -1;
         }
-        if (bodyLength < 0 || bodyLength > LONGEST_BODY || fields.containsKey("transfer-encoding")) {
-            throw new Unreadable("a length that can't be used");
+        if (bodyLength < 0 || bodyLength > MAX_BODY_BYTES || fields.containsKey("transfer-encoding")) {
+            throw new MalformedMessageException(
+                    "Content-Length is invalid or too large, or Transfer-Encoding is present");
         }
     }
 }
--- a/lab/src/main/java/calicochute/lab/socket/Sockets.java
+++ b/lab/src/main/java/calicochute/lab/socket/Sockets.java
@@ -1,6 +1,6 @@
 package calicochute.lab.socket;
 
-import calicochute.lab.world.World;
+import calicochute.lab.world.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -24,34 +24,34 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * The lab's sockets on HttpCore's reactors, below its HTTP: a lab sends what no library would send, and must see bytes
- * when they come. One I/O thread for accepted connections and one for opened ones; both only cut bytes into messages
- * and post these to the world.
+ * The lab's TCP sockets. They use HttpCore's I/O reactors but not its HTTP layer, because the lab also sends malformed
+ * messages and needs the time at which bytes arrive. One I/O thread serves accepted connections and one serves opened
+ * connections; both only split bytes into messages and post these to the event loop.
  */
 public final class Sockets implements AutoCloseable {
-    private static final int READ_AT_ONCE = 1 << 16;
-    /** An address whose former listener is just ending is free within this many pauses. */
-    static final int LISTEN_TRIES = 200;
+    private static final int READ_BUFFER_BYTES = 1 << 16;
+    /** How often binding is retried, with a pause in between, while the address's previous listener is closing. */
+    static final int LISTEN_ATTEMPTS = 200;
 
-    private static final IOReactorConfig CONFIG = IOReactorConfig.custom()
+    private static final IOReactorConfig REACTOR_CONFIG = IOReactorConfig.custom()
             .setIoThreadCount(1)
             .setTcpNoDelay(true)
             .setBacklogSize(1024)
             .setSoReuseAddress(true)
             .setSelectInterval(TimeValue.ofMilliseconds(10))
             .build();
-    private final World world;
+    private final EventLoop eventLoop;
     private final DefaultListeningIOReactor listening;
     private final DefaultConnectingIOReactor connecting;
 
-    /** Says who owns a connection that has just been accepted; on an I/O thread. Null: it is reset at once. */
-    public interface Acceptor extends Function<InetSocketAddress, Link.Owner> {}
+    /** Chooses the listener of an accepted connection, on an I/O thread; for null the connection is reset at once. */
+    public interface Acceptor extends Function<InetSocketAddress, Connection.Listener> {}
 
-    public Sockets(World world) {
-        this.world = world;
+    public Sockets(EventLoop eventLoop) {
+        this.eventLoop = eventLoop;
         listening = new DefaultListeningIOReactor(
                 this::accepted,
-                CONFIG,
+                REACTOR_CONFIG,
                 new DefaultThreadFactory("lab-accepted", true),
                 new DefaultThreadFactory("lab-accept", true),
                 null,
@@ -59,21 +59,24 @@
                 null,
                 null);
         connecting = new DefaultConnectingIOReactor(
-                this::opened, CONFIG, new DefaultThreadFactory("lab-opened", true), null, e -> {}, null, null);
+                this::opened, REACTOR_CONFIG, new DefaultThreadFactory("lab-opened", true), null, e -> {}, null, null);
         listening.start();
         connecting.start();
     }
 
-    /** Listens at an address, with port 0 at any; tries again for a while where a former listener is just ending. */
+    /**
+     * Listens at an address; port 0 means any free port. Retries for a while, since a previous listener of the address
+     * may still be closing.
+     */
     public ListenerEndpoint listen(InetSocketAddress address, Acceptor acceptor) throws IOException {
         for (int i = 0; ; i++) {
             try {
                 return listening.listen(address, acceptor, null).get(2, TimeUnit.SECONDS);
             } catch (ExecutionException | TimeoutException e) {
-                if (i >= LISTEN_TRIES) {
+                if (i >= LISTEN_ATTEMPTS) {
                     throw new IOException("cannot listen at " + address + ": " + e.getMessage(), e);
                 }
-                pause();
+                pauseBeforeRetry();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 throw new IOException("interrupted", e);
@@ -81,7 +84,7 @@
         }
     }
 
-    static void pause() throws IOException {
+    static void pauseBeforeRetry() throws IOException {
         try {
             Thread.sleep(5);
         } catch (InterruptedException e) {
@@ -90,78 +93,82 @@
         }
     }
 
-    /** Opens a connection; the world hears {@code opened} with it, or {@code failed}. */
+    /** Opens a connection; the event loop then runs either {@code opened} or {@code failed}. */
     public void connect(
-            InetSocketAddress address, long timeoutMicros, Link.Owner owner, Consumer<Link> opened, Runnable failed) {
-        // With its text for a name: HttpHost would ask the system for the address's name, which can take seconds.
+            InetSocketAddress address,
+            long timeoutMicros,
+            Connection.Listener listener,
+            Consumer<Connection> opened,
+            Runnable failed) {
+        // The address's text is given as the host name: HttpHost would do a reverse DNS lookup, which can take seconds.
         connecting.connect(
                 new HttpHost(null, address.getAddress(), address.getHostString(), address.getPort()),
                 address,
                 null,
                 Timeout.ofMilliseconds(Math.max(1, timeoutMicros / 1000)),
-                owner,
+                listener,
                 new FutureCallback<>() {
                     @Override
                     public void completed(IOSession session) {
-                        Link made = ((Handler) session.getHandler()).link;
-                        world.post(() -> opened.accept(made));
+                        Connection connection = ((Handler) session.getHandler()).connection;
+                        eventLoop.post(() -> opened.accept(connection));
                     }
 
                     @Override
                     public void failed(Exception cause) {
-                        world.post(failed);
+                        eventLoop.post(failed);
                     }
 
                     @Override
                     public void cancelled() {
-                        world.post(failed);
+                        eventLoop.post(failed);
                     }
                 });
     }
 
     private IOEventHandler accepted(ProtocolIOSession session, Object attachment) {
-        Link.Owner owner = ((Acceptor) attachment).apply((InetSocketAddress) session.getRemoteAddress());
+        Connection.Listener listener = ((Acceptor) attachment).apply((InetSocketAddress) session.getRemoteAddress());
         session.setSocketTimeout(Timeout.DISABLED);
-        return new Handler(owner, session, true);
+        return new Handler(listener, session, true);
     }
 
     private IOEventHandler opened(ProtocolIOSession session, Object attachment) {
         session.setSocketTimeout(Timeout.DISABLED);
-        return new Handler((Link.Owner) attachment, session, false);
+        return new Handler((Connection.Listener) attachment, session, false);
     }
 
-    /** Carries one connection on its I/O thread. */
+    /** Handles the I/O events of one connection on its I/O thread. */
     private final class Handler implements IOEventHandler {
-        final Link link;
+        final Connection connection;
         private final MessageParser parser = new MessageParser();
         private boolean reset;
-        private boolean spoilt;
+        private boolean malformed;
         private final boolean accepted;
 
-        Handler(Link.Owner owner, IOSession session, boolean accepted) {
+        Handler(Connection.Listener listener, IOSession session, boolean accepted) {
             this.accepted = accepted;
-            link = new Link(owner, session);
+            connection = new Connection(listener, session);
         }
 
         @Override
         public void connected(IOSession session) {
-            if (link.owner() == null) {
+            if (connection.listener() == null) {
                 session.close(CloseMode.IMMEDIATE);
                 return;
             }
             if (accepted) {
-                world.post(() -> link.owner().accepted(link));
+                eventLoop.post(() -> connection.listener().accepted(connection));
             }
             session.setEvent(java.nio.channels.SelectionKey.OP_READ);
         }
 
         @Override
         public void inputReady(IOSession session, ByteBuffer src) throws IOException {
-            byte[] bytes = READ.get();
+            byte[] bytes = READ_BUFFER.get();
             ByteBuffer buffer = ByteBuffer.wrap(bytes);
             int count = session.read(buffer);
             while (count > 0) {
-                take(bytes, count);
+                parse(bytes, count);
                 buffer.clear();
                 count = session.read(buffer);
             }
@@ -171,38 +178,38 @@
             }
         }
 
-        private void take(byte[] bytes, int count) {
-            if (spoilt || link.owner() == null) {
+        private void parse(byte[] bytes, int count) {
+            if (malformed || connection.listener() == null) {
                 return;
             }
             try {
                 parser.feed(
                         bytes,
                         count,
-                        world.now(),
-                        m -> world.post(() -> link.owner().message(link, m)));
-            } catch (MessageParser.Unreadable e) {
-                spoilt = true;
-                world.post(() -> link.owner().unreadable(link, e.getMessage()));
+                        eventLoop.now(),
+                        m -> eventLoop.post(() -> connection.listener().message(connection, m)));
+            } catch (MessageParser.MalformedMessageException e) {
+                malformed = true;
+                eventLoop.post(() -> connection.listener().malformed(connection, e.getMessage()));
             }
         }
 
         private void ended() {
-            boolean midway = parser.begun();
-            if (link.owner() != null && link.markClosed()) {
+            boolean midMessage = parser.hasPartialMessage();
+            if (connection.listener() != null && connection.markClosed()) {
                 boolean wasReset = reset;
-                world.post(() -> link.owner().closed(link, wasReset, midway));
+                eventLoop.post(() -> connection.listener().closed(connection, wasReset, midMessage));
             }
         }
 
         @Override
         public void outputReady(IOSession session) {
-            link.flush();
+            connection.flush();
         }
 
         @Override
         public void timeout(IOSession session, Timeout timeout) {
-            // None is set.
+            // No socket timeout is set.
         }
 
         @Override
@@ -216,7 +223,7 @@
         }
     }
 
-    private static final ThreadLocal<byte[]> READ = ThreadLocal.withInitial(() -> new byte[READ_AT_ONCE]);
+    private static final ThreadLocal<byte[]> READ_BUFFER = ThreadLocal.withInitial(() -> new byte[READ_BUFFER_BYTES]);
 
     @Override
     public void close() {
--- /dev/null
+++ b/lab/src/main/java/calicochute/lab/world/package-info.java
@@ -0,0 +1,2 @@
+/** The event loop on which all emulated parts of the lab run. */
+package calicochute.lab.world;
--- a/lab/src/test/java/calicochute/lab/process/FleetTest.java
+++ b/lab/src/test/java/calicochute/lab/process/FleetTest.java
@@ -19,7 +19,7 @@
     @Test
     public void threeShareAnOutcomeThroughALossyLink() throws Exception {
         try (SmallFleet fleet = new SmallFleet(3, 7, List.of("m1", "m1"), SHARE, true, false)) {
-            fleet.net.loss(0.3);
+            fleet.proxy.setLoss(0.3);
             for (int i = 0; i < 3; i++) {
                 int at = i;
                 await("all three see each other at " + i, () -> fleet.figure(at, "live") == 3);
@@ -40,7 +40,7 @@
     public void whatSomeSeeTheOthersHeedWithoutATryOfTheirOwn() throws Exception {
         try (SmallFleet fleet =
                 new SmallFleet(5, 17, List.of("m1", "m1", "m1", "m1"), "share: true\nbandit: true\n", true, false)) {
-            fleet.net.loss(0.1);
+            fleet.proxy.setLoss(0.1);
             await("all", () -> fleet.figure(4, "live") == 5);
             fleet.script(0, e -> 500);
             // n4 has no session of its own until the others have told it.
@@ -101,7 +101,7 @@
     @Test
     public void harmIsToldAtAllAndOutlivesARestartOfOne() throws Exception {
         try (SmallFleet fleet = new SmallFleet(5, 11, List.of("m1", "m1", "m2", "m2"), TRIAL, true, false)) {
-            fleet.net.loss(0.1);
+            fleet.proxy.setLoss(0.1);
             begun(fleet, 0, 1, 2, 3, 4);
             fleet.script(2, e -> 500);
             fleet.script(3, e -> 500);
@@ -123,7 +123,7 @@
     public void theSmallerSideOfASplitDecidesNothingAndTakesTheOthersVerdict() throws Exception {
         try (SmallFleet fleet = new SmallFleet(5, 12, List.of("m1", "m1", "m2", "m2"), TRIAL, true, false)) {
             begun(fleet, 0, 1, 2, 3, 4);
-            fleet.net.split(0, 1);
+            fleet.proxy.split(0, 1);
             fleet.script(2, e -> 500);
             fleet.script(3, e -> 500);
             ordersUntil(
@@ -132,7 +132,7 @@
                     "harm on the larger side",
                     () -> says(fleet, 2, "HARM") && says(fleet, 3, "HARM") && says(fleet, 4, "HARM"));
             assertTrue(says(fleet, 0, "NONE") && says(fleet, 1, "NONE"));
-            fleet.net.heal();
+            fleet.proxy.heal();
             await("the same on both sides", () -> says(fleet, 0, "HARM") && says(fleet, 1, "HARM"));
         }
     }
@@ -172,7 +172,7 @@
     @Test
     public void aPausedAndADeadBalancerAreMissedAndTakenBack() throws Exception {
         try (SmallFleet fleet = new SmallFleet(5, 14, List.of("m1", "m2"), SHARE, true, false)) {
-            fleet.net.loss(0.1);
+            fleet.proxy.setLoss(0.1);
             await("all", () -> fleet.figure(0, "live") == 5);
             fleet.signal(3, "STOP");
             fleet.kill(4);
@@ -191,7 +191,7 @@
     public void aOneWayCutIsGoneRound() throws Exception {
         try (SmallFleet fleet = new SmallFleet(4, 15, List.of("m1"), SHARE, true, false)) {
             await("all", () -> fleet.figure(0, "live") == 4 && fleet.figure(1, "live") == 4);
-            fleet.net.cut(0, 1);
+            fleet.proxy.cut(0, 1);
             await("n1 hears of what n0 saw all the same", () -> {
                 fleet.view(0);
                 return fleet.figure(1, "rows") > 0;
@@ -272,7 +272,9 @@
             String udp = Files.readString(Path.of("/proc/" + pid + "/net/udp"))
                     + Files.readString(Path.of("/proc/" + pid + "/net/udp6"));
             assertTrue(
-                    udp, !udp.contains(String.format(":%04X ", fleet.net.real(0).getPort())));
+                    udp,
+                    !udp.contains(String.format(
+                            ":%04X ", fleet.proxy.processAddress(0).getPort())));
         }
     }
 
--- a/lab/src/test/java/calicochute/lab/process/SmallFleet.java
+++ b/lab/src/test/java/calicochute/lab/process/SmallFleet.java
@@ -3,7 +3,7 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
-import calicochute.lab.network.Net;
+import calicochute.lab.network.DatagramProxy;
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
@@ -51,7 +51,7 @@
     /** What a backend server answers: 200, or another status. */
     interface Script extends Function<HttpExchange, Integer> {}
 
-    final Net net;
+    final DatagramProxy proxy;
     final Path folder;
     private final int size;
     private final boolean peers;
@@ -82,7 +82,7 @@
         this.peers = peers;
         this.remembers = remembers;
         folder = Files.createTempDirectory("calicochute-fleet");
-        net = Net.between(size, seed);
+        proxy = DatagramProxy.onLoopback(size, seed);
         discovery = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
         discovery.setExecutor(Executors.newCachedThreadPool(r -> daemon(r)));
         discovery.createContext("/", this::watch);
@@ -202,10 +202,10 @@
         Files.writeString(
                 operatorFile(i),
                 "cluster: archive\nme: n" + i + "\nlisten: 127.0.0.1:"
-                        + net.real(i).getPort() + "\npeers:\n"
+                        + proxy.processAddress(i).getPort() + "\npeers:\n"
                         + IntStream.range(0, size)
                                 .mapToObj(p -> "  - {id: n" + p + ", address: \"127.0.0.1:"
-                                        + net.address(p).getPort() + "\"}\n")
+                                        + proxy.proxyAddress(p).getPort() + "\"}\n")
                                 .collect(Collectors.joining())
                         + (remembers ? "state: " + folder.resolve("state") + "\n" : "") + rest);
     }
@@ -336,7 +336,7 @@
                 processes[i].destroyForcibly();
             }
         }
-        net.close();
+        proxy.close();
         servers.forEach(s -> s.stop(0));
         discovery.stop(0);
         for (int i = 0; i < size; i++) {
--- a/lab/src/test/java/calicochute/lab/server/ServerModelTest.java
+++ b/lab/src/test/java/calicochute/lab/server/ServerModelTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 class ServerModelTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND = 1_000_000;
 
     private static Kind kind(double slots, double queue, double crowding, Sluggish sluggish) {
         return new Kind(
@@ -47,17 +47,22 @@
 
     private static ServerModel model(Kind kind) {
         return new ServerModel(
-                new MachineSpec("m", 0, 0, "z", 0, kind, 1, S, S), new Streams(1).of("n", 0), 3, 3 * S, S, 0);
+                new MachineSpec("m", 0, 0, "z", 0, kind, 1, SECOND, SECOND),
+                new Streams(1).of("n", 0),
+                3,
+                3 * SECOND,
+                SECOND,
+                0);
     }
 
-    private static ServerModel warm() {
+    private static ServerModel warmModel() {
         return model(kind(8, 4, 0, null));
     }
 
-    /** Plays the model alone until nothing happens any more; the end of each job. */
-    private static Map<Long, Long> play(ServerModel model, long from) {
+    /** Advances the model until no event is left, and returns the time at which each job ended. */
+    private static Map<Long, Long> runToEnd(ServerModel model, long from) {
         Map<Long, Long> ends = new TreeMap<>();
-        for (long at = model.next(from); at != Long.MAX_VALUE; at = model.next(at)) {
+        for (long at = model.nextEventTime(from); at != Long.MAX_VALUE; at = model.nextEventTime(at)) {
             for (long id : model.advance(at)) {
                 ends.put(id, at);
                 model.release(at, id);
@@ -67,40 +72,40 @@
     }
 
     @Test
-    void aJobAloneTakesItsWorkAndManyShareTheCores() {
-        ServerModel model = warm();
-        model.offer(0, 1, S, S, 0, false);
-        assertEquals(Map.of(1L, S), play(model, 0));
-        // Two cores, four jobs alike: each gets half a core.
+    void aSingleJobTakesItsWorkAndSeveralShareTheCores() {
+        ServerModel model = warmModel();
+        model.submit(0, 1, SECOND, SECOND, 0, false);
+        assertEquals(Map.of(1L, SECOND), runToEnd(model, 0));
+        // Four equal jobs on two cores: each gets half a core.
         for (long id = 2; id <= 5; id++) {
-            model.offer(S, id, S, S, 0, false);
+            model.submit(SECOND, id, SECOND, SECOND, 0, false);
         }
-        play(model, S).values().forEach(end -> assertEquals(3 * S, end, 2));
+        runToEnd(model, SECOND).values().forEach(end -> assertEquals(3 * SECOND, end, 2));
     }
 
-    /** Work is conserved: two cores never do more than two seconds of work in a second, nor rest while work waits. */
+    /** Two cores never do more than two seconds of work per second, and are never idle while a job waits. */
     @Property(tries = 200)
     void busyCoresDoAllTheWorkAndNoMore(
-            @ForAll @Size(min = 2, max = 12) List<@IntRange(min = 1, max = 900) Integer> ms) {
-        ServerModel model = warm();
+            @ForAll @Size(min = 2, max = 12) List<@IntRange(min = 1, max = 900) Integer> workMillis) {
+        ServerModel model = warmModel();
         long total = 0;
         long longest = 0;
-        for (int i = 0; i < ms.size(); i++) {
-            long work = ms.get(i) * 1000L;
-            assertEquals(Admission.TAKEN, model.offer(0, i + 1, work, work, 0, false));
+        for (int i = 0; i < workMillis.size(); i++) {
+            long work = workMillis.get(i) * 1000L;
+            assertEquals(Admission.ACCEPTED, model.submit(0, i + 1, work, work, 0, false));
             total += work;
             longest = Math.max(longest, work);
         }
-        Map<Long, Long> ends = play(model, 0);
-        assertEquals(ms.size(), ends.size());
+        Map<Long, Long> ends = runToEnd(model, 0);
+        assertEquals(workMillis.size(), ends.size());
         long last = ends.values().stream().mapToLong(e -> e).max().orElse(0);
         assertTrue(
-                last >= Math.max(longest, total / 2) && last <= total / 2 + longest + ms.size() * 2L,
-                () -> ms + " ended at " + last);
-        // A job never ends before one with less work that came with it, if both had a slot from the start.
-        for (int i = 0; i < ms.size() && ms.size() <= 16; i++) {
-            for (int j = 0; j < ms.size(); j++) {
-                if (ms.get(i) < ms.get(j)) {
+                last >= Math.max(longest, total / 2) && last <= total / 2 + longest + workMillis.size() * 2L,
+                () -> workMillis + " ended at " + last);
+        // Of two jobs that start together, the one with less work does not end later.
+        for (int i = 0; i < workMillis.size() && workMillis.size() <= 16; i++) {
+            for (int j = 0; j < workMillis.size(); j++) {
+                if (workMillis.get(i) < workMillis.get(j)) {
                     assertTrue(ends.get(i + 1L) <= ends.get(j + 1L));
                 }
             }
@@ -108,113 +113,114 @@
     }
 
     @Test
-    void beyondSlotsAndWaitingRoomItTurnsAway() {
+    void rejectsJobsBeyondSlotsAndQueue() {
         ServerModel model = model(kind(1, 1.5, 0, null));
         List<Admission> admissions = new ArrayList<>();
         for (long id = 1; id <= 7; id++) {
-            admissions.add(model.offer(0, id, S, S, 0, false));
+            admissions.add(model.submit(0, id, SECOND, SECOND, 0, false));
         }
-        assertEquals(5, admissions.stream().filter(a -> a == Admission.TAKEN).count());
-        assertEquals(List.of(Admission.TURNED_AWAY, Admission.TURNED_AWAY), admissions.subList(5, 7));
-        assertTrue(model.withdraw(0, 5));
-        assertFalse(model.withdraw(0, 1), "what has begun goes on");
-        assertEquals(Admission.TAKEN, model.offer(0, 8, S, S, 0, false));
-        model.drain(true);
-        assertEquals(Admission.TURNED_AWAY, model.offer(0, 9, S, S, 0, false));
+        assertEquals(5, admissions.stream().filter(a -> a == Admission.ACCEPTED).count());
+        assertEquals(List.of(Admission.REJECTED, Admission.REJECTED), admissions.subList(5, 7));
+        assertTrue(model.cancelQueued(0, 5));
+        assertFalse(model.cancelQueued(0, 1), "a job that has begun is not cancelled");
+        assertEquals(Admission.ACCEPTED, model.submit(0, 8, SECOND, SECOND, 0, false));
+        model.setDraining(true);
+        assertEquals(Admission.REJECTED, model.submit(0, 9, SECOND, SECOND, 0, false));
     }
 
-    /** A job that calls on keeps its slot and leaves its core to others. */
+    /** A job that waits for the next tier keeps its slot but uses no core. */
     @Test
     void aJobThatWaitsForAnotherTierKeepsItsSlot() {
         ServerModel model = model(kind(1, 5, 0, null));
-        model.offer(0, 1, S, 2 * S, 0, false);
-        model.offer(0, 2, S, 2 * S, 0, false);
-        model.offer(0, 3, S, S, 0, false);
-        assertEquals(List.of(1L, 2L), model.advance(S));
-        assertEquals(1, model.inQueue());
-        assertEquals(Long.MAX_VALUE, model.next(S), "nobody has a core to use");
-        model.release(S, 2);
-        assertEquals(2 * S, model.next(S));
-        model.resume(3 * S / 2, 1, S / 2);
-        assertEquals(2, model.advance(2 * S).size());
+        model.submit(0, 1, SECOND, 2 * SECOND, 0, false);
+        model.submit(0, 2, SECOND, 2 * SECOND, 0, false);
+        model.submit(0, 3, SECOND, SECOND, 0, false);
+        assertEquals(List.of(1L, 2L), model.advance(SECOND));
+        assertEquals(1, model.queueLength());
+        assertEquals(Long.MAX_VALUE, model.nextEventTime(SECOND), "no job is running");
+        model.release(SECOND, 2);
+        assertEquals(2 * SECOND, model.nextEventTime(SECOND));
+        model.resume(3 * SECOND / 2, 1, SECOND / 2);
+        assertEquals(2, model.advance(2 * SECOND).size());
     }
 
     @Test
     void crowdingSlowdownPauseAndHang() {
         ServerModel crowded = model(kind(8, 4, 0.5, null));
         for (long id = 1; id <= 8; id++) {
-            crowded.offer(0, id, S, S, 0, false);
+            crowded.submit(0, id, SECOND, SECOND, 0, false);
         }
-        // Four a core, two beyond the mark: half the efficiency at first.
-        assertTrue(play(crowded, 0).get(1L) > 4 * S * 3 / 2);
-        ServerModel slow = warm();
-        slow.slow(0, 5);
-        slow.offer(0, 1, S, S, 0, false);
-        assertEquals(5 * S, slow.next(0));
-        slow.pause(S, true);
-        assertEquals(Long.MAX_VALUE, slow.next(S));
-        slow.pause(2 * S, false);
-        assertEquals(6 * S, slow.next(2 * S), 2);
-        slow.hang(2 * S, true);
-        assertEquals(Admission.SWALLOWED, slow.offer(2 * S, 2, S, S, 0, false));
-        assertEquals(List.of(), slow.advance(60 * S));
+        // Four jobs per core, two above the limit of the kind: efficiency is one half at first.
+        assertTrue(runToEnd(crowded, 0).get(1L) > 4 * SECOND * 3 / 2);
+        ServerModel slow = warmModel();
+        slow.setSlowdown(0, 5);
+        slow.submit(0, 1, SECOND, SECOND, 0, false);
+        assertEquals(5 * SECOND, slow.nextEventTime(0));
+        slow.setPaused(SECOND, true);
+        assertEquals(Long.MAX_VALUE, slow.nextEventTime(SECOND));
+        slow.setPaused(2 * SECOND, false);
+        assertEquals(6 * SECOND, slow.nextEventTime(2 * SECOND), 2);
+        slow.setHung(2 * SECOND, true);
+        assertEquals(Admission.IGNORED, slow.submit(2 * SECOND, 2, SECOND, SECOND, 0, false));
+        assertEquals(List.of(), slow.advance(60 * SECOND));
     }
 
     @Test
-    void aColdMachineWarmsAndFallsUnderTooMuch() {
-        ServerModel model = warm();
+    void aColdMachineWarmsUpAndCollapsesUnderTooMuchWork() {
+        ServerModel model = warmModel();
         model.start(0);
         assertEquals(0.5, model.capacityShare(0), 1e-9);
-        assertEquals(0.75, model.capacityShare(5 * S), 1e-9);
-        assertEquals(1, model.capacityShare(10 * S), 1e-9);
-        // Half of two cores, three times, for 3 s: N is 9 requests of a second, 9 + 2 root 9 + 2 = 17 are the budget.
-        ServerModel pushed = warm();
+        assertEquals(0.75, model.capacityShare(5 * SECOND), 1e-9);
+        assertEquals(1, model.capacityShare(10 * SECOND), 1e-9);
+        // Capacity 1 (half of two cores), times 3, for 3 s: N = 9 requests of 1 s; the budget is 9 + 2 sqrt(9) + 2 =
+        // 17.
+        ServerModel pushed = warmModel();
         pushed.start(0);
         for (long id = 1; id <= 17; id++) {
-            assertFalse(pushed.offer(0, id, S, S, 0, id > 3) == Admission.FELL_OVER);
+            assertFalse(pushed.submit(0, id, SECOND, SECOND, 0, id > 3) == Admission.COLLAPSED);
         }
-        assertEquals(Admission.FELL_OVER, pushed.offer(0, 18, S, S, 0, true));
+        assertEquals(Admission.COLLAPSED, pushed.submit(0, 18, SECOND, SECOND, 0, true));
         assertEquals(15 / 18.0, pushed.informedShare(), 1e-9);
-        assertEquals(18 / 17.0, pushed.budget().worst(), 1e-9);
-        assertEquals(15 / 17.0, pushed.budget().worstInformed(), 1e-9);
-        pushed.start(60 * S);
-        pushed.offer(60 * S, 23, S, S, 0, true);
-        assertEquals(18 / 17.0, pushed.budget().worst(), 1e-9, "the worst of all starts");
-        // The same over a longer time does no harm, and neither does it to a warm machine.
-        ServerModel slowly = warm();
+        assertEquals(18 / 17.0, pushed.coldStartBudget().worstShare(), 1e-9);
+        assertEquals(15 / 17.0, pushed.coldStartBudget().worstInformedShare(), 1e-9);
+        pushed.start(60 * SECOND);
+        pushed.submit(60 * SECOND, 23, SECOND, SECOND, 0, true);
+        assertEquals(18 / 17.0, pushed.coldStartBudget().worstShare(), 1e-9, "the worst share is kept over starts");
+        // A cold machine tolerates as much work over a longer time, and a warm machine tolerates it at once.
+        ServerModel slowly = warmModel();
         slowly.start(0);
         for (long id = 1; id <= 25; id++) {
-            assertFalse(slowly.offer(id * S / 2, id, S, S, 0, true) == Admission.FELL_OVER);
+            assertFalse(slowly.submit(id * SECOND / 2, id, SECOND, SECOND, 0, true) == Admission.COLLAPSED);
         }
-        ServerModel warm = warm();
+        ServerModel warm = warmModel();
         for (long id = 1; id <= 40; id++) {
-            assertFalse(warm.offer(0, id, S, S, 0, true) == Admission.FELL_OVER);
+            assertFalse(warm.submit(0, id, SECOND, SECOND, 0, true) == Admission.COLLAPSED);
         }
     }
 
     @Test
-    void aLongQueueTurnsAMachineSluggishUntilItHasRested() {
+    void aLongQueueMakesAMachineSluggishUntilItHasBeenIdle() {
         Sluggish rule = new Sluggish(3.0, Time.of("2s"), 2.5, Time.of("3s"), 0.3, Time.of("20s"));
         SluggishState state = new SluggishState(rule);
-        state.look(0, 4, 1);
-        state.look(S, 2, 1);
-        state.look(3 * S / 2, 4, 1);
-        state.look(3 * S, 4, 1);
-        assertFalse(state.sluggish(), "a pause in the crowding counts from the start");
-        state.look(7 * S / 2, 4, 1);
-        assertEquals(2.5, state.slower());
-        state.look(5 * S, 0, 0.1);
-        state.look(7 * S, 0, 0.6);
-        state.look(8 * S, 0, 0.1);
-        state.look(10 * S, 0, 0.1);
-        assertTrue(state.sluggish());
-        state.look(11 * S, 0, 0.1);
-        assertFalse(state.sluggish());
-        state.look(12 * S, 9, 1);
-        state.look(14 * S, 9, 1);
-        state.look(33 * S, 9, 1);
-        assertTrue(state.sluggish());
-        state.look(34 * S, 9, 1);
-        assertFalse(state.sluggish(), "for the longest time at most");
+        state.update(0, 4, 1);
+        state.update(SECOND, 2, 1);
+        state.update(3 * SECOND / 2, 4, 1);
+        state.update(3 * SECOND, 4, 1);
+        assertFalse(state.isSluggish(), "the time counts from the last moment below the limit");
+        state.update(7 * SECOND / 2, 4, 1);
+        assertEquals(2.5, state.slowdown());
+        state.update(5 * SECOND, 0, 0.1);
+        state.update(7 * SECOND, 0, 0.6);
+        state.update(8 * SECOND, 0, 0.1);
+        state.update(10 * SECOND, 0, 0.1);
+        assertTrue(state.isSluggish());
+        state.update(11 * SECOND, 0, 0.1);
+        assertFalse(state.isSluggish());
+        state.update(12 * SECOND, 9, 1);
+        state.update(14 * SECOND, 9, 1);
+        state.update(33 * SECOND, 9, 1);
+        assertTrue(state.isSluggish());
+        state.update(34 * SECOND, 9, 1);
+        assertFalse(state.isSluggish(), "the maximum time is over");
     }
 }
--- a/lab/src/test/java/calicochute/lab/socket/MessageParserTest.java
+++ b/lab/src/test/java/calicochute/lab/socket/MessageParserTest.java
@@ -16,53 +16,54 @@
 import org.junit.jupiter.api.Test;
 
 class MessageParserTest {
-    private static final byte[] TWO = concat(
-            HttpMessage.bytes("POST /api?n=1 HTTP/1.1", "X-Txn: 1\r\nx-txn: 2\r\n", "a\r\n\r\nb".getBytes()),
-            HttpMessage.bytes("GET /api HTTP/1.1", "Host: a\r\n", new byte[0]));
+    private static final byte[] TWO_MESSAGES = concat(
+            HttpMessage.encode("POST /api?n=1 HTTP/1.1", "X-Txn: 1\r\nx-txn: 2\r\n", "a\r\n\r\nb".getBytes()),
+            HttpMessage.encode("GET /api HTTP/1.1", "Host: a\r\n", new byte[0]));
 
-    private static byte[] concat(byte[] a, byte[] b) {
-        byte[] both = Arrays.copyOf(a, a.length + b.length);
-        System.arraycopy(b, 0, both, a.length, b.length);
+    private static byte[] concat(byte[] first, byte[] second) {
+        byte[] both = Arrays.copyOf(first, first.length + second.length);
+        System.arraycopy(second, 0, both, first.length, second.length);
         return both;
     }
 
-    /** Wherever the network cuts the bytes, the same messages come out, with the times of their first and last byte. */
+    /** However the bytes are split into reads, the parser yields the same messages, with the times of their bytes. */
     @Property(tries = 300)
-    void cutsDoNotMatter(@ForAll @Size(max = 8) List<@IntRange(min = 0, max = 200) Integer> cuts) throws Exception {
-        List<Integer> at =
-                new ArrayList<>(cuts.stream().map(c -> c % TWO.length).sorted().toList());
-        at.add(TWO.length);
+    void messagesDoNotDependOnHowBytesAreSplit(
+            @ForAll @Size(max = 8) List<@IntRange(min = 0, max = 200) Integer> splits) throws Exception {
+        List<Integer> ends = new ArrayList<>(
+                splits.stream().map(c -> c % TWO_MESSAGES.length).sorted().toList());
+        ends.add(TWO_MESSAGES.length);
         MessageParser parser = new MessageParser();
-        List<HttpMessage> found = new ArrayList<>();
+        List<HttpMessage> messages = new ArrayList<>();
         int from = 0;
-        for (int to : at) {
-            parser.feed(Arrays.copyOfRange(TWO, from, to), to - from, to, found::add);
+        for (int to : ends) {
+            parser.feed(Arrays.copyOfRange(TWO_MESSAGES, from, to), to - from, to, messages::add);
             from = to;
         }
-        assertEquals(2, found.size());
-        assertEquals("/api?n=1", found.get(0).target());
-        assertEquals("1", found.get(0).field("x-txn"));
-        assertEquals("a\r\n\r\nb", found.get(0).text());
-        assertEquals("/api", found.get(1).target());
-        assertEquals(TWO.length, found.get(1).lastByteAt());
-        assertTrue(found.get(1).firstByteAt() <= found.get(1).lastByteAt());
-        assertFalse(parser.begun());
+        assertEquals(2, messages.size());
+        assertEquals("/api?n=1", messages.get(0).target());
+        assertEquals("1", messages.get(0).field("x-txn"));
+        assertEquals("a\r\n\r\nb", messages.get(0).text());
+        assertEquals("/api", messages.get(1).target());
+        assertEquals(TWO_MESSAGES.length, messages.get(1).lastByteAt());
+        assertTrue(messages.get(1).firstByteAt() <= messages.get(1).lastByteAt());
+        assertFalse(parser.hasPartialMessage());
     }
 
     @Test
-    void whatCannotBeReadIsSaidSo() {
-        for (String bad : List.of(
+    void malformedMessagesAreRejected() {
+        for (String malformed : List.of(
                 "noise\r\n\r\n",
                 "GET / HTTP/1.1\r\nno colon\r\n\r\n",
                 "HTTP/1.1 200 -\r\nContent-Length: -1\r\n\r\n",
                 "HTTP/1.1 200 -\r\nContent-Length: 99999999999\r\n\r\n",
                 "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
                 "a".repeat(70_000))) {
-            byte[] bytes = bad.getBytes(StandardCharsets.ISO_8859_1);
+            byte[] bytes = malformed.getBytes(StandardCharsets.ISO_8859_1);
             assertThrows(
-                    MessageParser.Unreadable.class,
+                    MessageParser.MalformedMessageException.class,
                     () -> new MessageParser().feed(bytes, bytes.length, 0, m -> {}),
-                    bad.substring(0, 8));
+                    malformed.substring(0, 8));
         }
     }
 }
--- a/lab/src/test/java/calicochute/lab/socket/SocketsTest.java
+++ b/lab/src/test/java/calicochute/lab/socket/SocketsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import calicochute.lab.world.World;
+import calicochute.lab.world.EventLoop;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -16,29 +16,29 @@
 import org.junit.jupiter.api.Test;
 
 class SocketsTest {
-    private static final class Recorder implements Link.Owner {
+    private static final class Recorder implements Connection.Listener {
         final LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
-        volatile Link last;
+        volatile Connection lastConnection;
 
         @Override
-        public void accepted(Link link) {
-            last = link;
+        public void accepted(Connection connection) {
+            lastConnection = connection;
             events.add("accepted");
         }
 
         @Override
-        public void message(Link link, HttpMessage message) {
+        public void message(Connection connection, HttpMessage message) {
             events.add(message.startLine());
         }
 
         @Override
-        public void unreadable(Link link, String why) {
-            events.add("unreadable");
+        public void malformed(Connection connection, String reason) {
+            events.add("malformed");
         }
 
         @Override
-        public void closed(Link link, boolean reset, boolean midway) {
-            events.add("closed" + (reset ? " reset" : "") + (midway ? " midway" : ""));
+        public void closed(Connection connection, boolean reset, boolean midMessage) {
+            events.add("closed" + (reset ? " reset" : "") + (midMessage ? " midway" : ""));
         }
 
         String next() throws InterruptedException {
@@ -47,56 +47,58 @@
     }
 
     @Test
-    void everyEndOfAConnectionIsHeardAsWhatItWas() throws Exception {
-        World world = new World();
-        world.start();
-        Recorder owner = new Recorder();
-        try (Sockets sockets = new Sockets(world)) {
-            ListenerEndpoint listener =
-                    sockets.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), from -> owner);
-            InetSocketAddress at = (InetSocketAddress) listener.getAddress();
-            try (Socket client = new Socket(at.getAddress(), at.getPort())) {
-                assertEquals("accepted", owner.next());
+    void eachWayInWhichAConnectionEndsIsReported() throws Exception {
+        EventLoop eventLoop = new EventLoop();
+        eventLoop.start();
+        Recorder listener = new Recorder();
+        try (Sockets sockets = new Sockets(eventLoop)) {
+            ListenerEndpoint endpoint =
+                    sockets.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), from -> listener);
+            InetSocketAddress address = (InetSocketAddress) endpoint.getAddress();
+            try (Socket client = new Socket(address.getAddress(), address.getPort())) {
+                assertEquals("accepted", listener.next());
                 client.getOutputStream().write("GET /a HTTP/1.1\r\n\r\nGET /b HT".getBytes());
-                assertEquals("GET /a HTTP/1.1", owner.next());
+                assertEquals("GET /a HTTP/1.1", listener.next());
             }
-            assertEquals("closed midway", owner.next());
-            try (Socket client = new Socket(at.getAddress(), at.getPort())) {
-                assertEquals("accepted", owner.next());
+            assertEquals("closed midway", listener.next());
+            try (Socket client = new Socket(address.getAddress(), address.getPort())) {
+                assertEquals("accepted", listener.next());
                 client.setSoLinger(true, 0);
             }
-            assertEquals("closed reset", owner.next());
-            try (Socket client = new Socket(at.getAddress(), at.getPort())) {
-                assertEquals("accepted", owner.next());
+            assertEquals("closed reset", listener.next());
+            try (Socket client = new Socket(address.getAddress(), address.getPort())) {
+                assertEquals("accepted", listener.next());
                 client.getOutputStream().write("noise\r\n\r\n".getBytes());
-                assertEquals("unreadable", owner.next());
-                owner.last.reset();
+                assertEquals("malformed", listener.next());
+                listener.lastConnection.reset();
                 client.setSoTimeout(20_000);
                 assertThrows(
                         java.net.SocketException.class,
                         () -> client.getInputStream().read());
             }
-            Closer.closeQuietly(listener);
-            // The address is free again for a black hole, where connections never come up, and then for a listener.
-            try (Blackhole hole = new Blackhole(at)) {
-                assertEquals(0, owner.events.size());
-                Socket never = new Socket();
-                assertThrows(SocketTimeoutException.class, () -> never.connect(at, 200), hole::toString);
+            Closer.closeQuietly(endpoint);
+            // The address can be bound again: by a black hole, where no connection is established, and then by a
+            // listener.
+            try (Blackhole blackhole = new Blackhole(address)) {
+                assertEquals(0, listener.events.size());
+                Socket unconnected = new Socket();
+                assertThrows(
+                        SocketTimeoutException.class, () -> unconnected.connect(address, 200), blackhole::toString);
             }
-            Closer.closeQuietly(sockets.listen(at, from -> owner));
+            Closer.closeQuietly(sockets.listen(address, from -> listener));
         }
-        world.stop();
+        eventLoop.stop();
     }
 
-    /** No name is asked for: it can take seconds and would hold up the world. */
+    /** A reverse DNS lookup can take seconds and would block the event loop. */
     @Test
-    void noNameIsLookedUpForAnAddress() throws Exception {
-        World world = new World();
-        world.start();
+    void connectingDoesNoReverseLookup() throws Exception {
+        EventLoop eventLoop = new EventLoop();
+        eventLoop.start();
         InetAddress address = InetAddress.getByAddress(new byte[] {127, 77, 33, 12});
-        LinkedBlockingQueue<Link> opened = new LinkedBlockingQueue<>();
+        LinkedBlockingQueue<Connection> opened = new LinkedBlockingQueue<>();
         try (ServerSocket server = new ServerSocket(0, 5, address);
-                Sockets sockets = new Sockets(world)) {
+                Sockets sockets = new Sockets(eventLoop)) {
             sockets.connect(
                     new InetSocketAddress(address, server.getLocalPort()),
                     5_000_000,
@@ -106,6 +108,6 @@
             opened.poll(20, TimeUnit.SECONDS).reset();
             assertEquals('/', address.toString().charAt(0));
         }
-        world.stop();
+        eventLoop.stop();
     }
 }
