--- a/lab/src/main/java/calicochute/lab/cli/RunOptions.java
+++ b/lab/src/main/java/calicochute/lab/cli/RunOptions.java
@@ -15,7 +15,7 @@
             description = "A shell command that starts one balancer, in place of \"run\" in deploy/balancer.toml")
     String balancerCommand;
 
-    Emulation.Balancers balancers() throws IOException {
+    Emulation.BalancerCommand balancers() throws IOException {
         return Installation.balancers(balancerCommand);
     }
 }
--- a/lab/src/main/java/calicochute/lab/emulator/BadClients.java
+++ b/lab/src/main/java/calicochute/lab/emulator/BadClients.java
@@ -7,92 +7,93 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Clients that differ from the usual ones: what they send can't be served. Each is owed an error or the end of its
- * connection within 3 s, and never a 200.
+ * Clients that send invalid requests. A balancer has to respond with an error or close the connection within 3 s, and
+ * must never respond with 200.
  */
 final class BadClients {
-    private static final long OWED_WITHIN = 3_000_000;
+    private static final long RESPONSE_LIMIT_MICROS = 3_000_000;
     private static final String HEAD = "POST /api HTTP/1.1\r\nHost: service.internal\r\n";
-    private final Site site;
-    private final UniformRandomProvider chance;
+    private final EmulationContext context;
+    private final UniformRandomProvider random;
     private int sent;
-    private int neglected;
+    private int unanswered;
     private int served;
 
-    BadClients(Site site) {
-        this.site = site;
-        chance = site.streams.of("bad clients", 0);
+    BadClients(EmulationContext context) {
+        this.context = context;
+        random = context.streams.of("bad clients", 0);
     }
 
+    /** How many invalid requests were sent. */
     int sent() {
         return sent;
     }
 
-    /** Those that got neither an error nor the end of their connection in time. */
-    int neglected() {
-        return neglected;
+    /** How many got neither an error nor a closed connection in time. */
+    int unanswered() {
+        return unanswered;
     }
 
-    /** Those that were served, which breaks a rule. */
+    /** How many were served, which must not happen. */
     int served() {
         return served;
     }
 
-    private String words() {
-        String known = "X-Txn: " + String.format("%016x", chance.nextLong()) + "\r\nX-Lane: "
-                + site.scenario.classes().get(0).name() + "\r\nX-Org: "
-                + site.scenario.tenants().get(0).name() + "\r\n";
-        return switch (chance.nextInt(9)) {
+    private String invalidRequest() {
+        String validFields = "X-Txn: " + String.format("%016x", random.nextLong()) + "\r\nX-Lane: "
+                + context.scenario.classes().get(0).name() + "\r\nX-Org: "
+                + context.scenario.tenants().get(0).name() + "\r\n";
+        return switch (random.nextInt(9)) {
             case 0 -> "\u0000\u0001\u0002 what is this \u0003\r\n\r\n";
             case 1 -> HEAD + "X-Long: " + "a".repeat(60_000);
-            case 2 -> HEAD + known + "X-Remaining-Ms: 1000\r\nContent-Length: -5\r\n\r\n";
+            case 2 -> HEAD + validFields + "X-Remaining-Ms: 1000\r\nContent-Length: -5\r\n\r\n";
             case 3 ->
-                HEAD + known
+                HEAD + validFields
                         + "X-Remaining-Ms: 1000\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
             case 4 ->
-                HEAD + known.replace("X-Lane: ", "X-Lane: no-such-")
+                HEAD + validFields.replace("X-Lane: ", "X-Lane: no-such-")
                         + "X-Remaining-Ms: 1000\r\nContent-Length: 0\r\n\r\n";
-            case 5 -> HEAD + known + "X-Remaining-Ms: soon\r\nContent-Length: 0\r\n\r\n";
-            case 6 -> HEAD + known + "X-Remaining-Ms: 1000\r\nContent-Length: 900000000\r\n\r\nxxxx";
+            case 5 -> HEAD + validFields + "X-Remaining-Ms: soon\r\nContent-Length: 0\r\n\r\n";
+            case 6 -> HEAD + validFields + "X-Remaining-Ms: 1000\r\nContent-Length: 900000000\r\n\r\nxxxx";
             case 7 -> HEAD + "X-Txn: half";
             default -> "";
         };
     }
 
-    /** One such client connects to a balancer. */
+    /** Connects to a balancer and sends one invalid request. */
     void send(InetSocketAddress balancer) {
         sent++;
-        String words = words();
-        boolean[] over = new boolean[1];
-        site.sockets.connect(
+        String request = invalidRequest();
+        boolean[] finished = new boolean[1];
+        context.sockets.connect(
                 balancer,
-                OWED_WITHIN,
+                RESPONSE_LIMIT_MICROS,
                 new Connection.Listener() {
                     @Override
                     public void message(Connection connection, HttpMessage message) {
                         served += message.status() == 200 ? 1 : 0;
-                        over[0] = true;
+                        finished[0] = true;
                         connection.close();
                     }
 
                     @Override
                     public void malformed(Connection connection, String reason) {
-                        over[0] = true;
+                        finished[0] = true;
                         connection.close();
                     }
 
                     @Override
                     public void closed(Connection connection, boolean reset, boolean midMessage) {
-                        over[0] = true;
+                        finished[0] = true;
                     }
                 },
                 connection -> {
-                    if (!words.isEmpty()) {
-                        connection.write(words.getBytes(StandardCharsets.ISO_8859_1));
+                    if (!request.isEmpty()) {
+                        connection.write(request.getBytes(StandardCharsets.ISO_8859_1));
                     }
-                    site.eventLoop.scheduleAfter(OWED_WITHIN, () -> {
-                        if (!over[0]) {
-                            neglected++;
+                    context.eventLoop.scheduleAfter(RESPONSE_LIMIT_MICROS, () -> {
+                        if (!finished[0]) {
+                            unanswered++;
                             connection.reset();
                         }
                     });
--- a/lab/src/main/java/calicochute/lab/emulator/Settings.java
+++ b/lab/src/main/java/calicochute/lab/emulator/BalancerConfiguration.java
@@ -13,25 +13,26 @@
 import java.util.Locale;
 import java.util.function.Function;
 
-/** Writes a balancer's configuration file, as the platform would. */
-final class Settings {
-    /** On sockets every time limit is this much longer, in microseconds. */
-    static final long SOCKET_SLACK = 50_000;
+/** Writes a balancer's configuration file in the form in which the platform provides it. */
+final class BalancerConfiguration {
+    /** Added to each time limit of the rules, for delays of real sockets, in microseconds. */
+    static final long SOCKET_GRACE_MICROS = 50_000;
 
     private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
-    private final Site site;
+    private final EmulationContext context;
 
-    Settings(Site site) {
-        this.site = site;
+    BalancerConfiguration(EmulationContext context) {
+        this.context = context;
     }
 
+    /** The JSON text for one start; {@code known} is the list of servers that the balancer starts with. */
     String configuration(
             BalancerSpec balancer, InetSocketAddress listen, InetSocketAddress discovery, long seed, ObjectNode known) {
-        Scenario.Balancers limits = site.scenario.balancers();
+        Scenario.Balancers limits = context.scenario.balancers();
         ObjectNode root = JSON.objectNode();
         root.put("name", balancer.name());
-        root.put("listen", Site.text(listen));
-        root.put("discovery", Site.text(discovery));
+        root.put("listen", EmulationContext.hostPort(listen));
+        root.put("discovery", EmulationContext.hostPort(discovery));
         root.put("seed", String.format("%016x", seed));
         root.putObject("limits")
                 .put("cores", 1.0)
@@ -47,22 +48,22 @@
     }
 
     private ObjectNode settings(BalancerSpec balancer) {
-        Scenario scenario = site.scenario;
+        Scenario scenario = context.scenario;
         Scenario.Tier tier = scenario.tiers().get(balancer.tier());
-        ObjectNode s = JSON.objectNode();
-        ArrayNode accounts = s.putArray("accounts");
+        ObjectNode settings = JSON.objectNode();
+        ArrayNode accounts = settings.putArray("accounts");
         scenario.tenants()
-                .forEach(t -> accounts.addObject()
-                        .put("name", t.name())
-                        .put("portion", t.share())
-                        .put("allowance_per_s", site.deployment.allowancePerSecond() * t.share()));
-        s.put(
+                .forEach(tenant -> accounts.addObject()
+                        .put("name", tenant.name())
+                        .put("portion", tenant.share())
+                        .put("allowance_per_s", context.deployment.allowancePerSecond() * tenant.share()));
+        settings.put(
                 "balancers",
-                site.deployment.balancers().stream()
-                        .filter(b -> b.tier() == balancer.tier())
+                context.deployment.balancers().stream()
+                        .filter(other -> other.tier() == balancer.tier())
                         .count());
         Kind first = tier.kinds().get(0);
-        s.putObject("caps")
+        settings.putObject("caps")
                 .put("cancel", true)
                 .put("conn_idle", first.idle().micros())
                 .put("connect_timeout", 150_000)
@@ -74,66 +75,70 @@
                 .put("retry_after", true)
                 .put("second_copies", false)
                 .put("streams_per_conn", 1);
-        ArrayNode classes = s.putArray("classes");
+        ArrayNode classes = settings.putArray("classes");
         scenario.classes()
-                .forEach(c -> classes.addObject()
-                        .put("name", c.name())
-                        .put("deadline", c.giveUp().micros())
-                        .put("objective", c.aim().micros())
-                        .put("points", c.worth())
+                .forEach(requestClass -> classes.addObject()
+                        .put("name", requestClass.name())
+                        .put("deadline", requestClass.giveUp().micros())
+                        .put("objective", requestClass.aim().micros())
+                        .put("points", requestClass.worth())
                         .put(
                                 "effect",
-                                c.effect() == Effect.KEYED
+                                requestClass.effect() == Effect.KEYED
                                         ? "by_key"
-                                        : c.effect().name().toLowerCase(Locale.ROOT))
+                                        : requestClass.effect().name().toLowerCase(Locale.ROOT))
                         .put("key_scope", "all")
-                        .put("window", c.window().micros())
+                        .put("window", requestClass.window().micros())
                         .put("late_worth", 0.0)
                         .put("streaming", false));
-        s.putObject("client_habits").put("marks_retry", scenario.clients().marksRetry());
-        ArrayNode zones = s.putArray("dcs");
+        settings.putObject("client_habits")
+                .put("marks_retry", scenario.clients().marksRetry());
+        ArrayNode zones = settings.putArray("dcs");
         scenario.zones().names().forEach(zones::add);
-        s.put("discovery", "on_request");
-        s.putObject("domain").put("passes_deadline", false);
-        s.put("family", "chain");
-        ArrayNode kinds = s.putArray("flavors");
-        tier.kinds().forEach(k -> kinds.add(k.name()));
-        s.putObject("goal")
+        settings.put("discovery", "on_request");
+        settings.putObject("domain").put("passes_deadline", false);
+        settings.put("family", "chain");
+        ArrayNode kinds = settings.putArray("flavors");
+        tier.kinds().forEach(kind -> kinds.add(kind.name()));
+        settings.putObject("goal")
                 .put("whole", 0.4)
                 .put("worst_class", 0.2)
                 .put("worst_tenant", 0.25)
                 .put("worst_window", 0.15);
-        s.put("layer", balancer.tier());
-        ArrayNode layers = s.putArray("layers");
-        scenario.tiers().forEach(t -> layers.add(t.name()));
-        s.put("me", balancer.number());
+        settings.put("layer", balancer.tier());
+        ArrayNode layers = settings.putArray("layers");
+        scenario.tiers().forEach(each -> layers.add(each.name()));
+        settings.put("me", balancer.number());
         double cold = tier.kinds().stream().mapToDouble(Kind::coldShare).min().orElse(1);
         long warm = tier.kinds().stream()
-                .mapToLong(k -> k.warmTime().micros())
+                .mapToLong(kind -> kind.warmTime().micros())
                 .max()
                 .orElse(0);
-        s.putObject("obligations")
+        settings.putObject("obligations")
                 .put("answer_slack", 20_000)
                 .put("ask_every", 10_000_000)
                 .put("cold_from", cold)
                 .put("drain_grace", scenario.discovery().grace().micros())
-                .put("fall", Emulation.FALL_SPAN)
-                .put("fall_multiple", Emulation.FALL_MULTIPLE)
+                .put("fall", Emulation.COLLAPSE_SPAN_MICROS)
+                .put("fall_multiple", Emulation.COLLAPSE_MULTIPLE)
                 .put("warm_up", warm);
-        s.put("over_share_worth", Emulation.OVER_SHARE_WORTH);
-        s.putObject("prices")
+        settings.put("over_share_worth", Emulation.OVER_SHARE_WORTH);
+        settings.putObject("prices")
                 .put("cross_zone", 0.09)
                 .put("late_fail", 0.03)
                 .put("probe", 0.0081)
                 .put("waste", 0.2);
-        ObjectNode report = s.putObject("report");
+        ObjectNode report = settings.putObject("report");
         report.putArray("fields").add("rif").add("rate");
         report.put("source", "pull");
-        s.put("tick", 5000).put("weights", "nominal").put("worth_by", "work").put("zone", balancer.zone());
-        return s;
+        settings.put("tick", 5000)
+                .put("weights", "nominal")
+                .put("worth_by", "work")
+                .put("zone", balancer.zone());
+        return settings;
     }
 
-    /** A list in discovery's form; {@code address} gives each server's for the balancer that asks. */
+    /** A list in discovery's JSON form; {@code address} gives the address of a server, by its id, for the caller. */
     static ObjectNode list(InstanceRegistry.ListUpdate update, Function<String, InetSocketAddress> address) {
         ObjectNode root = JSON.objectNode();
         root.put("generation", update.version()).put("reset", update.complete());
@@ -142,7 +147,7 @@
             instances
                     .addObject()
                     .put("instanceId", instance.id())
-                    .put("hostPort", Site.text(address.apply(instance.id())))
+                    .put("hostPort", EmulationContext.hostPort(address.apply(instance.id())))
                     .put("zone", instance.zone())
                     .put("machineType", instance.kind())
                     .put("cell", instance.cell())
--- a/lab/src/main/java/calicochute/lab/emulator/Emulation.java
+++ b/lab/src/main/java/calicochute/lab/emulator/Emulation.java
@@ -1,8 +1,8 @@
 package calicochute.lab.emulator;
 
 import calicochute.lab.chance.Streams;
-import calicochute.lab.emulator.Outcome.BalancerSample;
-import calicochute.lab.emulator.Outcome.ServerSample;
+import calicochute.lab.emulator.EmulationResult.BalancerSample;
+import calicochute.lab.emulator.EmulationResult.ServerSample;
 import calicochute.lab.plan.Arrival;
 import calicochute.lab.plan.ArrivalPlan;
 import calicochute.lab.plan.BalancerSpec;
@@ -28,215 +28,233 @@
 import java.util.regex.Pattern;
 
 /**
- * One run of a scenario: everything but the balancers on sockets in this process, the balancers as processes of their
- * own. Prepared outside the world, then all of it happens on the world's thread.
+ * One run of a scenario. Clients, servers and discovery are emulated on sockets of this process, while the balancers
+ * are processes of their own. The run is prepared before the event loop starts; then everything happens on its thread.
  */
 public final class Emulation {
-    /** A cold server falls over under more than this multiple of what it can do, within this span (microseconds). */
-    static final double FALL_MULTIPLE = 3;
+    /** A cold server collapses if the work sent to it within a span exceeds this multiple of its capacity. */
+    static final double COLLAPSE_MULTIPLE = 3;
 
-    static final long FALL_SPAN = 3_000_000;
-    /** What a request beyond its tenant's share is worth, as a part of its class's worth. */
+    /** The span over which that work is counted. */
+    static final long COLLAPSE_SPAN_MICROS = 3_000_000;
+    /** The worth of a request beyond its tenant's share, as a share of its class's worth. */
     public static final double OVER_SHARE_WORTH = 0.05;
 
-    private static final long SECOND = 1_000_000;
-    private static final long STOP_LIMIT_S = 15;
-    /** Balancers that start at one time: more would share the cores until none is ready within its limit. */
-    private static final int WAVE = 2 * Runtime.getRuntime().availableProcessors();
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long STOP_TIMEOUT_SECONDS = 15;
+    /** With more balancers starting at a time, none would get enough CPU time to be ready within the timeout. */
+    private static final int MAX_CONCURRENT_STARTS = 2 * Runtime.getRuntime().availableProcessors();
 
-    private static final Pattern COUNTERS = Pattern.compile("INFO counters (.*)");
+    private static final Pattern COUNTERS_LINE = Pattern.compile("INFO counters (.*)");
     private static final Pattern COUNTER = Pattern.compile("(\\w+) (\\d+)");
     private final Scenario scenario;
     private final long seed;
     private final Path folder;
     private final Streams streams;
-    private final Site site;
+    private final EmulationContext context;
     private final Progress progress;
     private final List<Arrival> arrivals;
     private final List<TroublePlan> troubles;
-    private final Map<String, ServerHost> servers = new LinkedHashMap<>();
-    private final Map<String, BalancerHost> balancers = new LinkedHashMap<>();
-    private final DiscoveryHost discovery;
-    private final ClientHost clients;
+    private final Map<String, EmulatedServer> servers = new LinkedHashMap<>();
+    private final Map<String, BalancerProcess> balancers = new LinkedHashMap<>();
+    private final EmulatedDiscovery discovery;
+    private final EmulatedClients clients;
     private final BadClients badClients;
-    private final Troubles troubleMaker;
-    private final FleetHost fleet;
+    private final TroubleScheduler troubleScheduler;
+    private final FleetNetwork fleet;
     private final List<ServerSample> serverSamples = new ArrayList<>();
-    private final Map<String, long[]> lastCounts = new HashMap<>();
-    private final CountDownLatch over = new CountDownLatch(1);
-    private volatile String ended;
+    private final Map<String, long[]> previousCounts = new HashMap<>();
+    private final CountDownLatch finished = new CountDownLatch(1);
+    private volatile String endedBecause;
     private long startedAt;
-    private long cpuAtStart;
-    private long cpuAtEnd;
-    private long wallAtEnd;
-    private final Deque<BalancerHost> toStart = new ArrayDeque<>();
-    private int awaited;
-    private long done;
-    private double asked;
-    private double served;
-    private boolean running;
+    private long cpuNanosAtStart;
+    private long cpuNanosAtEnd;
+    private long endedAt;
+    private final Deque<BalancerProcess> startQueue = new ArrayDeque<>();
+    private int pendingStarts;
+    private long endedRequests;
+    private double askedWorth;
+    private double servedWorth;
+    private boolean measuring;
 
-    /** Hears how a run goes, once a second. */
+    /** Receives the progress of a run once a second. */
     public interface Progress {
-        /** @param served worth served so far over worth asked for so far, of requests that have ended */
+        /**
+         * Called once a second.
+         *
+         * @param seconds time since the start of the run
+         * @param length planned length of the run in seconds
+         * @param ended requests that have ended so far
+         * @param served share of the worth of those requests that was served
+         * @param open requests that have not ended
+         */
         void second(double seconds, double length, long ended, double served, int open);
     }
 
-    /** How balancers are started: a shell command, and the folder it is run in. */
-    public record Balancers(String command, Path folder) {}
+    /** How balancers are started: a shell command, and its working folder. */
+    public record BalancerCommand(String shellCommand, Path folder) {}
 
-    /** Draws the run from its seed and opens all of the emulator's sockets; {@code work} takes files and logs. */
-    public Emulation(Scenario scenario, long seed, Path work, Balancers start, Progress progress) throws IOException {
+    /**
+     * Draws the run from its seed and opens all sockets of the emulator.
+     *
+     * @param workFolder where the balancers' files and logs are written
+     */
+    public Emulation(Scenario scenario, long seed, Path workFolder, BalancerCommand balancerCommand, Progress progress)
+            throws IOException {
         this.scenario = scenario;
         this.seed = seed;
-        this.folder = Files.createDirectories(work);
+        this.folder = Files.createDirectories(workFolder);
         this.progress = progress;
         streams = new Streams(seed);
         Deployment deployment = Deployment.draw(scenario, streams);
         arrivals = ArrivalPlan.draw(deployment, streams);
         troubles = TroublePlan.draw(deployment, streams);
-        site = new Site(deployment, streams);
-        discovery =
-                new DiscoveryHost(site, (server, zone) -> servers.get(server).address(zone));
-        clients = new ClientHost(site, this::rootEnded);
-        badClients = new BadClients(site);
-        fleet = scenario.fleet() == null ? null : new FleetHost(site, folder);
-        troubleMaker = new Troubles(site, servers, balancers, discovery, clients, badClients, fleet);
+        context = new EmulationContext(deployment, streams);
+        discovery = new EmulatedDiscovery(
+                context, (server, zone) -> servers.get(server).address(zone));
+        clients = new EmulatedClients(context, this::requestEnded);
+        badClients = new BadClients(context);
+        fleet = scenario.fleet() == null ? null : new FleetNetwork(context, folder);
+        troubleScheduler = new TroubleScheduler(context, servers, balancers, discovery, clients, badClients, fleet);
         for (MachineSpec machine : deployment.machines()) {
-            ServerHost server = new ServerHost(site, machine, discovery::informed);
+            EmulatedServer server = new EmulatedServer(context, machine, discovery::isInformed);
             server.open();
             servers.put(machine.id(), server);
         }
         discovery.open();
-        Settings settings = new Settings(site);
+        BalancerConfiguration settings = new BalancerConfiguration(context);
         for (BalancerSpec spec : deployment.balancers()) {
             balancers.put(
                     spec.name(),
-                    new BalancerHost(
-                            site,
+                    new BalancerProcess(
+                            context,
                             spec,
                             folder,
-                            start,
-                            (s, listen, n) -> settings.configuration(
-                                    s,
+                            balancerCommand,
+                            (target, listen, startNumber) -> settings.configuration(
+                                    target,
                                     listen,
-                                    discovery.at(s),
-                                    streams.of("balancer " + s.name(), n).nextLong(),
-                                    discovery.known(s)),
-                            s -> fleet == null ? Map.of() : fleet.environment(s)));
+                                    discovery.address(target),
+                                    streams.of("balancer " + target.name(), startNumber)
+                                            .nextLong(),
+                                    discovery.initialList(target)),
+                            target -> fleet == null ? Map.of() : fleet.environment(target)));
         }
     }
 
-    /** Runs to the end and returns what it brought; nothing is left behind, whatever happens. */
-    public Outcome run() throws InterruptedException {
+    /** Runs to the end and returns the result. Leaves no process and no socket behind, whatever happens. */
+    public EmulationResult run() throws InterruptedException {
         try {
-            site.eventLoop.start();
-            site.eventLoop.post(this::startBalancers);
-            while (!over.await(200, TimeUnit.MILLISECONDS)) {
-                if (site.eventLoop.failure() != null) {
-                    StackTraceElement[] trace = site.eventLoop.failure().getStackTrace();
-                    ended = "the lab itself failed: " + site.eventLoop.failure()
+            context.eventLoop.start();
+            context.eventLoop.post(this::startBalancers);
+            while (!finished.await(200, TimeUnit.MILLISECONDS)) {
+                if (context.eventLoop.failure() != null) {
+                    StackTraceElement[] trace = context.eventLoop.failure().getStackTrace();
+                    endedBecause = "the lab itself failed: " + context.eventLoop.failure()
                             + (trace.length > 0 ? " at " + trace[0] : "");
                     break;
                 }
             }
-            if (ended == null) {
+            if (endedBecause == null) {
                 stopBalancers();
             }
-            site.eventLoop.stop();
-            site.eventLoop.join(5000);
-            return outcome();
+            context.eventLoop.stop();
+            context.eventLoop.join(5000);
+            return result();
         } finally {
             destroy();
             if (fleet != null) {
                 fleet.close();
             }
-            site.sockets.close();
+            context.sockets.close();
         }
     }
 
-    /** Ends the run at once, from any thread; {@link #run} then returns what there is. */
+    /** Ends the run at once; {@link #run} then returns a partial result. May be called from any thread. */
     public void abort(String reason) {
-        if (ended == null) {
-            ended = reason;
+        if (endedBecause == null) {
+            endedBecause = reason;
         }
-        over.countDown();
+        finished.countDown();
     }
 
-    /** Leaves no process behind; from any thread. */
+    /** Kills all balancers; may be called from any thread. */
     public void destroy() {
-        balancers.values().forEach(BalancerHost::destroy);
+        balancers.values().forEach(BalancerProcess::destroy);
     }
 
     private void startBalancers() {
-        awaited = balancers.size();
-        troubleMaker.onCrash(this::abort);
-        toStart.addAll(balancers.values());
-        for (int i = 0; i < WAVE; i++) {
+        pendingStarts = balancers.size();
+        troubleScheduler.setBalancerFailureListener(this::abort);
+        startQueue.addAll(balancers.values());
+        for (int i = 0; i < MAX_CONCURRENT_STARTS; i++) {
             startNext();
         }
     }
 
-    /** One more as one has come up, so that a fleet comes up as fast as the machine allows and each is ready soon. */
+    /**
+     * Starts the next balancer; called as each one becomes ready, which keeps the number of concurrent starts constant.
+     */
     private void startNext() {
-        BalancerHost next = toStart.poll();
+        BalancerProcess next = startQueue.poll();
         if (next != null) {
-            next.listeners(this::firstReady, this::abort);
+            next.setListeners(this::balancerFirstReady, this::abort);
             next.start();
         }
     }
 
-    private void firstReady(BalancerHost balancer) {
-        balancer.listeners(this::readyAgain, this::abort);
-        readyAgain(balancer);
+    private void balancerFirstReady(BalancerProcess balancer) {
+        balancer.setListeners(this::balancerReady, this::abort);
+        balancerReady(balancer);
         startNext();
-        if (--awaited == 0) {
-            site.eventLoop.scheduleAfter(scenario.settle().micros(), this::begin);
+        if (--pendingStarts == 0) {
+            context.eventLoop.scheduleAfter(scenario.settle().micros(), this::beginLoad);
         }
     }
 
-    private void readyAgain(BalancerHost balancer) {
+    private void balancerReady(BalancerProcess balancer) {
         if (balancer.spec().owner() == null) {
-            clients.takeIn(balancer);
+            clients.addBalancer(balancer);
         } else {
-            servers.get(balancer.spec().owner()).callsThrough(balancer);
+            servers.get(balancer.spec().owner()).setBalancer(balancer);
         }
     }
 
-    /** The run's start lies behind the lead-in, whose requests have planned times before it. */
-    private void begin() {
-        startedAt = site.eventLoop.now() + scenario.leadIn().micros();
-        servers.values().forEach(ServerHost::begin);
+    /** Begins the load with the lead-in, whose requests have planned times before the run's start. */
+    private void beginLoad() {
+        startedAt = context.eventLoop.now() + scenario.leadIn().micros();
+        servers.values().forEach(EmulatedServer::startBackgroundTasks);
         clients.send(arrivals, startedAt);
-        troubleMaker.schedule(troubles, startedAt);
-        site.eventLoop.scheduleAt(startedAt, this::measure);
+        troubleScheduler.schedule(troubles, startedAt);
+        context.eventLoop.scheduleAt(startedAt, this::beginMeasurement);
     }
 
-    private void measure() {
-        running = true;
-        site.eventLoop.resetLateness();
-        cpuAtStart = cpu();
+    private void beginMeasurement() {
+        measuring = true;
+        context.eventLoop.resetLateness();
+        cpuNanosAtStart = processCpuNanos();
         sample();
-        site.eventLoop.scheduleEvery(SECOND, this::sample);
+        context.eventLoop.scheduleEvery(SECOND_MICROS, this::sample);
         Thread sampler = new Thread(this::sampleBalancers, "sampler");
         sampler.setDaemon(true);
         sampler.start();
-        long longest = scenario.classes().stream()
+        long longestGiveUp = scenario.classes().stream()
                 .map(RequestClass::giveUp)
-                .mapToLong(t -> t.micros())
+                .mapToLong(time -> time.micros())
                 .max()
                 .orElse(0);
         long length = scenario.length().micros();
-        // The last of the clients', then the last call that a server made for one of them.
-        site.eventLoop.scheduleAt(startedAt + length, () -> awaitEnd(startedAt + length + 2 * longest + SECOND));
+        // The last client may wait for the give-up time, and a server's last call for one of the clients as long again.
+        context.eventLoop.scheduleAt(
+                startedAt + length, () -> awaitLastResponses(startedAt + length + 2 * longestGiveUp + SECOND_MICROS));
     }
 
-    /** Reads of /proc take their time: on a thread of their own. */
+    /** Samples balancers on a thread of its own, since reading /proc would delay the event loop. */
     private void sampleBalancers() {
         try {
-            while (over.getCount() > 0) {
-                balancers.values().forEach(BalancerHost::sample);
-                Thread.sleep(SECOND / 1000);
+            while (finished.getCount() > 0) {
+                balancers.values().forEach(BalancerProcess::sample);
+                Thread.sleep(SECOND_MICROS / 1000);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -244,148 +262,162 @@
     }
 
     /**
-     * After the last arrival the run goes on until all is answered, in every tier: a server may wait for the tier
-     * behind it though its client has had an answer, and what a balancer owes it must not be cut off by the run's end.
+     * Waits after the last arrival until all requests of all tiers have ended, or until the deadline. A server may
+     * still wait for the next tier when its client has a response, and the end of the run must not cut that call off.
      */
-    private void awaitEnd(long latest) {
-        site.closing = clients.open() == 0;
-        if (site.closing && site.awaited == 0 || site.eventLoop.now() > latest) {
-            running = false;
-            cpuAtEnd = cpu();
-            wallAtEnd = site.eventLoop.now();
-            // The last look, so that a run shorter than two seconds has its use of CPU too.
-            balancers.values().forEach(BalancerHost::sample);
-            over.countDown();
+    private void awaitLastResponses(long deadline) {
+        context.closing = clients.openRequests() == 0;
+        if (context.closing && context.pendingCalls == 0 || context.eventLoop.now() > deadline) {
+            measuring = false;
+            cpuNanosAtEnd = processCpuNanos();
+            endedAt = context.eventLoop.now();
+            // A last sample, since CPU usage needs two samples and a run may be shorter than two seconds.
+            balancers.values().forEach(BalancerProcess::sample);
+            finished.countDown();
         } else {
-            site.eventLoop.scheduleAfter(SECOND / 20, () -> awaitEnd(latest));
+            context.eventLoop.scheduleAfter(SECOND_MICROS / 20, () -> awaitLastResponses(deadline));
         }
     }
 
-    private static long cpu() {
+    private static long processCpuNanos() {
         return ((com.sun.management.OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean())
                 .getProcessCpuTime();
     }
 
     private void sample() {
-        if (!running) {
+        if (!measuring) {
             return;
         }
-        long at = site.eventLoop.now() - startedAt;
-        for (ServerHost server : servers.values()) {
-            long[] last = lastCounts.computeIfAbsent(server.spec().id(), s -> new long[2]);
+        long at = context.eventLoop.now() - startedAt;
+        for (EmulatedServer server : servers.values()) {
+            long[] previous = previousCounts.computeIfAbsent(server.spec().id(), id -> new long[2]);
             serverSamples.add(new ServerSample(
                     at,
                     server.spec().id(),
                     server.spec().tier(),
                     server.model().busySlots(),
                     server.model().queueLength(),
-                    server.dispatches() - last[0],
-                    server.turnedAway() - last[1],
-                    server.up() ? server.model().capacityShare(site.eventLoop.now()) : 0,
+                    server.dispatches() - previous[0],
+                    server.rejected() - previous[1],
+                    server.up() ? server.model().capacityShare(context.eventLoop.now()) : 0,
                     server.model().isSluggish()));
-            last[0] = server.dispatches();
-            last[1] = server.turnedAway();
+            previous[0] = server.dispatches();
+            previous[1] = server.rejected();
         }
-        progress.second(at / 1e6, scenario.length().seconds(), done, asked == 0 ? 1 : served / asked, clients.open());
+        progress.second(
+                at / 1e6,
+                scenario.length().seconds(),
+                endedRequests,
+                askedWorth == 0 ? 1 : servedWorth / askedWorth,
+                clients.openRequests());
     }
 
-    /** Sums up as requests end: a look at all of them each second would make the world's timers late. */
-    private void rootEnded(Root root) {
-        double worth = worth(scenario, root);
-        done++;
-        asked += worth;
-        served += root.end == Root.End.SERVED ? worth : 0;
+    /** Sums are kept as requests end: iterating over all of them each second would delay timers. */
+    private void requestEnded(ClientRequest request) {
+        double worth = worth(scenario, request);
+        endedRequests++;
+        askedWorth += worth;
+        servedWorth += request.end == ClientRequest.End.SERVED ? worth : 0;
     }
 
-    /** What a request is worth: its class's worth for each unit of work, little beyond its tenant's share. */
-    public static double worth(Scenario scenario, Root root) {
-        RequestClass c = scenario.classes().get(root.arrival.classIndex());
-        return c.worth() * root.arrival.work() * (root.arrival.overShare() ? OVER_SHARE_WORTH : 1);
+    /** The worth of a request: its class's worth times its work, reduced if it is beyond its tenant's share. */
+    public static double worth(Scenario scenario, ClientRequest request) {
+        RequestClass requestClass = scenario.classes().get(request.arrival.classIndex());
+        return requestClass.worth() * request.arrival.work() * (request.arrival.overShare() ? OVER_SHARE_WORTH : 1);
     }
 
-    /** A planned stop of all; a balancer that does not end or ends wrongly has failed. */
+    /** Stops all balancers; the run has failed if one does not end in time. */
     private void stopBalancers() throws InterruptedException {
         CountDownLatch stopped = new CountDownLatch(balancers.size());
-        site.eventLoop.post(() -> balancers.values().forEach(b -> b.stop(stopped::countDown)));
-        // Many end side by side on few cores.
-        long limit = STOP_LIMIT_S + balancers.size() / 10;
+        context.eventLoop.post(() -> balancers.values().forEach(balancer -> balancer.stop(stopped::countDown)));
+        // Many balancers end at the same time on few cores, which takes longer.
+        long limit = STOP_TIMEOUT_SECONDS + balancers.size() / 10;
         if (!stopped.await(limit, TimeUnit.SECONDS)) {
-            ended = stopped.getCount() + " balancers did not end within " + limit + " s of SIGTERM";
+            endedBecause = stopped.getCount() + " balancers did not end within " + limit + " s of SIGTERM";
         }
     }
 
-    private Outcome outcome() {
+    private EmulationResult result() {
         Map<BalancerSpec, List<BalancerSample>> usage = new LinkedHashMap<>();
         Map<BalancerSpec, Map<String, Long>> counters = new LinkedHashMap<>();
-        for (BalancerHost balancer : balancers.values()) {
+        for (BalancerProcess balancer : balancers.values()) {
             List<BalancerSample> samples = new ArrayList<>();
-            BalancerHost.Sample last = null;
-            for (BalancerHost.Sample s : balancer.samples()) {
-                // A restarted process counts from nothing.
-                if (last != null && s.at() > last.at() && s.cpuSeconds() >= last.cpuSeconds()) {
+            BalancerProcess.Sample previous = null;
+            for (BalancerProcess.Sample sample : balancer.samples()) {
+                // CPU time counts from zero after a restart; that interval is left out.
+                if (previous != null && sample.at() > previous.at() && sample.cpuSeconds() >= previous.cpuSeconds()) {
                     samples.add(new BalancerSample(
-                            s.at() - startedAt,
-                            (s.cpuSeconds() - last.cpuSeconds()) * 1e6 / (s.at() - last.at()),
-                            s.resident()));
+                            sample.at() - startedAt,
+                            (sample.cpuSeconds() - previous.cpuSeconds()) * 1e6 / (sample.at() - previous.at()),
+                            sample.residentBytes()));
                 }
-                last = s;
+                previous = sample;
             }
             usage.put(balancer.spec(), samples);
             counters.put(balancer.spec(), counters(balancer.log()));
         }
-        double wall = wallAtEnd > startedAt ? wallAtEnd - startedAt : site.eventLoop.now() - startedAt;
-        double labCpu = startedAt == 0 ? 0 : ((cpuAtEnd == 0 ? cpu() : cpuAtEnd) - cpuAtStart) / 1e3 / wall;
+        double measuredMicros = endedAt > startedAt ? endedAt - startedAt : context.eventLoop.now() - startedAt;
+        double labCores = startedAt == 0
+                ? 0
+                : ((cpuNanosAtEnd == 0 ? processCpuNanos() : cpuNanosAtEnd) - cpuNanosAtStart) / 1e3 / measuredMicros;
         long probes = counters.values().stream()
-                .mapToLong(c -> c.getOrDefault("probes_sent", 0L))
+                .mapToLong(counts -> counts.getOrDefault("probes_sent", 0L))
                 .sum();
-        var late = site.eventLoop.lateness();
-        return new Outcome(
-                site.deployment,
+        var lateness = context.eventLoop.lateness();
+        return new EmulationResult(
+                context.deployment,
                 seed,
-                ended,
+                endedBecause,
                 startedAt,
                 scenario.length().micros(),
-                clients.roots().stream().filter(r -> r.arrival.at() >= 0).toList(),
+                clients.clientRequests().stream()
+                        .filter(request -> request.arrival.at() >= 0)
+                        .toList(),
                 troubles,
                 serverSamples,
                 usage,
                 counters,
-                site.ruleChecker.allBreaches(),
-                new long[] {late.getValueAtPercentile(50), late.getValueAtPercentile(99), late.getMaxValue()},
-                labCpu,
+                context.ruleChecker.allBreaches(),
+                new long[] {lateness.getValueAtPercentile(50), lateness.getValueAtPercentile(99), lateness.getMaxValue()
+                },
+                labCores,
                 probes,
-                site.ruleChecker.dispatches(),
-                servers.values().stream().mapToLong(ServerHost::crossings).sum(),
-                new Outcome.BadClientCount(badClients.sent(), badClients.neglected(), badClients.served()),
+                context.ruleChecker.dispatches(),
+                servers.values().stream()
+                        .mapToLong(EmulatedServer::crossZoneDispatches)
+                        .sum(),
+                new EmulationResult.BadClientCount(badClients.sent(), badClients.unanswered(), badClients.served()),
                 fleet == null ? Map.of() : fleet.counts(),
-                site.dispatches,
+                context.dispatches,
                 coldStarts());
     }
 
-    private Outcome.ColdStarts coldStarts() {
-        return new Outcome.ColdStarts(
-                servers.values().stream().mapToInt(ServerHost::coldStarts).sum(),
-                servers.values().stream().mapToInt(s -> s.work().falls).sum(),
+    private EmulationResult.ColdStarts coldStarts() {
+        return new EmulationResult.ColdStarts(
+                servers.values().stream().mapToInt(EmulatedServer::coldStarts).sum(),
+                servers.values().stream()
+                        .mapToInt(server -> server.requestHandler().collapses)
+                        .sum(),
                 servers.values().stream()
-                        .mapToDouble(s -> s.model().coldStartBudget().worstShare())
+                        .mapToDouble(server -> server.model().coldStartBudget().worstShare())
                         .max()
                         .orElse(0),
                 servers.values().stream()
-                        .mapToDouble(s -> s.model().coldStartBudget().worstInformedShare())
+                        .mapToDouble(server -> server.model().coldStartBudget().worstInformedShare())
                         .max()
                         .orElse(0));
     }
 
-    /** The counters that a balancer printed at its ends, summed over its starts; none where it was killed. */
+    /** The counters that a balancer logged at its ends, summed over its starts; a killed process logs none. */
     private static Map<String, Long> counters(Path log) {
         Map<String, Long> sums = new LinkedHashMap<>();
         try {
             if (Files.exists(log)) {
-                Matcher lines = COUNTERS.matcher(Files.readString(log));
+                Matcher lines = COUNTERS_LINE.matcher(Files.readString(log));
                 while (lines.find()) {
-                    Matcher one = COUNTER.matcher(lines.group(1));
-                    while (one.find()) {
-                        sums.merge(one.group(1), Long.parseLong(one.group(2)), Long::sum);
+                    Matcher counter = COUNTER.matcher(lines.group(1));
+                    while (counter.find()) {
+                        sums.merge(counter.group(1), Long.parseLong(counter.group(2)), Long::sum);
                     }
                 }
             }
--- a/lab/src/main/java/calicochute/lab/emulator/Spoilt.java
+++ b/lab/src/main/java/calicochute/lab/emulator/FaultyResponse.java
@@ -4,20 +4,23 @@
 import calicochute.lab.socket.HttpMessage;
 import java.nio.charset.StandardCharsets;
 
-/** Answers that servers should not send, after the request has run. */
-enum Spoilt {
+/** Responses that a server should not send, each written after the request has run. */
+enum FaultyResponse {
+    /** Bytes that are not HTTP. */
     NOISE {
         @Override
         void write(Connection connection, int status, String token) {
             connection.write(bytes("\u0001\u0002 this is no answer \u0003\r\n\r\n"));
         }
     },
+    /** A Content-Length greater than the body, on a connection that stays open. */
     WRONG_LENGTH {
         @Override
         void write(Connection connection, int status, String token) {
             connection.write(bytes("HTTP/1.1 200 -\r\nContent-Length: " + (token.length() + 50) + "\r\n\r\n" + token));
         }
     },
+    /** Two Content-Length fields that differ. */
     TWO_LENGTHS {
         @Override
         void write(Connection connection, int status, String token) {
@@ -25,28 +28,30 @@
                     "HTTP/1.1 200 -\r\nContent-Length: 3\r\nContent-Length: " + token.length() + "\r\n\r\n" + token));
         }
     },
+    /** A header section that does not end. */
     ENDLESS_HEAD {
         @Override
         void write(Connection connection, int status, String token) {
             connection.write(bytes("HTTP/1.1 200 -\r\n" + "X-More: and more\r\n".repeat(8000)));
         }
     },
+    /** A Content-Length of 3 GB. */
     HUGE {
         @Override
         void write(Connection connection, int status, String token) {
             connection.write(bytes("HTTP/1.1 200 -\r\nContent-Length: 3000000000\r\n\r\n" + "x".repeat(1 << 17)));
         }
     },
-    /** A good answer, and the same again behind it. */
+    /** A valid response, followed by a second copy of it. */
     TWICE {
         @Override
         void write(Connection connection, int status, String token) {
-            byte[] answer = HttpMessage.response(status, "", bytes(token));
-            connection.write(answer);
-            connection.write(answer);
+            byte[] response = HttpMessage.response(status, "", bytes(token));
+            connection.write(response);
+            connection.write(response);
         }
     },
-    /** A good answer behind interim ones. */
+    /** A valid response after interim ones. */
     INTERIM {
         @Override
         void write(Connection connection, int status, String token) {
@@ -55,6 +60,7 @@
         }
     };
 
+    /** Writes the response; {@code token} is the body of the valid response. */
     abstract void write(Connection connection, int status, String token);
 
     private static byte[] bytes(String text) {
--- a/lab/src/main/java/calicochute/lab/emulator/FleetHost.java
+++ b/lab/src/main/java/calicochute/lab/emulator/FleetNetwork.java
@@ -22,47 +22,47 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Balancers that talk to each other: the net between them, and the operator's file of each. */
-final class FleetHost implements AutoCloseable {
-    private final Site site;
+/** The network between balancers that exchange datagrams, and their operator's files. */
+final class FleetNetwork implements AutoCloseable {
+    private final EmulationContext context;
     private final Scenario.Fleet fleet;
     private final Path folder;
-    private final Map<String, Integer> numbers = new HashMap<>();
+    private final Map<String, Integer> processNumbers = new HashMap<>();
     private final DatagramProxy proxy;
 
-    FleetHost(Site site, Path folder) throws IOException {
-        this.site = site;
+    FleetNetwork(EmulationContext context, Path folder) throws IOException {
+        this.context = context;
         this.folder = folder;
-        fleet = site.scenario.fleet();
-        List<BalancerSpec> balancers = site.deployment.balancers();
-        List<InetSocketAddress> real = new ArrayList<>();
+        fleet = context.scenario.fleet();
+        List<BalancerSpec> balancers = context.deployment.balancers();
+        List<InetSocketAddress> processAddresses = new ArrayList<>();
         for (BalancerSpec balancer : balancers) {
-            numbers.put(balancer.name(), numbers.size());
-            // A host for each, so the port stays free for its process.
-            try (DatagramChannel free = DatagramChannel.open()) {
-                free.bind(new InetSocketAddress(site.nextAddress(), 0));
-                real.add((InetSocketAddress) free.getLocalAddress());
+            processNumbers.put(balancer.name(), processNumbers.size());
+            // Each process gets an address of its own, so that nothing else takes the port before the process binds it.
+            try (DatagramChannel channel = DatagramChannel.open()) {
+                channel.bind(new InetSocketAddress(context.nextAddress(), 0));
+                processAddresses.add((InetSocketAddress) channel.getLocalAddress());
             }
         }
-        Scenario.Network n = fleet.network();
+        Scenario.Network network = fleet.network();
         proxy = new DatagramProxy(
-                real,
+                processAddresses,
                 new LinkModel(
-                        real.size(),
-                        new Conditions(n.loss(), n.delay().micros(), n.repeat(), n.reorder()),
-                        way -> site.streams.of("network", way)));
+                        processAddresses.size(),
+                        new Conditions(network.loss(), network.delay().micros(), network.repeat(), network.reorder()),
+                        link -> context.streams.of("network", link)));
     }
 
-    /** Writes a balancer's file, and says how its process finds it. */
+    /** Writes a balancer's operator's file, and returns the environment variable that names it. */
     Map<String, String> environment(BalancerSpec balancer) {
-        List<Integer> cluster = site.deployment.balancers().stream()
+        List<Integer> cluster = context.deployment.balancers().stream()
                 .filter(b -> b.tier() == balancer.tier())
-                .map(b -> numbers.get(b.name()))
+                .map(b -> processNumbers.get(b.name()))
                 .toList();
         try {
-            String state = null;
+            String stateFolder = null;
             if (fleet.state()) {
-                state = Files.createDirectories(folder.resolve(balancer.name() + "-state"))
+                stateFolder = Files.createDirectories(folder.resolve(balancer.name() + "-state"))
                         .toAbsolutePath()
                         .toString();
             }
@@ -70,14 +70,17 @@
             Files.writeString(
                     file,
                     FleetFile.of(
-                                    site.scenario.tiers().get(balancer.tier()).name(),
+                                    context.scenario
+                                            .tiers()
+                                            .get(balancer.tier())
+                                            .name(),
                                     proxy,
-                                    numbers.get(balancer.name()),
+                                    processNumbers.get(balancer.name()),
                                     cluster,
                                     fleet.share(),
                                     fleet.bandit(),
                                     fleet.experiments(),
-                                    state)
+                                    stateFolder)
                             .yaml());
             return Map.of(FleetFile.ENVIRONMENT_VARIABLE, file.toAbsolutePath().toString());
         } catch (IOException e) {
@@ -85,39 +88,39 @@
         }
     }
 
-    /** What a trouble of the network does to datagrams. */
+    /** The fault that carries out a network trouble. */
     Fault fault(TroublePlan plan) {
-        BitSet victims = set(plan.victims());
+        BitSet victims = numbersOf(plan.victims());
         long delay = plan.trouble().delay().micros();
         return switch (plan.trouble().kind()) {
             case NET_LOSS -> new Fault.Loss(victims, plan.trouble().factor());
             case NET_DELAY -> new Fault.Delay(victims, delay);
-            case NET_CUT -> new Fault.Cut(victims, set(plan.others()));
+            case NET_CUT -> new Fault.Cut(victims, numbersOf(plan.others()));
             case NET_SPLIT -> new Fault.Split(victims);
             case NET_SLOW_PEER -> new Fault.SlowPeer(victims, delay);
             default -> throw new IllegalStateException(plan.trouble().kind().word());
         };
     }
 
-    private BitSet set(List<String> balancers) {
-        BitSet set = new BitSet();
-        balancers.forEach(b -> set.set(numbers.get(b)));
-        return set;
+    private BitSet numbersOf(List<String> balancers) {
+        BitSet result = new BitSet();
+        balancers.forEach(name -> result.set(processNumbers.get(name)));
+        return result;
     }
 
-    void begin(Fault fault) {
+    void beginFault(Fault fault) {
         proxy.beginFault(fault);
     }
 
-    void end(Fault fault) {
+    void endFault(Fault fault) {
         proxy.endFault(fault);
     }
 
-    /** Datagrams by what became of them. */
+    /** The counts of datagrams by what happened to them. */
     Map<String, Long> counts() {
         Map<String, Long> counts = new LinkedHashMap<>();
-        for (DatagramProxy.Count what : DatagramProxy.Count.values()) {
-            counts.put(what.name().toLowerCase(Locale.ROOT), proxy.count(what));
+        for (DatagramProxy.Count count : DatagramProxy.Count.values()) {
+            counts.put(count.name().toLowerCase(Locale.ROOT), proxy.count(count));
         }
         return counts;
     }
--- a/lab/src/main/java/calicochute/lab/emulator/OverheadRun.java
+++ b/lab/src/main/java/calicochute/lab/emulator/OverheadRun.java
@@ -20,43 +20,45 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * What a balancer adds: the same requests to the same server direct, through a bare relay, and through the balancer, in
- * turn and several times over, so that the machine's moods meet all three. Latency counts from the planned sending.
+ * Measures the overhead of a balancer. The same requests go to the same server directly, through a minimal relay, and
+ * through the balancer, in alternating turns, so that disturbances of the machine affect all three routes. Latency
+ * counts from the planned time of sending.
  */
 public final class OverheadRun {
-    private static final long HIGHEST = 60_000_000;
-    private static final long START_LIMIT_S = 30;
-    private static final long WARM_UP = 3_000_000;
-    private static final int REQUEST_WORK = 1;
-    private final Site site;
+    private static final long MAX_LATENCY_MICROS = 60_000_000;
+    private static final long START_TIMEOUT_SECONDS = 30;
+    private static final long WARM_UP_MICROS = 3_000_000;
+    private static final int REQUEST_WORK_MICROS = 1;
+    private final EmulationContext context;
     private final Path folder;
-    private final Emulation.Balancers start;
+    private final Emulation.BalancerCommand balancerCommand;
     private final List<String> relayCommand;
     private final Map<String, Route> routes = new LinkedHashMap<>();
-    private ServerHost server;
-    private DiscoveryHost discovery;
-    private int numbers;
+    private EmulatedServer server;
+    private EmulatedDiscovery discovery;
+    private int requestCount;
 
-    /** One way to the server. {@code pid} is the process on it, 0 for none. */
+    /** One route to the server. {@code pid} is the process id of the relay or balancer on it, 0 if there is none. */
     private static final class Route {
-        final Caller caller;
+        final BalancerClient client;
         final long pid;
-        final Histogram latency = new Histogram(HIGHEST, 3);
-        double cpu;
+        final Histogram latency = new Histogram(MAX_LATENCY_MICROS, 3);
+        double cpuSeconds;
         long sent;
         long failed;
-        long resident;
-        double highest;
+        long residentBytes;
+        double highestRate;
 
-        Route(Caller caller, long pid) {
-            this.caller = caller;
+        Route(BalancerClient client, long pid) {
+            this.client = client;
             this.pid = pid;
         }
     }
 
     /**
-     * One way's figures: latency in milliseconds, CPU in microseconds a request (of the process between, 0 for none),
-     * resident memory in megabytes, and the most requests a second with that process on one core.
+     * The figures of one route: latency in milliseconds; and for the relay's or balancer's process its CPU time per
+     * request in microseconds, its resident memory in megabytes, and the highest rate in requests per second on one
+     * core.
      */
     public record Result(
             String route,
@@ -68,72 +70,74 @@
             double residentMb,
             double highestRate) {}
 
-    /** @param relayCommand starts a relay when given its address and that of the server as two more arguments */
-    public OverheadRun(Scenario scenario, Path folder, Emulation.Balancers start, List<String> relayCommand)
+    /** @param relayCommand starts a relay; its address and that of the server are added as arguments */
+    public OverheadRun(
+            Scenario scenario, Path folder, Emulation.BalancerCommand balancerCommand, List<String> relayCommand)
             throws IOException {
         Streams streams = new Streams(1);
-        site = new Site(Deployment.draw(scenario, streams), streams);
+        context = new EmulationContext(Deployment.draw(scenario, streams), streams);
         this.folder = Files.createDirectories(folder);
-        this.start = start;
+        this.balancerCommand = balancerCommand;
         this.relayCommand = relayCommand;
-        MachineSpec machine = site.deployment.machines().get(0);
-        discovery = new DiscoveryHost(site, (id, zone) -> server.address(zone));
-        server = new ServerHost(site, machine, discovery::informed);
+        MachineSpec machine = context.deployment.machines().get(0);
+        discovery = new EmulatedDiscovery(context, (id, zone) -> server.address(zone));
+        server = new EmulatedServer(context, machine, discovery::isInformed);
         server.open();
         discovery.open();
     }
 
     /**
-     * Runs all of it: {@code rounds} turns of {@code seconds} on each way, then each way's highest rate with
-     * {@code together} requests always out.
+     * Runs the measurement: {@code rounds} turns of {@code seconds} at {@code rate} requests per second on each route,
+     * then the highest rate of each process with {@code concurrency} concurrent requests.
      */
-    public List<Result> run(double rate, int seconds, int rounds, int together) throws Exception {
+    public List<Result> run(double rate, int seconds, int rounds, int concurrency) throws Exception {
         List<Process> processes = new ArrayList<>();
-        BalancerHost balancer = null;
+        BalancerProcess balancer = null;
         try {
-            site.eventLoop.start();
-            BalancerSpec spec = site.deployment.balancers().get(0);
-            Settings settings = new Settings(site);
-            balancer = new BalancerHost(
-                    site,
+            context.eventLoop.start();
+            BalancerSpec spec = context.deployment.balancers().get(0);
+            BalancerConfiguration settings = new BalancerConfiguration(context);
+            balancer = new BalancerProcess(
+                    context,
                     spec,
                     folder,
-                    start,
-                    (s, listen, n) -> settings.configuration(s, listen, discovery.at(s), 1, discovery.known(s)),
-                    s -> java.util.Map.of());
+                    balancerCommand,
+                    (target, listen, startNumber) -> settings.configuration(
+                            target, listen, discovery.address(target), 1, discovery.initialList(target)),
+                    target -> java.util.Map.of());
             CountDownLatch ready = new CountDownLatch(1);
-            balancer.listeners(b -> ready.countDown(), reason -> System.err.println(reason));
-            site.eventLoop.post(balancer::start);
-            if (!ready.await(START_LIMIT_S, TimeUnit.SECONDS)) {
-                throw new StartException("", "the balancer was not ready within " + START_LIMIT_S + " s");
+            balancer.setListeners(process -> ready.countDown(), reason -> System.err.println(reason));
+            context.eventLoop.post(balancer::start);
+            if (!ready.await(START_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+                throw new StartException("", "the balancer was not ready within " + START_TIMEOUT_SECONDS + " s");
             }
-            InetSocketAddress behind = server.address(spec.zone());
-            InetSocketAddress relay = site.freeAddress();
+            InetSocketAddress serverAddress = server.address(spec.zone());
+            InetSocketAddress relayAddress = context.freeAddress();
             List<String> command = new ArrayList<>(relayCommand);
-            command.add(Site.text(relay));
-            command.add(Site.text(behind));
-            Process relaying = new ProcessBuilder(command)
+            command.add(EmulationContext.hostPort(relayAddress));
+            command.add(EmulationContext.hostPort(serverAddress));
+            Process relayProcess = new ProcessBuilder(command)
                     .redirectErrorStream(true)
                     .redirectOutput(folder.resolve("relay.log").toFile())
                     .start();
-            processes.add(relaying);
-            awaitListening(relay);
-            routes.put("direct", new Route(caller(spec, behind), 0));
-            routes.put("relay", new Route(caller(spec, relay), relaying.pid()));
-            routes.put("balancer", new Route(caller(spec, balancer.address()), balancer.pid()));
+            processes.add(relayProcess);
+            awaitListening(relayAddress);
+            routes.put("direct", new Route(client(spec, serverAddress), 0));
+            routes.put("relay", new Route(client(spec, relayAddress), relayProcess.pid()));
+            routes.put("balancer", new Route(client(spec, balancer.address()), balancer.pid()));
             for (Route route : routes.values()) {
-                turn(route, rate, Math.min(WARM_UP, seconds * 1_000_000L), false);
+                runTurn(route, rate, Math.min(WARM_UP_MICROS, seconds * 1_000_000L), false);
             }
             for (int i = 0; i < rounds; i++) {
                 for (Route route : routes.values()) {
-                    turn(route, rate, seconds * 1_000_000L, true);
+                    runTurn(route, rate, seconds * 1_000_000L, true);
                 }
             }
             int core = 1;
             for (Route route : routes.values()) {
-                if (route.pid != 0 && pin(route.pid, core++)) {
-                    saturate(route, 2_000_000, together);
-                    route.highest = saturate(route, seconds * 1_000_000L, together);
+                if (route.pid != 0 && pinToCore(route.pid, core++)) {
+                    saturate(route, 2_000_000, concurrency);
+                    route.highestRate = saturate(route, seconds * 1_000_000L, concurrency);
                 }
             }
             return results();
@@ -142,23 +146,23 @@
                 balancer.destroy();
             }
             processes.forEach(Process::destroyForcibly);
-            site.eventLoop.stop();
-            site.sockets.close();
+            context.eventLoop.stop();
+            context.sockets.close();
         }
     }
 
-    private Caller caller(BalancerSpec spec, InetSocketAddress to) {
-        return new Caller(site, spec, to, 0, Integer.MAX_VALUE);
+    private BalancerClient client(BalancerSpec spec, InetSocketAddress address) {
+        return new BalancerClient(context, spec, address, 0, Integer.MAX_VALUE);
     }
 
-    private static void awaitListening(InetSocketAddress at) throws IOException, InterruptedException {
-        long latest = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_LIMIT_S);
+    private static void awaitListening(InetSocketAddress address) throws IOException, InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_SECONDS);
         while (true) {
             try {
-                new java.net.Socket(at.getAddress(), at.getPort()).close();
+                new java.net.Socket(address.getAddress(), address.getPort()).close();
                 return;
             } catch (IOException e) {
-                if (System.nanoTime() > latest) {
+                if (System.nanoTime() > deadline) {
                     throw new IOException("the relay does not listen: " + e.getMessage(), e);
                 }
                 Thread.sleep(20);
@@ -167,34 +171,35 @@
     }
 
     private Request request() {
-        Arrival arrival = new Arrival(numbers++, 0, 0, 0, 0, REQUEST_WORK, 1, List.of(0), 0, false, false);
-        return site.request(
-                new Root(arrival, site.eventLoop.now(), 1),
+        Arrival arrival = new Arrival(requestCount++, 0, 0, 0, 0, REQUEST_WORK_MICROS, 1, List.of(0), 0, false, false);
+        return context.registerRequest(
+                new ClientRequest(arrival, context.eventLoop.now(), 1),
                 0,
-                site.deployment.balancers().get(0));
+                context.deployment.balancers().get(0));
     }
 
-    private long patience() {
-        return site.scenario.classes().get(0).giveUp().micros();
+    private long timeoutMicros() {
+        return context.scenario.classes().get(0).giveUp().micros();
     }
 
-    /** Sends at a rate for a time, and waits for the last answer. */
-    private void turn(Route route, double rate, long micros, boolean counts) throws Exception {
-        double before = route.pid == 0 ? 0 : ProcessUsage.of(route.pid).cpuSeconds();
-        CountDownLatch over = new CountDownLatch(1);
-        UniformRandomProvider times = site.streams.of("overhead", 0);
-        site.eventLoop.post(() -> {
-            long begin = site.eventLoop.now() + 50_000;
-            long[] open = new long[1];
-            send(route, times, rate, begin + micros, begin, counts, open, over);
+    /** Sends requests at a rate for some time, and waits until all have ended. */
+    private void runTurn(Route route, double rate, long micros, boolean measured) throws Exception {
+        double cpuSecondsBefore =
+                route.pid == 0 ? 0 : ProcessUsage.of(route.pid).cpuSeconds();
+        CountDownLatch finished = new CountDownLatch(1);
+        UniformRandomProvider times = context.streams.of("overhead", 0);
+        context.eventLoop.post(() -> {
+            long begin = context.eventLoop.now() + 50_000;
+            long[] unanswered = new long[1];
+            send(route, times, rate, begin + micros, begin, measured, unanswered, finished);
         });
-        if (!over.await(micros / 1_000_000 + 20, TimeUnit.SECONDS)) {
+        if (!finished.await(micros / 1_000_000 + 20, TimeUnit.SECONDS)) {
             throw new IOException("the run did not end");
         }
-        if (counts && route.pid != 0) {
+        if (measured && route.pid != 0) {
             ProcessUsage usage = ProcessUsage.of(route.pid);
-            route.cpu += usage.cpuSeconds() - before;
-            route.resident = Math.max(route.resident, usage.resident());
+            route.cpuSeconds += usage.cpuSeconds() - cpuSecondsBefore;
+            route.residentBytes = Math.max(route.residentBytes, usage.residentBytes());
         }
     }
 
@@ -204,64 +209,64 @@
             double rate,
             long end,
             long at,
-            boolean counts,
-            long[] open,
-            CountDownLatch over) {
+            boolean measured,
+            long[] unanswered,
+            CountDownLatch finished) {
         long next = at + Math.round(Streams.exponential(times, 1e6 / rate));
         if (next >= end) {
-            site.eventLoop.scheduleAt(end, () -> awaitNone(open, over));
+            context.eventLoop.scheduleAt(end, () -> awaitAllAnswered(unanswered, finished));
             return;
         }
-        site.eventLoop.scheduleAt(next, () -> {
-            send(route, times, rate, end, next, counts, open, over);
-            open[0]++;
-            route.caller.ask(request(), null, false, patience(), result -> {
-                open[0]--;
-                if (counts) {
+        context.eventLoop.scheduleAt(next, () -> {
+            send(route, times, rate, end, next, measured, unanswered, finished);
+            unanswered[0]++;
+            route.client.send(request(), null, false, timeoutMicros(), result -> {
+                unanswered[0]--;
+                if (measured) {
                     route.sent++;
                     route.failed += result.served() ? 0 : 1;
-                    route.latency.recordValue(Math.min(HIGHEST, site.eventLoop.now() - next));
+                    route.latency.recordValue(Math.min(MAX_LATENCY_MICROS, context.eventLoop.now() - next));
                 }
             });
         });
     }
 
-    private void awaitNone(long[] open, CountDownLatch over) {
-        if (open[0] == 0) {
-            over.countDown();
+    private void awaitAllAnswered(long[] unanswered, CountDownLatch finished) {
+        if (unanswered[0] == 0) {
+            finished.countDown();
         } else {
-            site.eventLoop.scheduleAfter(5000, () -> awaitNone(open, over));
+            context.eventLoop.scheduleAfter(5000, () -> awaitAllAnswered(unanswered, finished));
         }
     }
 
-    /** Keeps a fixed number of requests out, each followed by the next; the rate at which they are answered. */
-    private double saturate(Route route, long micros, int together) throws InterruptedException {
-        CountDownLatch over = new CountDownLatch(together);
-        long[] done = new long[1];
+    /** Keeps a fixed number of requests in flight for some time, and returns the number served per second. */
+    private double saturate(Route route, long micros, int concurrency) throws InterruptedException {
+        CountDownLatch finished = new CountDownLatch(concurrency);
+        long[] served = new long[1];
         long[] end = new long[1];
-        site.eventLoop.post(() -> {
-            end[0] = site.eventLoop.now() + micros;
-            for (int i = 0; i < together; i++) {
-                again(route, end, done, over);
+        context.eventLoop.post(() -> {
+            end[0] = context.eventLoop.now() + micros;
+            for (int i = 0; i < concurrency; i++) {
+                sendNext(route, end, served, finished);
             }
         });
-        over.await(micros / 1_000_000 + 20, TimeUnit.SECONDS);
-        return done[0] * 1e6 / micros;
+        finished.await(micros / 1_000_000 + 20, TimeUnit.SECONDS);
+        return served[0] * 1e6 / micros;
     }
 
-    private void again(Route route, long[] end, long[] done, CountDownLatch over) {
-        if (site.eventLoop.now() >= end[0]) {
-            over.countDown();
+    private void sendNext(Route route, long[] end, long[] served, CountDownLatch finished) {
+        if (context.eventLoop.now() >= end[0]) {
+            finished.countDown();
             return;
         }
-        route.caller.ask(request(), null, false, patience(), result -> {
-            done[0] += result.served() ? 1 : 0;
-            again(route, end, done, over);
+        route.client.send(request(), null, false, timeoutMicros(), result -> {
+            served[0] += result.served() ? 1 : 0;
+            sendNext(route, end, served, finished);
         });
     }
 
-    /** Holds a process on one core; false where the system has no means for it. */
-    private static boolean pin(long pid, int core) throws InterruptedException {
+    /** Pins a process to one core; false if that is not possible on this system. */
+    private static boolean pinToCore(long pid, int core) throws InterruptedException {
         try {
             return new ProcessBuilder("taskset", "-acp", Integer.toString(core), Long.toString(pid))
                             .redirectErrorStream(true)
@@ -276,15 +281,15 @@
 
     private List<Result> results() {
         List<Result> results = new ArrayList<>();
-        routes.forEach((name, r) -> results.add(new Result(
+        routes.forEach((name, route) -> results.add(new Result(
                 name,
-                r.sent,
-                r.failed,
-                r.latency.getValueAtPercentile(50) / 1e3,
-                r.latency.getValueAtPercentile(99) / 1e3,
-                r.sent == 0 ? 0 : r.cpu * 1e6 / r.sent,
-                r.resident / 1e6,
-                r.highest)));
+                route.sent,
+                route.failed,
+                route.latency.getValueAtPercentile(50) / 1e3,
+                route.latency.getValueAtPercentile(99) / 1e3,
+                route.sent == 0 ? 0 : route.cpuSeconds * 1e6 / route.sent,
+                route.residentBytes / 1e6,
+                route.highestRate)));
         return results;
     }
 }
--- a/lab/src/main/java/calicochute/lab/emulator/ProcessUsage.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ProcessUsage.java
@@ -5,18 +5,18 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What a process has used, read from /proc: CPU seconds since its start, and resident memory in bytes. */
-record ProcessUsage(double cpuSeconds, long resident) {
-    private static final int TICKS_A_SECOND = 100;
-    private static final int PAGE = 4096;
+/** The resources that a process uses, read from /proc: CPU time since its start, and resident memory. */
+record ProcessUsage(double cpuSeconds, long residentBytes) {
+    private static final int CLOCK_TICKS_PER_SECOND = 100;
+    private static final int PAGE_BYTES = 4096;
 
     static ProcessUsage of(long pid) throws IOException {
         Path proc = Path.of("/proc", Long.toString(pid));
         String stat = Files.readString(proc.resolve("stat"), StandardCharsets.US_ASCII);
-        // The name before the last parenthesis may hold anything; the fields after it are utime and stime among others.
+        // The process name may contain any characters, so fields are counted from the last closing parenthesis.
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
         return new ProcessUsage(
-                (Double.parseDouble(fields[11]) + Double.parseDouble(fields[12])) / TICKS_A_SECOND,
-                Long.parseLong(Files.readString(proc.resolve("statm")).split(" ")[1]) * PAGE);
+                (Double.parseDouble(fields[11]) + Double.parseDouble(fields[12])) / CLOCK_TICKS_PER_SECOND,
+                Long.parseLong(Files.readString(proc.resolve("statm")).split(" ")[1]) * PAGE_BYTES);
     }
 }
--- a/lab/src/main/java/calicochute/lab/emulator/ServerDoor.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ServerEndpoint.java
@@ -1,6 +1,6 @@
 package calicochute.lab.emulator;
 
-import calicochute.lab.emulator.ServerJob.Held;
+import calicochute.lab.emulator.ServerJob.ConnectionState;
 import calicochute.lab.socket.Blackhole;
 import calicochute.lab.socket.Connection;
 import calicochute.lab.socket.HttpMessage;
@@ -12,43 +12,43 @@
 import org.apache.hc.core5.io.Closer;
 import org.apache.hc.core5.reactor.ListenerEndpoint;
 
-/** A server's address for callers of one zone. */
-final class ServerDoor implements Connection.Listener, Sockets.Acceptor {
+/** The address of a server for callers of one zone, with its connections. */
+final class ServerEndpoint implements Connection.Listener, Sockets.Acceptor {
     final String zone;
-    /** One way from its callers, in microseconds. */
-    final long delay;
+    /** The one-way delay between the callers and the server. */
+    final long oneWayDelayMicros;
 
     final Set<Connection> connections = new LinkedHashSet<>();
-    private final ServerHost server;
-    private final Site site;
+    private final EmulatedServer server;
+    private final EmulationContext context;
     private InetSocketAddress address;
     private ListenerEndpoint listener;
     private Blackhole blackhole;
 
-    ServerDoor(ServerHost server, Site site, String zone) {
+    ServerEndpoint(EmulatedServer server, EmulationContext context, String zone) {
         this.server = server;
-        this.site = site;
+        this.context = context;
         this.zone = zone;
-        delay = site.deployment.delay(zone, server.spec().zone());
+        oneWayDelayMicros = context.deployment.delay(zone, server.spec().zone());
     }
 
     InetSocketAddress address() {
         return address;
     }
 
-    void open(InetSocketAddress at) throws IOException {
-        listener = site.sockets.listen(at, this);
+    void open(InetSocketAddress requested) throws IOException {
+        listener = context.sockets.listen(requested, this);
         address = (InetSocketAddress) listener.getAddress();
     }
 
     void reopen() throws IOException {
         if (listener == null && blackhole == null) {
-            listener = site.sockets.listen(address, this);
+            listener = context.sockets.listen(address, this);
         }
-        reach();
+        updateReachability();
     }
 
-    void shut() {
+    void close() {
         if (listener != null) {
             Closer.closeQuietly(listener);
             listener = null;
@@ -59,37 +59,38 @@
         }
     }
 
-    /** Falls silent, or comes back with its old connections reset. */
-    void reach() {
-        boolean away = server.silent() || site.cut(zone, server.spec().zone());
-        if (!server.up() || away == (blackhole != null)) {
+    /** Cuts the endpoint off if the server or its zone is, or reconnects it, which resets connections from before. */
+    void updateReachability() {
+        boolean cutOff =
+                server.unreachable() || context.isCut(zone, server.spec().zone());
+        if (!server.up() || cutOff == (blackhole != null)) {
             return;
         }
         try {
-            shut();
-            if (away) {
+            close();
+            if (cutOff) {
                 blackhole = new Blackhole(address);
-                connections.forEach(connection -> ((Held) connection.attachment).dead = true);
+                connections.forEach(connection -> ((ConnectionState) connection.attachment).unreachable = true);
             } else {
                 for (Connection connection : connections) {
-                    if (((Held) connection.attachment).job != null) {
-                        site.ruleChecker.dispatchEnded(
-                                site.eventLoop.now(), ((Held) connection.attachment).job.dispatch);
+                    if (((ConnectionState) connection.attachment).job != null) {
+                        context.ruleChecker.dispatchEnded(
+                                context.eventLoop.now(), ((ConnectionState) connection.attachment).job.dispatch);
                     }
                     connection.reset();
                 }
                 server.openConnections.addAndGet(-connections.size());
                 connections.clear();
-                listener = site.sockets.listen(address, this);
+                listener = context.sockets.listen(address, this);
             }
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** On an I/O thread: a connection too many is ended as it comes up. */
+    /** Called on an I/O thread; a connection beyond the machine's limit is reset at once. */
     @Override
-    public Connection.Listener apply(InetSocketAddress from) {
+    public Connection.Listener apply(InetSocketAddress peer) {
         if (server.openConnections.incrementAndGet() > server.spec().kind().connections()) {
             server.openConnections.decrementAndGet();
             return null;
@@ -99,13 +100,13 @@
 
     @Override
     public void accepted(Connection connection) {
-        Held held = new Held();
-        held.idleSince = site.eventLoop.now();
-        connection.attachment = held;
+        ConnectionState state = new ConnectionState();
+        state.idleSince = context.eventLoop.now();
+        connection.attachment = state;
         if (!server.up()) {
             connection.reset();
         } else {
-            held.dead = blackhole != null;
+            state.unreachable = blackhole != null;
             connections.add(connection);
         }
     }
@@ -113,13 +114,13 @@
     @Override
     public void message(Connection connection, HttpMessage message) {
         if (server.up()) {
-            server.work().arrived(this, connection, message);
+            server.requestHandler().requestReceived(this, connection, message);
         }
     }
 
     @Override
     public void malformed(Connection connection, String reason) {
-        // Balancers must not send this on; whoever did is answered as a server would.
+        // Balancers must not forward malformed requests; the response is that of a usual server.
         connection.write(HttpMessage.response(400, "Connection: close\r\n", new byte[0]));
         connection.close();
         closed(connection, false, true);
@@ -130,6 +131,6 @@
         if (connections.remove(connection)) {
             server.openConnections.decrementAndGet();
         }
-        server.work().gaveUp(connection);
+        server.requestHandler().callerDisconnected(connection);
     }
 }
--- a/lab/src/main/java/calicochute/lab/emulator/StartException.java
+++ b/lab/src/main/java/calicochute/lab/emulator/StartException.java
@@ -3,11 +3,11 @@
 import calicochute.errors.Code;
 import calicochute.errors.IoFault;
 
-/** A process of a run that did not start. */
+/** Thrown when a process of a run does not start. */
 public final class StartException extends IoFault {
     private static final long serialVersionUID = 1L;
 
-    public StartException(String where, String seen) {
-        super(Code.BALANCER_START, where, seen, null);
+    public StartException(String place, String observed) {
+        super(Code.BALANCER_START, place, observed, null);
     }
 }
--- a/lab/src/main/java/calicochute/lab/experiment/Installation.java
+++ b/lab/src/main/java/calicochute/lab/experiment/Installation.java
@@ -26,16 +26,16 @@
     }
 
     /** Balancers as deployed, or by a command that is given in its place. */
-    public static Emulation.Balancers balancers(String command) throws IOException {
+    public static Emulation.BalancerCommand balancers(String command) throws IOException {
         Path root = root();
         if (command != null) {
-            return new Emulation.Balancers(command, root);
+            return new Emulation.BalancerCommand(command, root);
         }
         Path file = root.resolve(DEPLOY);
         JsonNode run = new TomlMapper().readTree(file.toFile()).get("run");
         if (run == null || run.asText().isBlank()) {
             throw new DeploymentException(file.toString(), "run: is missing");
         }
-        return new Emulation.Balancers(run.asText(), root);
+        return new Emulation.BalancerCommand(run.asText(), root);
     }
 }
--- a/lab/src/main/java/calicochute/lab/experiment/Runner.java
+++ b/lab/src/main/java/calicochute/lab/experiment/Runner.java
@@ -16,10 +16,10 @@
 /** Runs a scenario once and writes its folder. An interrupt leaves no process behind and a result marked as partial. */
 public final class Runner {
     private static final long LAST_WORDS_S = 10;
-    private final Emulation.Balancers balancers;
+    private final Emulation.BalancerCommand balancers;
     private final Emulation.Progress progress;
 
-    public Runner(Emulation.Balancers balancers, Emulation.Progress progress) {
+    public Runner(Emulation.BalancerCommand balancers, Emulation.Progress progress) {
         this.balancers = balancers;
         this.progress = progress;
     }
--- a/lab/src/main/java/calicochute/lab/result/Evenly.java
+++ b/lab/src/main/java/calicochute/lab/result/Evenly.java
@@ -1,7 +1,7 @@
 package calicochute.lab.result;
 
 import calicochute.lab.chance.Streams;
-import calicochute.lab.emulator.Outcome;
+import calicochute.lab.emulator.EmulationResult;
 import calicochute.lab.evenness.Dispatch;
 import calicochute.lab.evenness.Evenness;
 import calicochute.lab.evenness.Evenness.Window;
@@ -25,9 +25,9 @@
     /** A server that has this part of its capacity is warm. */
     private static final double WARM = 0.999;
 
-    private final Outcome outcome;
+    private final EmulationResult outcome;
 
-    Evenly(Outcome outcome) {
+    Evenly(EmulationResult outcome) {
         this.outcome = outcome;
     }
 
@@ -36,7 +36,7 @@
         Streams streams = new Streams(outcome.seed());
         for (int t = 0; t < outcome.deployment().scenario().tiers().size(); t++) {
             List<MachineSpec> machines = outcome.deployment().machines(t);
-            List<Dispatch> sent = outcome.sent().get(t).stream()
+            List<Dispatch> sent = outcome.dispatchesByTier().get(t).stream()
                     .map(d -> new Dispatch(d.at() - outcome.startedAt(), d.balancer(), d.server(), d.first()))
                     .sorted(Comparator.comparingLong(Dispatch::at))
                     .toList();
@@ -65,7 +65,7 @@
         }
         Map<String, Integer> numbers =
                 machines.stream().collect(java.util.stream.Collectors.toMap(MachineSpec::id, MachineSpec::index));
-        for (Outcome.ServerSample s : outcome.servers()) {
+        for (EmulationResult.ServerSample s : outcome.servers()) {
             if (s.tier() == tier && s.capacityShare() < WARM) {
                 for (long second = s.at() / SECOND - 1; second <= s.at() / SECOND; second++) {
                     if (second >= 0 && second < length) {
--- a/lab/src/main/java/calicochute/lab/result/Measured.java
+++ b/lab/src/main/java/calicochute/lab/result/Measured.java
@@ -1,8 +1,8 @@
 package calicochute.lab.result;
 
+import calicochute.lab.emulator.ClientRequest;
 import calicochute.lab.emulator.Emulation;
-import calicochute.lab.emulator.Outcome;
-import calicochute.lab.emulator.Root;
+import calicochute.lab.emulator.EmulationResult;
 import calicochute.lab.evenness.Evenness;
 import calicochute.lab.result.RunResult.BalancerSecond;
 import calicochute.lab.result.RunResult.BreachLine;
@@ -31,16 +31,16 @@
 
     private static final int WINDOW_S = 10;
     private static final long HIGHEST_US = 600_000_000;
-    private final Outcome outcome;
+    private final EmulationResult outcome;
     private final Scenario scenario;
     private final Map<String, Double> figures = new LinkedHashMap<>();
 
-    private Measured(Outcome outcome) {
+    private Measured(EmulationResult outcome) {
         this.outcome = outcome;
         scenario = outcome.deployment().scenario();
     }
 
-    public static RunResult of(Outcome outcome) {
+    public static RunResult of(EmulationResult outcome) {
         return new Measured(outcome).result();
     }
 
@@ -65,28 +65,28 @@
                         s.at() / 1e6,
                         s.server(),
                         s.tier(),
-                        s.inWork(),
-                        s.inQueue(),
+                        s.busySlots(),
+                        s.queueLength(),
                         s.dispatches(),
-                        s.turnedAway(),
+                        s.rejected(),
                         s.capacityShare(),
                         s.sluggish()))
                 .toList();
         List<BalancerSecond> balancers = new ArrayList<>();
         outcome.balancers()
-                .forEach((b, samples) -> samples.forEach(
-                        s -> balancers.add(new BalancerSecond(s.at() / 1e6, b.name(), s.cores(), s.resident() / 1e6))));
+                .forEach((b, samples) -> samples.forEach(s ->
+                        balancers.add(new BalancerSecond(s.at() / 1e6, b.name(), s.cores(), s.residentBytes() / 1e6))));
         Map<String, Long> counters = new TreeMap<>();
         outcome.counters().values().forEach(c -> c.forEach((name, count) -> counters.merge(name, count, Long::sum)));
         List<Evenness> evenness = new Evenly(outcome).tiers();
         Evenly.figures(evenness, figures);
         outcome.datagrams().forEach((what, count) -> figures.put("datagrams_" + what, (double) count));
-        String invalid = outcome.lateness()[1] <= LATENESS_BOUND
+        String invalid = outcome.latenessMicros()[1] <= LATENESS_BOUND
                 ? null
                 : String.format(
                         Locale.ROOT,
                         "the lab's own timers ran %.1f ms late at the 99th percentile; %.0f ms are allowed",
-                        outcome.lateness()[1] / 1e3,
+                        outcome.latenessMicros()[1] / 1e3,
                         LATENESS_BOUND / 1e3);
         return new RunResult(
                 RunResult.VERSION,
@@ -112,15 +112,15 @@
         int length = (int) Math.ceil(outcome.length() / 1e6);
         int[][] counts = new int[length][5];
         double[][] worth = new double[length][2];
-        for (Root root : outcome.roots()) {
+        for (ClientRequest root : outcome.requests()) {
             int at = (int) Math.min(length - 1, root.arrival.at() / 1_000_000);
             double w = Emulation.worth(scenario, root);
             counts[at][0]++;
             worth[at][0] += w;
-            worth[at][1] += root.end == Root.End.SERVED ? w : 0;
-            counts[at][1] += root.end == Root.End.DENIED ? 1 : 0;
+            worth[at][1] += root.end == ClientRequest.End.SERVED ? w : 0;
+            counts[at][1] += root.end == ClientRequest.End.DENIED ? 1 : 0;
             counts[at][2] += failed(root) ? 1 : 0;
-            counts[at][3] += root.end == Root.End.LATE ? 1 : 0;
+            counts[at][3] += root.end == ClientRequest.End.LATE ? 1 : 0;
             counts[at][4] += root.denials;
         }
         List<Second> seconds = new ArrayList<>();
@@ -131,9 +131,9 @@
         return seconds;
     }
 
-    private static boolean failed(Root root) {
+    private static boolean failed(ClientRequest root) {
         return switch (root.end) {
-            case FAILED, UNREACHABLE, SILENT, OPEN -> true;
+            case FAILED, UNREACHABLE, TIMED_OUT, OPEN -> true;
             case SERVED, LATE, DENIED -> false;
         };
     }
@@ -143,7 +143,7 @@
         Histogram all = new Histogram(HIGHEST_US, 3);
         for (int c = 0; c < scenario.classes().size(); c++) {
             Histogram one = new Histogram(HIGHEST_US, 3);
-            for (Root root : outcome.roots()) {
+            for (ClientRequest root : outcome.requests()) {
                 if (root.arrival.classIndex() == c && root.answered()) {
                     long took = Math.max(0, Math.min(HIGHEST_US, root.endedAt - root.plannedAt));
                     one.recordValue(took);
@@ -167,24 +167,24 @@
                 h.getMaxValue() / 1e3);
     }
 
-    private double service(Predicate<Root> of) {
+    private double service(Predicate<ClientRequest> of) {
         double asked = 0;
         double served = 0;
-        for (Root root : outcome.roots()) {
+        for (ClientRequest root : outcome.requests()) {
             if (of.test(root)) {
                 double w = Emulation.worth(scenario, root);
                 asked += w;
-                served += root.end == Root.End.SERVED ? w : 0;
+                served += root.end == ClientRequest.End.SERVED ? w : 0;
             }
         }
         return asked == 0 ? 1 : served / asked;
     }
 
-    private double share(Predicate<Root> of) {
-        return outcome.roots().isEmpty()
+    private double share(Predicate<ClientRequest> of) {
+        return outcome.requests().isEmpty()
                 ? 0
-                : (double) outcome.roots().stream().filter(of).count()
-                        / outcome.roots().size();
+                : (double) outcome.requests().stream().filter(of).count()
+                        / outcome.requests().size();
     }
 
     private void figures(List<Second> seconds, List<Latency> latencies) {
@@ -214,61 +214,67 @@
             figures.put("latency_p50_ms_" + l.of(), l.p50());
             figures.put("latency_p99_ms_" + l.of(), l.p99());
         });
-        int n = Math.max(1, outcome.roots().size());
-        figures.put("requests", (double) outcome.roots().size());
-        figures.put("denied", share(r -> r.end == Root.End.DENIED));
+        int n = Math.max(1, outcome.requests().size());
+        figures.put("requests", (double) outcome.requests().size());
+        figures.put("denied", share(r -> r.end == ClientRequest.End.DENIED));
         figures.put("failed", share(Measured::failed));
-        figures.put("late", share(r -> r.end == Root.End.LATE));
+        figures.put("late", share(r -> r.end == ClientRequest.End.LATE));
         figures.put(
                 "denials_per_request",
-                outcome.roots().stream().mapToInt(r -> r.denials).sum() / (double) n);
+                outcome.requests().stream().mapToInt(r -> r.denials).sum() / (double) n);
         figures.put(
                 "tries_per_request",
-                outcome.roots().stream().mapToInt(r -> r.tries).sum() / (double) n);
+                outcome.requests().stream().mapToInt(r -> r.tries).sum() / (double) n);
         for (int t = 0; t < scenario.tiers().size(); t++) {
             int tier = t;
             figures.put(
                     "dispatches_per_request_" + scenario.tiers().get(t).name(),
-                    outcome.roots().stream().mapToInt(r -> r.dispatches[tier]).sum() / (double) n);
+                    outcome.requests().stream()
+                                    .mapToInt(r -> r.dispatches[tier])
+                                    .sum()
+                            / (double) n);
         }
-        double offered = outcome.roots().stream().mapToDouble(this::offered).sum();
-        double wasted = outcome.roots().stream()
+        double offered = outcome.requests().stream().mapToDouble(this::offered).sum();
+        double wasted = outcome.requests().stream()
                 .mapToDouble(r -> r.workDone - r.workUsed)
                 .sum();
         figures.put("wasted_work", offered == 0 ? 0 : wasted / offered);
-        figures.put("zone_crossings_per_request", outcome.crossings() / (double) n);
+        figures.put("zone_crossings_per_request", outcome.crossZoneDispatches() / (double) n);
         figures.put("probes_per_request", outcome.probes() / (double) n);
         figures.put("breaches", (double) outcome.breaches().size());
-        figures.put("cold_starts", (double) outcome.cold().starts());
-        figures.put("cold_falls", (double) outcome.cold().falls());
-        figures.put("cold_window_worst", outcome.cold().worst());
-        figures.put("cold_window_worst_told", outcome.cold().worstInformed());
+        figures.put("cold_starts", (double) outcome.coldStarts().starts());
+        figures.put("cold_falls", (double) outcome.coldStarts().collapses());
+        figures.put("cold_window_worst", outcome.coldStarts().worstBudgetShare());
+        figures.put("cold_window_worst_told", outcome.coldStarts().worstInformedBudgetShare());
         figures.put("bad_clients", (double) outcome.badClients().sent());
-        figures.put("bad_clients_neglected", (double) outcome.badClients().neglected());
+        figures.put("bad_clients_neglected", (double) outcome.badClients().unanswered());
         figures.put("bad_clients_served", (double) outcome.badClients().served());
         double cores = 0;
         double most = 0;
         for (var samples : outcome.balancers().values()) {
             cores += samples.stream()
-                    .mapToDouble(Outcome.BalancerSample::cores)
+                    .mapToDouble(EmulationResult.BalancerSample::cores)
                     .average()
                     .orElse(0);
             most = Math.max(
                     most,
-                    samples.stream().mapToDouble(s -> s.resident() / 1e6).max().orElse(0));
+                    samples.stream()
+                            .mapToDouble(s -> s.residentBytes() / 1e6)
+                            .max()
+                            .orElse(0));
         }
         figures.put("balancers_cores", cores);
         figures.put(
                 "balancers_cpu_ms_per_dispatch",
                 outcome.dispatches() == 0 ? 0 : cores * outcome.length() / 1e3 / outcome.dispatches());
         figures.put("balancer_memory_mb_max", most);
-        figures.put("lab_cores", outcome.labCpu());
-        figures.put("lab_late_ms_p50", outcome.lateness()[0] / 1e3);
-        figures.put("lab_late_ms_p99", outcome.lateness()[1] / 1e3);
-        figures.put("lab_late_ms_max", outcome.lateness()[2] / 1e3);
+        figures.put("lab_cores", outcome.labCores());
+        figures.put("lab_late_ms_p50", outcome.latenessMicros()[0] / 1e3);
+        figures.put("lab_late_ms_p99", outcome.latenessMicros()[1] / 1e3);
+        figures.put("lab_late_ms_max", outcome.latenessMicros()[2] / 1e3);
     }
 
-    private double offered(Root root) {
+    private double offered(ClientRequest root) {
         double work = 0;
         double calls = 1;
         for (int t = 0; t < scenario.tiers().size(); t++) {
@@ -297,12 +303,12 @@
         List<Dispatches> list = new ArrayList<>();
         for (int t = 0; t < scenario.tiers().size(); t++) {
             int tier = t;
-            int most = outcome.roots().stream()
+            int most = outcome.requests().stream()
                     .mapToInt(r -> r.dispatches[tier])
                     .max()
                     .orElse(0);
             long[] counts = new long[most + 1];
-            outcome.roots().forEach(r -> counts[r.dispatches[tier]]++);
+            outcome.requests().forEach(r -> counts[r.dispatches[tier]]++);
             for (int d = 0; d <= most; d++) {
                 list.add(new Dispatches(scenario.tiers().get(t).name(), d, counts[d]));
             }
--- a/lab/src/test/java/calicochute/lab/process/RefereeCatchesTest.java
+++ b/lab/src/test/java/calicochute/lab/process/RefereeCatchesTest.java
@@ -7,7 +7,7 @@
 import static org.junit.Assert.assertTrue;
 
 import calicochute.lab.emulator.Emulation;
-import calicochute.lab.emulator.Outcome;
+import calicochute.lab.emulator.EmulationResult;
 import calicochute.lab.referee.Breach;
 import calicochute.lab.referee.Rule;
 import calicochute.lab.scenario.ScenarioReader;
@@ -60,20 +60,20 @@
                 + "' calicochute.lab.process.ScriptedBalancer " + mode;
     }
 
-    private Outcome play(String mode, String scenario) throws Exception {
+    private EmulationResult play(String mode, String scenario) throws Exception {
         return new Emulation(
                         ScenarioReader.parse("test", scenario),
                         5,
                         folder.newFolder().toPath(),
-                        new Emulation.Balancers(command(mode), Path.of(".")),
+                        new Emulation.BalancerCommand(command(mode), Path.of(".")),
                         (a, b, c, d, e) -> {})
                 .run();
     }
 
     private void caught(String mode, String scenario, Rule... rules) throws Exception {
-        Outcome outcome = play(mode, scenario);
+        EmulationResult outcome = play(mode, scenario);
         assertNull(outcome.ended(), outcome.ended());
-        assertTrue("hardly anything was asked", outcome.roots().size() > 100);
+        assertTrue("hardly anything was asked", outcome.requests().size() > 100);
         Set<Rule> found = outcome.breaches().stream().map(Breach::rule).collect(Collectors.toSet());
         Set<Rule> expected = rules.length == 0 ? Set.of() : EnumSet.of(rules[0], rules);
         assertEquals(outcome.breaches().toString(), expected, found);
@@ -148,7 +148,7 @@
      */
     @Test
     public void aFleetTalksThroughTheLab() throws Exception {
-        Outcome outcome = play(
+        EmulationResult outcome = play(
                 "good",
                 SCENARIO.replace("count: 1", "count: 2")
                                 .replace(
@@ -182,7 +182,7 @@
     /** A balancer that ends by itself ends the run, which says so. */
     @Test
     public void aCrashIsReported() throws Exception {
-        Outcome outcome = play("crashes", SCENARIO);
+        EmulationResult outcome = play("crashes", SCENARIO);
         assertNotNull(outcome.ended());
         assertTrue(outcome.ended(), outcome.ended().contains("b0-0 ended by itself with status 7"));
     }
