--- a/lab/src/test/java/calicochute/lab/process/LabCommandTest.java
+++ b/lab/src/test/java/calicochute/lab/process/LabCommandTest.java
@@ -16,7 +16,7 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** The lab's command line as a process. */
+/** Runs the lab's command line as a process. */
 public class LabCommandTest {
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
@@ -68,7 +68,7 @@
     }
 
     @Test
-    public void helpAtEveryLevelAndWrongUsage() throws Exception {
+    public void helpOfEachCommandAndWrongUsage() throws Exception {
         assertEquals(0, run("lab", "--help"));
         assertTrue(output(), output().contains("sweep"));
         assertEquals(0, run("lab", "run", "--help"));
@@ -80,26 +80,26 @@
     }
 
     @Test
-    public void aBadScenarioIsRefusedWithItsLine() throws Exception {
+    public void anInvalidScenarioIsRejectedWithItsLine() throws Exception {
         Path file = scenario("3");
         assertEquals(1, run("lab", "run", file.toString()));
         assertTrue(output(), output().contains(file + ":4: length: ") && output().contains("750ms"));
     }
 
     @Test
-    public void moreBalancersThanARunHoldsAreRefused() throws Exception {
+    public void tooManyBalancersAreRejected() throws Exception {
         assertEquals(1, run("lab", "run", scenario("1s").toString(), "--balancers", "401"));
         assertTrue(output(), output().contains("balancers.count") && output().contains("between 1 and 400"));
     }
 
-    /** run, replay, compare, sweep and report over one small scenario. */
+    /** Runs the commands run, report, replay, sweep and compare with one small scenario. */
     @Test
-    public void anExperimentFromRunToComparison() throws Exception {
+    public void fromRunToComparison() throws Exception {
         Path file = scenario("1s");
         Path out = folder.newFolder().toPath();
         String command = RefereeCatchesTest.command("good");
-        // Whether a run counts depends on how late a shared machine lets the lab's timers run.
-        int ran = run(
+        // Whether a run is valid depends on how late timers run on a shared machine.
+        int status = run(
                 "lab",
                 "run",
                 file.toString(),
@@ -112,11 +112,12 @@
                 "--balancers",
                 "2");
         RunResult result = RunFolder.read(out.resolve("a"));
-        assertEquals(output(), result.counts() ? 0 : 1, ran);
+        assertEquals(output(), result.counts() ? 0 : 1, status);
         assertEquals(3, result.seed());
         assertEquals(List.of(), result.breaches());
         assertTrue(result.figures().get("requests") > 30);
-        assertTrue(result.balancers().stream().anyMatch(b -> b.balancer().equals("b0-1")));
+        assertTrue(
+                result.balancers().stream().anyMatch(second -> second.balancer().equals("b0-1")));
         assertTrue(result.evenness().get(0).windows().get(0).dispatches() > 30);
         assertTrue(result.figures().get("load_most_only") >= 1);
         for (String table : List.of("seconds", "servers", "balancers", "latencies", "figures", "dispatches")) {
@@ -149,14 +150,14 @@
                 "--balancer-command",
                 command);
         assertEquals(output(), 3, Files.readAllLines(out.resolve("s/sweep.csv")).size());
-        // The one that is missing first: whether the other counts depends on the machine.
+        // The missing run comes first, since whether the other run is valid depends on the machine.
         assertEquals(1, run("lab", "compare", out + "/nothing", out + "/a"));
         assertTrue(output(), output().contains("nothing: holds no result"));
     }
 
-    /** The first thing that a newcomer runs: two tiers, each front server with a balancer of its own. */
+    /** The demo has two tiers, and each server of the first tier has a balancer of its own. */
     @Test
-    public void theDemoPlaysTwoTiers() throws Exception {
+    public void theDemoRunsTwoTiers() throws Exception {
         Path out = folder.newFolder().toPath();
         int status = run(
                 "demo",
@@ -174,7 +175,7 @@
     }
 
     @Test
-    public void overheadComparesThreeWays() throws Exception {
+    public void overheadComparesThreeRoutes() throws Exception {
         Path out = folder.newFolder().toPath();
         assertEquals(
                 0,
@@ -201,9 +202,9 @@
         assertEquals(2, run("lab", "relay", "nowhere"));
     }
 
-    /** An interrupt leaves no process behind and keeps what there is, marked as partial. */
+    /** After an interrupt no process is left, and the results so far are kept and marked as partial. */
     @Test
-    public void anInterruptLeavesNothingBehind() throws Exception {
+    public void anInterruptLeavesNoProcessAndKeepsAPartialResult() throws Exception {
         Path out = folder.newFolder().toPath();
         Process lab = start(
                 "lab",
@@ -213,8 +214,8 @@
                 out.toString(),
                 "--balancer-command",
                 RefereeCatchesTest.command("good"));
-        long latest = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-        while (!output().contains("of 100 s") && System.nanoTime() < latest) {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+        while (!output().contains("of 100 s") && System.nanoTime() < deadline) {
             Thread.sleep(20);
         }
         List<ProcessHandle> balancers = lab.descendants().toList();
--- a/lab/src/test/java/calicochute/lab/process/RefereeCatchesTest.java
+++ b/lab/src/test/java/calicochute/lab/process/RefereeCatchesTest.java
@@ -21,7 +21,7 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** Balancers that are bad on purpose, as processes: each breach is caught, once, and a good one is never accused. */
+/** Runs scripted balancers as processes: each breach is recorded once, and a balancer that keeps all rules has none. */
 public class RefereeCatchesTest {
     @org.junit.Rule
     public final TemporaryFolder folder = new TemporaryFolder();
@@ -45,7 +45,7 @@
         clients: {retries: 0}
         discovery: {notice: 200ms, grace: 500ms, capacity: 1000/s}
         """;
-    private static final String TROUBLES = """
+    private static final String CRASH = """
         troubles:
           - {kind: crash, at: 300ms, lasts: 400ms, tier: only, servers: 1}
         """;
@@ -60,40 +60,43 @@
                 + "' calicochute.lab.process.ScriptedBalancer " + mode;
     }
 
-    private EmulationResult play(String mode, String scenario) throws Exception {
+    private EmulationResult run(String mode, String scenario) throws Exception {
         return new Emulation(
                         ScenarioReader.parse("test", scenario),
                         5,
                         folder.newFolder().toPath(),
                         new Emulation.BalancerCommand(command(mode), Path.of(".")),
-                        (a, b, c, d, e) -> {})
+                        (seconds, length, ended, served, open) -> {})
                 .run();
     }
 
-    private void caught(String mode, String scenario, Rule... rules) throws Exception {
-        EmulationResult outcome = play(mode, scenario);
+    private void expectBreaches(String mode, String scenario, Rule... rules) throws Exception {
+        EmulationResult outcome = run(mode, scenario);
         assertNull(outcome.ended(), outcome.ended());
-        assertTrue("hardly anything was asked", outcome.requests().size() > 100);
-        Set<Rule> found = outcome.breaches().stream().map(Breach::rule).collect(Collectors.toSet());
+        assertTrue("too few requests were sent", outcome.requests().size() > 100);
+        Set<Rule> actual = outcome.breaches().stream().map(Breach::rule).collect(Collectors.toSet());
         Set<Rule> expected = rules.length == 0 ? Set.of() : EnumSet.of(rules[0], rules);
-        assertEquals(outcome.breaches().toString(), expected, found);
-        Set<String> once = new HashSet<>();
+        assertEquals(outcome.breaches().toString(), expected, actual);
+        Set<String> seen = new HashSet<>();
         for (Breach breach : outcome.breaches()) {
-            assertTrue(breach + " is told twice", once.add(breach.rule() + breach.session() + breach.server()));
+            assertTrue(breach + " is recorded twice", seen.add(breach.rule() + breach.session() + breach.server()));
         }
     }
 
-    /** A server crashes and comes back cold while requests go on: no rule is broken by a balancer that keeps them. */
+    /** A server crashes and starts again cold, or drains, while requests continue. */
     @Test
-    public void aGoodOneIsNeverAccused() throws Exception {
-        caught("good", SCENARIO + TROUBLES);
-        caught("good", SCENARIO + DRAIN);
+    public void aBalancerThatKeepsAllRulesHasNoBreach() throws Exception {
+        expectBreaches("good", SCENARIO + CRASH);
+        expectBreaches("good", SCENARIO + DRAIN);
     }
 
-    /** Clients are told of failures after 1 s, while servers still wait for the tier behind them: the run waits too. */
+    /**
+     * Clients get an error after 1 s, while servers still wait for the next tier. Guards against an end of the run that
+     * cuts these calls off, which would count as lost sessions.
+     */
     @Test
-    public void aGoodOneBehindAnotherIsNotCutOff() throws Exception {
-        caught(
+    public void callsToTheNextTierAreNotCutOffByTheEndOfTheRun() throws Exception {
+        expectBreaches(
                 "good",
                 SCENARIO.replace("work: 10ms", "work: 4s")
                         .replace(
@@ -104,51 +107,53 @@
     }
 
     @Test
-    public void answersTwice() throws Exception {
-        caught("answers-twice", SCENARIO, Rule.ANSWERED_TWICE);
+    public void detectsASecondResponse() throws Exception {
+        expectBreaches("answers-twice", SCENARIO, Rule.ANSWERED_TWICE);
     }
 
     @Test
-    public void neverAnswers() throws Exception {
-        caught("never-answers", SCENARIO, Rule.LOST);
+    public void detectsAMissingResponse() throws Exception {
+        expectBreaches("never-answers", SCENARIO, Rule.LOST);
     }
 
     @Test
-    public void sendsAgainWhatMustRunOnce() throws Exception {
-        caught("sends-twice", SCENARIO, Rule.RAN_TWICE);
+    public void detectsARepeatedDispatchOfAOnceSession() throws Exception {
+        expectBreaches("sends-twice", SCENARIO, Rule.RAN_TWICE);
     }
 
     @Test
-    public void deniesWhatHasRun() throws Exception {
-        caught("denies-late", SCENARIO, Rule.DENIED_AFTER_RUN);
+    public void detectsADenyAfterTheSessionHasRun() throws Exception {
+        expectBreaches("denies-late", SCENARIO, Rule.DENIED_AFTER_RUN);
     }
 
     @Test
-    public void makesUpAnAnswer() throws Exception {
-        caught("forges", SCENARIO, Rule.FORGED);
+    public void detectsAForgedResponse() throws Exception {
+        expectBreaches("forges", SCENARIO, Rule.FORGED);
     }
 
-    /** It hears that the server drains (told at the latest after 6 s, here by its calls) and goes on sending. */
+    /**
+     * The balancer is told that the server drains, in response to its calls to discovery, and continues to send to it.
+     */
     @Test
-    public void keepsSendingToADrainingServer() throws Exception {
-        caught("drains-late", SCENARIO + DRAIN, Rule.DRAINED);
+    public void detectsDispatchesToADrainingServer() throws Exception {
+        expectBreaches("drains-late", SCENARIO + DRAIN, Rule.DRAINED);
     }
 
     @Test
-    public void floodsAColdServer() throws Exception {
-        caught(
+    public void detectsTheCollapseOfAColdServer() throws Exception {
+        expectBreaches(
                 "floods",
-                SCENARIO.replace("work: 10ms", "work: 40ms").replace("notice: 200ms", "notice: 50ms") + TROUBLES,
+                SCENARIO.replace("work: 10ms", "work: 40ms").replace("notice: 200ms", "notice: 50ms") + CRASH,
                 Rule.PUSHED_OVER);
     }
 
     /**
-     * Four balancers that talk to each other, one tier behind the other: datagrams pass within a tier, not through a
-     * split, and one that stands still on purpose is accused of nothing.
+     * Two balancers in each of two tiers exchange datagrams: datagrams pass within a tier, none pass between the sides
+     * of a split, and a paused balancer has no breach.
      */
     @Test
-    public void aFleetTalksThroughTheLab() throws Exception {
-        EmulationResult outcome = play(
+    public void balancersExchangeDatagramsThroughTheProxy() throws Exception {
+        EmulationResult outcome = run(
                 "good",
                 SCENARIO.replace("count: 1", "count: 2")
                                 .replace(
@@ -168,21 +173,21 @@
                 outcome.datagrams().get("cut") > 5
                         && outcome.datagrams().get("delivered") > 50
                         && outcome.datagrams().get("unknown") == 0);
-        Path work = Files.walk(folder.getRoot().toPath())
-                .filter(p -> p.endsWith("b1-0.log"))
+        Path runFolder = Files.walk(folder.getRoot().toPath())
+                .filter(path -> path.endsWith("b1-0.log"))
                 .findFirst()
                 .orElseThrow()
                 .getParent();
-        assertTrue(Files.readString(work.resolve("b1-0.log")).contains("heard n3 from"));
-        assertFalse(Files.readString(work.resolve("b1-0.log")).contains("heard n0 from"));
-        assertTrue(Files.readString(work.resolve("b1-0.json")).contains("\"peers\":true"));
-        assertTrue(Files.isDirectory(work.resolve("b1-0-state")));
+        assertTrue(Files.readString(runFolder.resolve("b1-0.log")).contains("heard n3 from"));
+        assertFalse(Files.readString(runFolder.resolve("b1-0.log")).contains("heard n0 from"));
+        assertTrue(Files.readString(runFolder.resolve("b1-0.json")).contains("\"peers\":true"));
+        assertTrue(Files.isDirectory(runFolder.resolve("b1-0-state")));
     }
 
-    /** A balancer that ends by itself ends the run, which says so. */
+    /** A balancer process that ends by itself ends the run, and the result says so. */
     @Test
-    public void aCrashIsReported() throws Exception {
-        EmulationResult outcome = play("crashes", SCENARIO);
+    public void aBalancerCrashIsReported() throws Exception {
+        EmulationResult outcome = run("crashes", SCENARIO);
         assertNotNull(outcome.ended());
         assertTrue(outcome.ended(), outcome.ended().contains("b0-0 ended by itself with status 7"));
     }
--- a/lab/src/test/java/calicochute/lab/process/ScriptedBalancer.java
+++ b/lab/src/test/java/calicochute/lab/process/ScriptedBalancer.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A plain balancer, good or bad as its mode says, started as the lab starts any: it shows what the referee catches. */
+/** A simple balancer process for tests of the rule checker; its mode, the only argument, says which rule it breaks. */
 public final class ScriptedBalancer {
     private static final AtomicInteger SESSIONS = new AtomicInteger();
     private static final Map<String, JsonNode> SERVERS = new LinkedHashMap<>();
@@ -39,11 +39,11 @@
         static Message read(InputStream in) throws IOException {
             ByteArrayOutputStream head = new ByteArrayOutputStream();
             while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
-                int b = in.read();
-                if (b < 0) {
+                int next = in.read();
+                if (next < 0) {
                     throw new EOFException();
                 }
-                head.write(b);
+                head.write(next);
             }
             String text = head.toString(StandardCharsets.ISO_8859_1);
             String length = text.replaceAll("(?is).*content-length: (\\d+).*", "$1");
@@ -54,30 +54,30 @@
     public static void main(String[] args) throws Exception {
         mode = args[0];
         JsonNode config = new ObjectMapper().readTree(new File(System.getenv("PROXY_CONFIG")));
-        list(config.get("known"));
+        applyList(config.get("known"));
         String[] listen = config.get("listen").asText().split(":");
-        thread(() -> watch(config.get("discovery").asText().split(":")));
+        startThread(() -> watch(config.get("discovery").asText().split(":")));
         if (System.getenv("PROXY_FLEET") != null) {
-            thread(() -> talk(new YAMLMapper().readTree(new File(System.getenv("PROXY_FLEET")))));
+            startThread(() -> exchangeDatagrams(new YAMLMapper().readTree(new File(System.getenv("PROXY_FLEET")))));
         }
         try (ServerSocket listener =
                 new ServerSocket(Integer.parseInt(listen[1]), 200, InetAddress.getByName(listen[0]))) {
             while (true) {
                 Socket client = listener.accept();
-                thread(() -> serve(client));
+                startThread(() -> serve(client));
             }
         }
     }
 
-    /** Tells each of the others that it is there, and logs whom it hears. */
-    private static void talk(JsonNode fleet) throws Exception {
+    /** Sends its id to each peer repeatedly, and logs the ids that it receives. */
+    private static void exchangeDatagrams(JsonNode fleet) throws Exception {
         try (DatagramSocket socket = new DatagramSocket(address(fleet.get("listen")))) {
-            thread(() -> {
-                DatagramPacket heard = new DatagramPacket(new byte[100], 100);
+            startThread(() -> {
+                DatagramPacket received = new DatagramPacket(new byte[100], 100);
                 while (true) {
-                    socket.receive(heard);
-                    System.out.println("heard " + new String(heard.getData(), 0, heard.getLength()) + " from "
-                            + heard.getSocketAddress());
+                    socket.receive(received);
+                    System.out.println("heard " + new String(received.getData(), 0, received.getLength()) + " from "
+                            + received.getSocketAddress());
                 }
             });
             while (true) {
@@ -91,78 +91,81 @@
     }
 
     private static InetSocketAddress address(JsonNode text) {
-        String[] at = text.asText().split(":");
-        return new InetSocketAddress(at[0], Integer.parseInt(at[1]));
+        String[] hostAndPort = text.asText().split(":");
+        return new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
     }
 
-    private interface Work {
+    private interface Task {
         void run() throws Exception;
     }
 
-    private static void thread(Work work) {
+    private static void startThread(Task task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (Exception e) {
-                // One connection's end.
+                // The connection or the socket has ended.
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    private static synchronized void list(JsonNode page) {
-        if (page.get("reset").asBoolean()) {
+    private static synchronized void applyList(JsonNode list) {
+        if (list.get("reset").asBoolean()) {
             SERVERS.clear();
         }
-        for (JsonNode one : page.get("instances")) {
-            boolean ready = one.get("lifecycle").asText().equals("Ready");
+        for (JsonNode instance : list.get("instances")) {
+            boolean ready = instance.get("lifecycle").asText().equals("Ready");
             if (ready) {
-                SERVERS.put(one.get("instanceId").asText(), one);
+                SERVERS.put(instance.get("instanceId").asText(), instance);
             } else if (!mode.equals("drains-late")) {
-                SERVERS.remove(one.get("instanceId").asText());
+                SERVERS.remove(instance.get("instanceId").asText());
             }
         }
     }
 
-    private static void watch(String[] at) throws Exception {
+    private static void watch(String[] hostAndPort) throws Exception {
         while (true) {
-            try (Socket discovery = new Socket(at[0], Integer.parseInt(at[1]))) {
+            try (Socket discovery = new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1]))) {
                 discovery.getOutputStream().write("GET /v1/endpoints HTTP/1.1\r\nHost: d\r\n\r\n".getBytes());
-                JsonNode page = new ObjectMapper()
+                JsonNode list = new ObjectMapper()
                         .readTree(Message.read(discovery.getInputStream()).body());
                 if (!mode.equals("drains-late")) {
-                    list(page);
+                    applyList(list);
                 }
             } catch (IOException e) {
-                // Asked again.
+                // Retried after the pause.
             }
             Thread.sleep(100);
         }
     }
 
-    private static synchronized InetSocketAddress choose(int session) {
+    private static synchronized InetSocketAddress chooseServer(int session) {
         List<JsonNode> all = List.copyOf(SERVERS.values());
-        JsonNode one = all.get(session % all.size());
+        JsonNode instance = all.get(session % all.size());
         if (mode.equals("floods")) {
             for (JsonNode other : all) {
-                one = other.get("startedAtMs").asLong() > one.get("startedAtMs").asLong() ? other : one;
+                instance = other.get("startedAtMs").asLong()
+                                > instance.get("startedAtMs").asLong()
+                        ? other
+                        : instance;
             }
         }
-        String[] at = one.get("hostPort").asText().split(":");
-        return new InetSocketAddress(at[0], Integer.parseInt(at[1]));
+        String[] hostAndPort = instance.get("hostPort").asText().split(":");
+        return new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
     }
 
     private static Message dispatch(Message request, int session) throws IOException {
-        InetSocketAddress at = choose(session);
-        try (Socket server = new Socket(at.getAddress(), at.getPort())) {
-            server.setTcpNoDelay(true);
-            String left = request.head().replaceAll("(?is).*x-remaining-ms: (\\d+).*", "$1");
-            // Half of it is kept for a machine that lets this process run late: its own answer must be in time all the
-            // same.
-            server.setSoTimeout(Math.max(1, Integer.parseInt(left) / 2));
-            server.getOutputStream().write(request.bytes());
-            return Message.read(server.getInputStream());
+        InetSocketAddress server = chooseServer(session);
+        try (Socket socket = new Socket(server.getAddress(), server.getPort())) {
+            socket.setTcpNoDelay(true);
+            String remainingMillis = request.head().replaceAll("(?is).*x-remaining-ms: (\\d+).*", "$1");
+            // Half of the time is kept in reserve, so that the response is in time even if this process is scheduled
+            // late on a busy machine.
+            socket.setSoTimeout(Math.max(1, Integer.parseInt(remainingMillis) / 2));
+            socket.getOutputStream().write(request.bytes());
+            return Message.read(socket.getInputStream());
         }
     }
 
--- a/lab/src/test/java/calicochute/lab/process/SmallFleet.java
+++ b/lab/src/test/java/calicochute/lab/process/SmallFleet.java
@@ -33,7 +33,8 @@
 import java.util.stream.IntStream;
 
 /**
- * A few real balancers as processes, their datagrams led through a net with faults, before scripted backend servers.
+ * A few real balancer processes in front of scripted backend servers; the balancers' datagrams pass through a proxy
+ * that can inject faults.
  */
 final class SmallFleet implements AutoCloseable {
     private static final String SETTINGS = """
@@ -46,64 +47,66 @@
         "client_habits":{"marks_retry":true},"discovery":"on_request","layer":0,
         "obligations":{"ask_every":1000000,"drain_grace":3000000,"warm_up":1000,"cold_from":0.5,"fall":3000000,
         "fall_multiple":3.0},"tick":5000,"zone":"a"}""";
-    private static final String ORDER = "POST";
+    private static final String ORDER_METHOD = "POST";
 
-    /** What a backend server answers: 200, or another status. */
+    /** Gives the status code with which a backend server responds. */
     interface Script extends Function<HttpExchange, Integer> {}
 
     final DatagramProxy proxy;
     final Path folder;
     private final int size;
     private final boolean peers;
-    private final String operators;
-    private final boolean remembers;
+    private final String operatorFileRest;
+    private final boolean keepsState;
     private final HttpServer discovery;
     private final List<HttpServer> servers = new ArrayList<>();
     private final Map<String, Script> scripts = new ConcurrentHashMap<>();
     private final Map<String, String> kinds = new ConcurrentHashMap<>();
     private final Process[] processes;
-    private final int[] ports;
-    private final int[] admins;
-    private final int[] starts;
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final int[] listenPorts;
+    private final int[] adminPorts;
+    private final int[] startCounts;
+    private final CountDownLatch closed = new CountDownLatch(1);
     private final AtomicLong sessions = new AtomicLong();
     private final HttpClient client =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(5)).build();
 
     /**
-     * @param kinds of the servers, one for each
-     * @param operators the operator's file behind the peers, such as {@code experiments: [...]}
-     * @param peers whether the settings allow talk between balancers
+     * @param kinds the kind of each server
+     * @param operatorFileRest the part of the operator's file after the peers, such as {@code experiments: [...]}
+     * @param peers whether the settings allow datagrams between balancers
+     * @param keepsState whether balancers have a state folder
      */
-    SmallFleet(int size, long seed, List<String> kinds, String operators, boolean peers, boolean remembers)
+    SmallFleet(int size, long seed, List<String> kinds, String operatorFileRest, boolean peers, boolean keepsState)
             throws Exception {
         this.size = size;
-        this.operators = operators;
+        this.operatorFileRest = operatorFileRest;
         this.peers = peers;
-        this.remembers = remembers;
+        this.keepsState = keepsState;
         folder = Files.createTempDirectory("calicochute-fleet");
         proxy = DatagramProxy.onLoopback(size, seed);
         discovery = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
-        discovery.setExecutor(Executors.newCachedThreadPool(r -> daemon(r)));
+        discovery.setExecutor(Executors.newCachedThreadPool(task -> daemon(task)));
         discovery.createContext("/", this::watch);
         discovery.start();
         for (String kind : kinds) {
             HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
             String id = "s" + servers.size();
             this.kinds.put(id, kind);
-            scripts.put(id, e -> 200);
-            server.setExecutor(Executors.newCachedThreadPool(r -> daemon(r)));
-            server.createContext("/", e -> answer(e, scripts.get(id).apply(e), "a map"));
+            scripts.put(id, exchange -> 200);
+            server.setExecutor(Executors.newCachedThreadPool(task -> daemon(task)));
+            server.createContext(
+                    "/", exchange -> respond(exchange, scripts.get(id).apply(exchange), "a map"));
             server.start();
             servers.add(server);
         }
         processes = new Process[size];
-        ports = new int[size];
-        admins = new int[size];
-        starts = new int[size];
+        listenPorts = new int[size];
+        adminPorts = new int[size];
+        startCounts = new int[size];
         for (int i = 0; i < size; i++) {
-            ports[i] = freePort();
-            admins[i] = freePort();
+            listenPorts[i] = freePort();
+            adminPorts[i] = freePort();
         }
         for (int i = 0; i < size; i++) {
             launch(i);
@@ -113,23 +116,23 @@
         }
     }
 
-    /** The whole list at first; then nothing changes, and a watch is held until the fleet ends. */
+    /** Sends the complete list first; as nothing changes, later calls wait until their timeout or the fleet's end. */
     private void watch(HttpExchange exchange) throws IOException {
         String query = String.valueOf(exchange.getRequestURI().getQuery());
         if (!query.contains("since=1")) {
-            answer(exchange, 200, list());
+            respond(exchange, 200, list());
             return;
         }
         try {
-            ended.await(Long.parseLong(query.replaceAll(".*timeout_ms=(\\d+).*", "$1")), TimeUnit.MILLISECONDS);
+            closed.await(Long.parseLong(query.replaceAll(".*timeout_ms=(\\d+).*", "$1")), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        answer(exchange, 200, "{\"generation\":1,\"reset\":false,\"instances\":[]}");
+        respond(exchange, 200, "{\"generation\":1,\"reset\":false,\"instances\":[]}");
     }
 
-    private static Thread daemon(Runnable r) {
-        Thread thread = new Thread(r);
+    private static Thread daemon(Runnable task) {
+        Thread thread = new Thread(task);
         thread.setDaemon(true);
         return thread;
     }
@@ -138,12 +141,12 @@
         return Ports.free();
     }
 
-    /** From now on the server answers so. */
+    /** Sets how a server responds. */
     void script(int server, Script script) {
         scripts.put("s" + server, script);
     }
 
-    private static void answer(HttpExchange exchange, int status, String body) throws IOException {
+    private static void respond(HttpExchange exchange, int status, String body) throws IOException {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         exchange.getRequestBody().readAllBytes();
         exchange.sendResponseHeaders(status, bytes.length);
@@ -166,15 +169,15 @@
         Path config = folder.resolve("n" + i + ".json");
         Files.writeString(
                 config,
-                "{\"name\":\"n" + i + "\",\"listen\":\"127.0.0.1:" + ports[i] + "\",\"admin_addr\":\"127.0.0.1:"
-                        + admins[i]
+                "{\"name\":\"n" + i + "\",\"listen\":\"127.0.0.1:" + listenPorts[i] + "\",\"admin_addr\":\"127.0.0.1:"
+                        + adminPorts[i]
                         + "\",\"discovery\":\"127.0.0.1:"
                         + discovery.getAddress().getPort() + "\",\"seed\":\"" + (i + 1)
                         + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":128,\"sockets\":512},\"known\":" + list()
                         + ",\"settings\":"
                         + SETTINGS.formatted(size, i, peers) + "}");
         Path file = operatorFile(i);
-        writeOperatorFile(i, operators);
+        writeOperatorFile(i, operatorFileRest);
         List<String> command = new ArrayList<>(List.of(
                 System.getProperty("java.home") + "/bin/java",
                 "-ea",
@@ -189,7 +192,7 @@
                 config.toString()));
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
-                .redirectOutput(log(i, starts[i]++).toFile());
+                .redirectOutput(log(i, startCounts[i]++).toFile());
         builder.environment().put("PROXY_FLEET", file.toString());
         processes[i] = builder.start();
     }
@@ -207,22 +210,22 @@
                                 .mapToObj(p -> "  - {id: n" + p + ", address: \"127.0.0.1:"
                                         + proxy.proxyAddress(p).getPort() + "\"}\n")
                                 .collect(Collectors.joining())
-                        + (remembers ? "state: " + folder.resolve("state") + "\n" : "") + rest);
+                        + (keepsState ? "state: " + folder.resolve("state") + "\n" : "") + rest);
     }
 
     private Path log(int i, int start) {
         return folder.resolve("n" + i + "." + start + ".log");
     }
 
-    /** Of its process that runs, or ran last. */
+    /** The log of the present process, or of the last one. */
     String log(int i) throws IOException {
-        return Files.readString(log(i, starts[i] - 1));
+        return Files.readString(log(i, startCounts[i] - 1));
     }
 
     void awaitReady(int i) throws Exception {
         await(
                 "balancer " + i + " ready",
-                () -> get(ports[i], "/ready", Map.of()).statusCode() == 200);
+                () -> get(listenPorts[i], "/ready", Map.of()).statusCode() == 200);
     }
 
     private HttpResponse<String> get(int port, String path, Map<String, String> fields) throws Exception {
@@ -232,18 +235,19 @@
         return client.send(request.build(), HttpResponse.BodyHandlers.ofString());
     }
 
-    /** A session of class view through a balancer; its status. */
+    /** Sends a session of class view through a balancer and returns its status. */
     int view(int balancer) throws Exception {
-        return get(ports[balancer], "/api", fields("view")).statusCode();
+        return get(listenPorts[balancer], "/api", fields("view")).statusCode();
     }
 
-    /** A session of class order; its status. */
+    /** Sends a session of class order through a balancer and returns its status. */
     int order(int balancer) throws Exception {
-        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + ports[balancer] + "/api"))
+        HttpRequest.Builder request = HttpRequest.newBuilder(
+                        URI.create("http://127.0.0.1:" + listenPorts[balancer] + "/api"))
                 .timeout(Duration.ofSeconds(10));
         fields("order").forEach(request::header);
         return client.send(
-                        request.method(ORDER, HttpRequest.BodyPublishers.ofString("x"))
+                        request.method(ORDER_METHOD, HttpRequest.BodyPublishers.ofString("x"))
                                 .build(),
                         HttpResponse.BodyHandlers.ofString())
                 .statusCode();
@@ -262,14 +266,15 @@
     }
 
     String admin(int balancer, String call) throws Exception {
-        return get(admins[balancer], "/admin/" + call, Map.of()).body();
+        return get(adminPorts[balancer], "/admin/" + call, Map.of()).body();
     }
 
-    /** The value behind a name on the page of the fleet; -1 if there is none. */
+    /** The value of a name in the answer of {@code /admin/fleet}; -1 if there is none. */
     long figure(int balancer, String name) throws Exception {
         return Arrays.stream(admin(balancer, "fleet").split("\n"))
-                .filter(l -> l.startsWith(name + " "))
-                .mapToLong(l -> Long.parseLong(l.substring(name.length() + 1).trim()))
+                .filter(line -> line.startsWith(name + " "))
+                .mapToLong(
+                        line -> Long.parseLong(line.substring(name.length() + 1).trim()))
                 .findFirst()
                 .orElse(-1);
     }
@@ -295,8 +300,8 @@
         assertTrue(processes[i].waitFor(30, TimeUnit.SECONDS));
     }
 
-    /** Until let go; at the longest as long as a session may take. */
-    static void hold(CountDownLatch release) {
+    /** Waits for the latch, at most 30 s. */
+    static void awaitRelease(CountDownLatch release) {
         try {
             release.await(30, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
@@ -313,31 +318,31 @@
     }
 
     /** Waits for a condition, for as long as a slow machine may need. */
-    static void await(String what, Callable<Boolean> condition) throws Exception {
-        long latest = System.nanoTime() + TimeUnit.SECONDS.toNanos(90);
+    static void await(String description, Callable<Boolean> condition) throws Exception {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(90);
         while (true) {
             try {
                 if (condition.call()) {
                     return;
                 }
             } catch (IOException e) {
-                // Not yet.
+                // Retried until the deadline.
             }
-            assertTrue("waited in vain: " + what, System.nanoTime() < latest);
+            assertTrue("condition not met in time: " + description, System.nanoTime() < deadline);
             Thread.sleep(20);
         }
     }
 
     @Override
     public void close() throws IOException {
-        ended.countDown();
+        closed.countDown();
         for (int i = 0; i < size; i++) {
             if (processes[i] != null) {
                 processes[i].destroyForcibly();
             }
         }
         proxy.close();
-        servers.forEach(s -> s.stop(0));
+        servers.forEach(server -> server.stop(0));
         discovery.stop(0);
         for (int i = 0; i < size; i++) {
             String log = log(i);
--- a/lab/src/test/java/calicochute/lab/socket/SocketsTest.java
+++ b/lab/src/test/java/calicochute/lab/socket/SocketsTest.java
@@ -38,7 +38,7 @@
 
         @Override
         public void closed(Connection connection, boolean reset, boolean midMessage) {
-            events.add("closed" + (reset ? " reset" : "") + (midMessage ? " midway" : ""));
+            events.add("closed" + (reset ? " reset" : "") + (midMessage ? " mid-message" : ""));
         }
 
         String next() throws InterruptedException {
@@ -60,7 +60,7 @@
                 client.getOutputStream().write("GET /a HTTP/1.1\r\n\r\nGET /b HT".getBytes());
                 assertEquals("GET /a HTTP/1.1", listener.next());
             }
-            assertEquals("closed midway", listener.next());
+            assertEquals("closed mid-message", listener.next());
             try (Socket client = new Socket(address.getAddress(), address.getPort())) {
                 assertEquals("accepted", listener.next());
                 client.setSoLinger(true, 0);
