--- a/lab/src/main/java/calicochute/lab/emulator/ServerRequestHandler.java
+++ b/lab/src/main/java/calicochute/lab/emulator/ServerRequestHandler.java
@@ -104,7 +104,7 @@
         String path = message.target();
         if (path.equals("/health") || path.equals("/status/load")) {
             context.eventLoop.scheduleAfter(
-                    endpoint.oneWayDelayMicros, () -> runUnlessPaused(() -> answerProbe(endpoint, connection)));
+                    endpoint.oneWayDelayMicros, () -> runOrDefer(() -> answerProbe(endpoint, connection)));
             return;
         }
         String id = message.field("x-txn");
@@ -126,11 +126,11 @@
         boolean fresh = state.fresh;
         state.fresh = false;
         context.eventLoop.scheduleAfter(
-                endpoint.oneWayDelayMicros + handshakeMicros,
-                () -> runUnlessPaused(() -> startJob(job, endpoint, fresh)));
+                endpoint.oneWayDelayMicros + handshakeMicros, () -> runOrDefer(() -> startJob(job, endpoint, fresh)));
     }
 
-    private void runUnlessPaused(Runnable task) {
+    /** Runs a task at once, or when the server continues if it is paused; drops it if the process does not run. */
+    private void runOrDefer(Runnable task) {
         if (paused) {
             deferred.add(task);
         } else if (server.up()) {
--- a/lab/src/main/java/calicochute/lab/network/FleetFile.java
+++ b/lab/src/main/java/calicochute/lab/network/FleetFile.java
@@ -25,7 +25,7 @@
     /** The environment variable that names a balancer's operator file. */
     public static final String ENVIRONMENT_VARIABLE = "PROXY_FLEET";
 
-    /** Another balancer. */
+    /** A peer: its id, and the address to which datagrams for it are sent. */
     public record Peer(String id, String address) {}
 
     /** The file of one process behind the proxy; {@code cluster} has the process numbers of its cluster's members. */
--- a/lab/src/test/java/calicochute/lab/process/ScriptedBalancer.java
+++ b/lab/src/test/java/calicochute/lab/process/ScriptedBalancer.java
@@ -193,9 +193,8 @@
                         }
                         answer = dispatch(request, session).bytes();
                     } catch (IOException | RuntimeException e) {
-                        // 502. Guards against a server that ends without an answer, or a list with none on it: a
-                        // connection
-                        // ended for that is a session lost by the balancer that keeps all rules.
+                        // The response stays 502 if the server sends none or the list is empty. Closing the client's
+                        // connection instead would lose the session, which is a breach.
                         System.out.println("no answer: " + e);
                     }
                     if (mode.equals("denies-late") && once && session % 5 == 0) {
