--- a/lab/src/main/java/calicochute/lab/experiment/ScenarioRunner.java
+++ b/lab/src/main/java/calicochute/lab/experiment/ScenarioRunner.java
@@ -21,10 +21,10 @@
     /** How long the shutdown hook waits for the partial result to be written. */
     private static final long RESULT_WRITE_TIMEOUT_SECONDS = 10;
 
-    private final Emulation.Balancers balancers;
+    private final Emulation.BalancerCommand balancers;
     private final Emulation.Progress progress;
 
-    public ScenarioRunner(Emulation.Balancers balancers, Emulation.Progress progress) {
+    public ScenarioRunner(Emulation.BalancerCommand balancers, Emulation.Progress progress) {
         this.balancers = balancers;
         this.progress = progress;
     }
--- a/lab/src/main/java/calicochute/lab/result/EvennessAnalysis.java
+++ b/lab/src/main/java/calicochute/lab/result/EvennessAnalysis.java
@@ -1,6 +1,6 @@
 package calicochute.lab.result;
 
-import calicochute.lab.emulator.Outcome;
+import calicochute.lab.emulator.EmulationResult;
 import calicochute.lab.evenness.Dispatch;
 import calicochute.lab.evenness.EligibleServers;
 import calicochute.lab.evenness.Evenness;
@@ -25,9 +25,9 @@
     /** The share of its capacity from which a server counts as warm. */
     private static final double WARM_CAPACITY_SHARE = 0.999;
 
-    private final Outcome outcome;
+    private final EmulationResult outcome;
 
-    EvennessAnalysis(Outcome outcome) {
+    EvennessAnalysis(EmulationResult outcome) {
         this.outcome = outcome;
     }
 
@@ -36,7 +36,7 @@
         RandomStreams streams = new RandomStreams(outcome.seed());
         for (int t = 0; t < outcome.deployment().scenario().tiers().size(); t++) {
             List<MachineSpec> machines = outcome.deployment().machines(t);
-            List<Dispatch> dispatches = outcome.sent().get(t).stream()
+            List<Dispatch> dispatches = outcome.dispatchesByTier().get(t).stream()
                     .map(d -> new Dispatch(
                             d.atMicros() - outcome.startedAt(), d.balancer(), d.server(), d.firstAttempt()))
                     .sorted(Comparator.comparingLong(Dispatch::atMicros))
@@ -66,7 +66,7 @@
         }
         Map<String, Integer> indices =
                 machines.stream().collect(java.util.stream.Collectors.toMap(MachineSpec::id, MachineSpec::index));
-        for (Outcome.ServerSample sample : outcome.servers()) {
+        for (EmulationResult.ServerSample sample : outcome.servers()) {
             if (sample.tier() == tier && sample.capacityShare() < WARM_CAPACITY_SHARE) {
                 for (long second = sample.at() / SECOND_MICROS - 1; second <= sample.at() / SECOND_MICROS; second++) {
                     if (second >= 0 && second < length) {
--- a/lab/src/main/java/calicochute/lab/result/RunAnalysis.java
+++ b/lab/src/main/java/calicochute/lab/result/RunAnalysis.java
@@ -1,8 +1,8 @@
 package calicochute.lab.result;
 
+import calicochute.lab.emulator.ClientRequest;
 import calicochute.lab.emulator.Emulation;
-import calicochute.lab.emulator.Outcome;
-import calicochute.lab.emulator.Root;
+import calicochute.lab.emulator.EmulationResult;
 import calicochute.lab.evenness.Evenness;
 import calicochute.lab.result.RunResult.BalancerSecond;
 import calicochute.lab.result.RunResult.BreachLine;
@@ -34,17 +34,17 @@
     /** The highest latency that histograms record. */
     private static final long MAX_LATENCY_MICROS = 600_000_000;
 
-    private final Outcome outcome;
+    private final EmulationResult outcome;
     private final Scenario scenario;
     private final Map<String, Double> figures = new LinkedHashMap<>();
 
-    private RunAnalysis(Outcome outcome) {
+    private RunAnalysis(EmulationResult outcome) {
         this.outcome = outcome;
         scenario = outcome.deployment().scenario();
     }
 
     /** Computes the result of a run. */
-    public static RunResult of(Outcome outcome) {
+    public static RunResult of(EmulationResult outcome) {
         return new RunAnalysis(outcome).result();
     }
 
@@ -70,28 +70,28 @@
                         s.at() / 1e6,
                         s.server(),
                         s.tier(),
-                        s.inWork(),
-                        s.inQueue(),
+                        s.busySlots(),
+                        s.queueLength(),
                         s.dispatches(),
-                        s.turnedAway(),
+                        s.rejected(),
                         s.capacityShare(),
                         s.sluggish()))
                 .toList();
         List<BalancerSecond> balancers = new ArrayList<>();
         outcome.balancers()
-                .forEach((b, samples) -> samples.forEach(
-                        s -> balancers.add(new BalancerSecond(s.at() / 1e6, b.name(), s.cores(), s.resident() / 1e6))));
+                .forEach((b, samples) -> samples.forEach(s ->
+                        balancers.add(new BalancerSecond(s.at() / 1e6, b.name(), s.cores(), s.residentBytes() / 1e6))));
         Map<String, Long> counters = new TreeMap<>();
         outcome.counters().values().forEach(c -> c.forEach((name, count) -> counters.merge(name, count, Long::sum)));
         List<Evenness> evenness = new EvennessAnalysis(outcome).tiers();
         EvennessAnalysis.addFigures(evenness, figures);
         outcome.datagrams().forEach((what, count) -> figures.put("datagrams_" + what, (double) count));
-        String invalid = outcome.lateness()[1] <= MAX_TIMER_LATENESS_MICROS
+        String invalid = outcome.latenessMicros()[1] <= MAX_TIMER_LATENESS_MICROS
                 ? null
                 : String.format(
                         Locale.ROOT,
                         "the lab's own timers ran %.1f ms late at the 99th percentile; %.0f ms are allowed",
-                        outcome.lateness()[1] / 1e3,
+                        outcome.latenessMicros()[1] / 1e3,
                         MAX_TIMER_LATENESS_MICROS / 1e3);
         return new RunResult(
                 RunResult.VERSION,
@@ -117,15 +117,15 @@
         int length = (int) Math.ceil(outcome.length() / 1e6);
         int[][] counts = new int[length][5];
         double[][] worth = new double[length][2];
-        for (Root root : outcome.roots()) {
+        for (ClientRequest root : outcome.requests()) {
             int second = (int) Math.min(length - 1, root.arrival.atMicros() / 1_000_000);
             double requestWorth = Emulation.worth(scenario, root);
             counts[second][0]++;
             worth[second][0] += requestWorth;
-            worth[second][1] += root.end == Root.End.SERVED ? requestWorth : 0;
-            counts[second][1] += root.end == Root.End.DENIED ? 1 : 0;
+            worth[second][1] += root.end == ClientRequest.End.SERVED ? requestWorth : 0;
+            counts[second][1] += root.end == ClientRequest.End.DENIED ? 1 : 0;
             counts[second][2] += failed(root) ? 1 : 0;
-            counts[second][3] += root.end == Root.End.LATE ? 1 : 0;
+            counts[second][3] += root.end == ClientRequest.End.LATE ? 1 : 0;
             counts[second][4] += root.denials;
         }
         List<Second> seconds = new ArrayList<>();
@@ -136,9 +136,9 @@
         return seconds;
     }
 
-    private static boolean failed(Root root) {
+    private static boolean failed(ClientRequest root) {
         return switch (root.end) {
-            case FAILED, UNREACHABLE, SILENT, OPEN -> true;
+            case FAILED, UNREACHABLE, TIMED_OUT, OPEN -> true;
             case SERVED, LATE, DENIED -> false;
         };
     }
@@ -148,7 +148,7 @@
         Histogram all = new Histogram(MAX_LATENCY_MICROS, 3);
         for (int c = 0; c < scenario.classes().size(); c++) {
             Histogram ofClass = new Histogram(MAX_LATENCY_MICROS, 3);
-            for (Root root : outcome.roots()) {
+            for (ClientRequest root : outcome.requests()) {
                 if (root.arrival.classIndex() == c && root.answered()) {
                     long took = Math.max(0, Math.min(MAX_LATENCY_MICROS, root.endedAt - root.plannedAt));
                     ofClass.recordValue(took);
@@ -173,25 +173,25 @@
     }
 
     /** Returns the service of the requests that match. */
-    private double service(Predicate<Root> filter) {
+    private double service(Predicate<ClientRequest> filter) {
         double asked = 0;
         double served = 0;
-        for (Root root : outcome.roots()) {
+        for (ClientRequest root : outcome.requests()) {
             if (filter.test(root)) {
                 double worth = Emulation.worth(scenario, root);
                 asked += worth;
-                served += root.end == Root.End.SERVED ? worth : 0;
+                served += root.end == ClientRequest.End.SERVED ? worth : 0;
             }
         }
         return asked == 0 ? 1 : served / asked;
     }
 
     /** Returns the share of requests that match. */
-    private double share(Predicate<Root> filter) {
-        return outcome.roots().isEmpty()
+    private double share(Predicate<ClientRequest> filter) {
+        return outcome.requests().isEmpty()
                 ? 0
-                : (double) outcome.roots().stream().filter(filter).count()
-                        / outcome.roots().size();
+                : (double) outcome.requests().stream().filter(filter).count()
+                        / outcome.requests().size();
     }
 
     private void addFigures(List<Second> seconds, List<Latency> latencies) {
@@ -222,63 +222,69 @@
             figures.put("latency_p50_ms_" + l.of(), l.p50());
             figures.put("latency_p99_ms_" + l.of(), l.p99());
         });
-        int requests = Math.max(1, outcome.roots().size());
-        figures.put("requests", (double) outcome.roots().size());
-        figures.put("denied", share(r -> r.end == Root.End.DENIED));
+        int requests = Math.max(1, outcome.requests().size());
+        figures.put("requests", (double) outcome.requests().size());
+        figures.put("denied", share(r -> r.end == ClientRequest.End.DENIED));
         figures.put("failed", share(RunAnalysis::failed));
-        figures.put("late", share(r -> r.end == Root.End.LATE));
+        figures.put("late", share(r -> r.end == ClientRequest.End.LATE));
         figures.put(
                 "denials_per_request",
-                outcome.roots().stream().mapToInt(r -> r.denials).sum() / (double) requests);
+                outcome.requests().stream().mapToInt(r -> r.denials).sum() / (double) requests);
         figures.put(
                 "tries_per_request",
-                outcome.roots().stream().mapToInt(r -> r.tries).sum() / (double) requests);
+                outcome.requests().stream().mapToInt(r -> r.tries).sum() / (double) requests);
         for (int t = 0; t < scenario.tiers().size(); t++) {
             int tier = t;
             figures.put(
                     "dispatches_per_request_" + scenario.tiers().get(t).name(),
-                    outcome.roots().stream().mapToInt(r -> r.dispatches[tier]).sum() / (double) requests);
+                    outcome.requests().stream()
+                                    .mapToInt(r -> r.dispatches[tier])
+                                    .sum()
+                            / (double) requests);
         }
         double offeredWork =
-                outcome.roots().stream().mapToDouble(this::offeredWork).sum();
-        double wastedWork = outcome.roots().stream()
+                outcome.requests().stream().mapToDouble(this::offeredWork).sum();
+        double wastedWork = outcome.requests().stream()
                 .mapToDouble(r -> r.workDone - r.workUsed)
                 .sum();
         figures.put("wasted_work", offeredWork == 0 ? 0 : wastedWork / offeredWork);
-        figures.put("zone_crossings_per_request", outcome.crossings() / (double) requests);
+        figures.put("zone_crossings_per_request", outcome.crossZoneDispatches() / (double) requests);
         figures.put("probes_per_request", outcome.probes() / (double) requests);
         figures.put("breaches", (double) outcome.breaches().size());
-        figures.put("cold_starts", (double) outcome.cold().starts());
-        figures.put("cold_falls", (double) outcome.cold().falls());
-        figures.put("cold_window_worst", outcome.cold().worst());
-        figures.put("cold_window_worst_told", outcome.cold().worstInformed());
+        figures.put("cold_starts", (double) outcome.coldStarts().starts());
+        figures.put("cold_falls", (double) outcome.coldStarts().collapses());
+        figures.put("cold_window_worst", outcome.coldStarts().worstBudgetShare());
+        figures.put("cold_window_worst_told", outcome.coldStarts().worstInformedBudgetShare());
         figures.put("bad_clients", (double) outcome.badClients().sent());
-        figures.put("bad_clients_neglected", (double) outcome.badClients().neglected());
+        figures.put("bad_clients_neglected", (double) outcome.badClients().unanswered());
         figures.put("bad_clients_served", (double) outcome.badClients().served());
         double cores = 0;
         double maxMemoryMb = 0;
         for (var samples : outcome.balancers().values()) {
             cores += samples.stream()
-                    .mapToDouble(Outcome.BalancerSample::cores)
+                    .mapToDouble(EmulationResult.BalancerSample::cores)
                     .average()
                     .orElse(0);
             maxMemoryMb = Math.max(
                     maxMemoryMb,
-                    samples.stream().mapToDouble(s -> s.resident() / 1e6).max().orElse(0));
+                    samples.stream()
+                            .mapToDouble(s -> s.residentBytes() / 1e6)
+                            .max()
+                            .orElse(0));
         }
         figures.put("balancers_cores", cores);
         figures.put(
                 "balancers_cpu_ms_per_dispatch",
                 outcome.dispatches() == 0 ? 0 : cores * outcome.length() / 1e3 / outcome.dispatches());
         figures.put("balancer_memory_mb_max", maxMemoryMb);
-        figures.put("lab_cores", outcome.labCpu());
-        figures.put("lab_late_ms_p50", outcome.lateness()[0] / 1e3);
-        figures.put("lab_late_ms_p99", outcome.lateness()[1] / 1e3);
-        figures.put("lab_late_ms_max", outcome.lateness()[2] / 1e3);
+        figures.put("lab_cores", outcome.labCores());
+        figures.put("lab_late_ms_p50", outcome.latenessMicros()[0] / 1e3);
+        figures.put("lab_late_ms_p99", outcome.latenessMicros()[1] / 1e3);
+        figures.put("lab_late_ms_max", outcome.latenessMicros()[2] / 1e3);
     }
 
     /** The work of a request over all tiers if each of its calls is made once. */
-    private double offeredWork(Root root) {
+    private double offeredWork(ClientRequest root) {
         double work = 0;
         double calls = 1;
         for (int t = 0; t < scenario.tiers().size(); t++) {
@@ -308,12 +314,12 @@
         List<Dispatches> list = new ArrayList<>();
         for (int t = 0; t < scenario.tiers().size(); t++) {
             int tier = t;
-            int max = outcome.roots().stream()
+            int max = outcome.requests().stream()
                     .mapToInt(r -> r.dispatches[tier])
                     .max()
                     .orElse(0);
             long[] counts = new long[max + 1];
-            outcome.roots().forEach(r -> counts[r.dispatches[tier]]++);
+            outcome.requests().forEach(r -> counts[r.dispatches[tier]]++);
             for (int d = 0; d <= max; d++) {
                 list.add(new Dispatches(scenario.tiers().get(t).name(), d, counts[d]));
             }
