--- a/balancer/src/main/java/calicochute/admin/AdminConnection.java
+++ b/balancer/src/main/java/calicochute/admin/AdminConnection.java
@@ -23,9 +23,9 @@
 /** One caller's connection to the second address, for one call. All on that address's I/O thread. */
 final class AdminConnection {
     private static final Http1Config LIMITS = Http1Config.custom()
-            .setBufferSize(Bounds.BUFFER)
-            .setMaxLineLength(Bounds.LINE)
-            .setMaxHeaderCount(Bounds.FIELDS)
+            .setBufferSize(Bounds.READ_BUFFER_BYTES)
+            .setMaxLineLength(Bounds.MAX_LINE_BYTES)
+            .setMaxHeaderCount(Bounds.MAX_HEADERS)
             .build();
     private static final HttpProcessor PROCESSOR = HttpProcessorBuilder.create().build();
     /** From the connection's start to the call's last byte, and from there to the end. */
--- a/balancer/src/main/java/calicochute/admin/AdminServer.java
+++ b/balancer/src/main/java/calicochute/admin/AdminServer.java
@@ -33,7 +33,7 @@
         ConnectionAcceptor listening = ConnectionAcceptor.bind(
                 address,
                 BACKLOG,
-                Bounds.ADMIN_CONNECTIONS + Bounds.AHEAD,
+                Bounds.ADMIN_CONNECTIONS + Bounds.EXTRA_ACCEPTED_CONNECTIONS,
                 "admin",
                 (session, attachment) -> AdminConnection.on(session, this, onFault),
                 onFault,
--- a/balancer/src/main/java/calicochute/backend/BackendServers.java
+++ b/balancer/src/main/java/calicochute/backend/BackendServers.java
@@ -69,7 +69,7 @@
         this.counters = counters;
         connections = new Connections(connector, queue, counters, bounds.serverConnections(), servers::values);
         connections.retune(connectTimeout, connectionIdle);
-        window = bounds.window();
+        window = bounds.windowBytes();
         this.listener = listener;
         nextSweep = queue.schedule(sweepEvery(), this::sweep);
     }
--- a/balancer/src/main/java/calicochute/connection/Call.java
+++ b/balancer/src/main/java/calicochute/connection/Call.java
@@ -159,7 +159,7 @@
      * The longest body accepted for this response: one that is not a 200 is buffered completely, so it has to be short.
      */
     private long maxBodyBytes(HttpResponse head) {
-        return limits.windowBytes == 0 || mayStream(head) ? limits.maxBodyBytes : Bounds.BODY;
+        return limits.windowBytes == 0 || mayStream(head) ? limits.maxBodyBytes : Bounds.MAX_BUFFERED_BODY_BYTES;
     }
 
     private boolean mayStream(HttpResponse head) {
@@ -193,11 +193,11 @@
         responseBody.put(data);
         if (!responseStreaming
                 && mayStream(response)
-                && (responseLength > Bounds.BODY
-                        || responseLength < 0 && total > Bounds.UNTOLD
-                        || total > Bounds.BODY)) {
+                && (responseLength > Bounds.MAX_BUFFERED_BODY_BYTES
+                        || responseLength < 0 && total > Bounds.MAX_BUFFERED_UNKNOWN_LENGTH_BYTES
+                        || total > Bounds.MAX_BUFFERED_BODY_BYTES)) {
             responseStreaming = true;
-            responseBody.shrinkWindow(Bounds.WINDOW - limits.windowBytes);
+            responseBody.shrinkWindow(Bounds.INITIAL_WINDOW_BYTES - limits.windowBytes);
             listener.responseStarted(response, new Body.Streamed(responseBody, responseLength));
         }
     }
--- a/balancer/src/main/java/calicochute/connection/Connection.java
+++ b/balancer/src/main/java/calicochute/connection/Connection.java
@@ -69,7 +69,7 @@
      * read ahead.
      */
     public void stream(HttpRequest request, Body body, int windowBytes, CallListener listener) {
-        call(request, body, new Call.Limits(Bounds.LONGEST_BODY, windowBytes), listener);
+        call(request, body, new Call.Limits(Bounds.MAX_BODY_BYTES, windowBytes), listener);
     }
 
     private void call(HttpRequest request, Body body, Call.Limits limits, CallListener listener) {
--- a/balancer/src/main/java/calicochute/connection/Connector.java
+++ b/balancer/src/main/java/calicochute/connection/Connector.java
@@ -39,10 +39,10 @@
 public final class Connector implements AutoCloseable {
     /** Limits of HttpCore's parser, from {@link Bounds}. */
     static final Http1Config HTTP_CONFIG = Http1Config.custom()
-            .setBufferSize(Bounds.BUFFER)
-            .setMaxLineLength(Bounds.LINE)
-            .setMaxHeaderCount(Bounds.FIELDS)
-            .setInitialWindowSize(Bounds.WINDOW)
+            .setBufferSize(Bounds.READ_BUFFER_BYTES)
+            .setMaxLineLength(Bounds.MAX_LINE_BYTES)
+            .setMaxHeaderCount(Bounds.MAX_HEADERS)
+            .setInitialWindowSize(Bounds.INITIAL_WINDOW_BYTES)
             .build();
 
     private static final HttpProcessor PROCESSOR = HttpProcessorBuilder.create().build();
--- a/balancer/src/main/java/calicochute/frontend/ClientConnection.java
+++ b/balancer/src/main/java/calicochute/frontend/ClientConnection.java
@@ -43,10 +43,10 @@
 final class ClientConnection extends ServerHttp1IOEventHandler {
     /** Limits of HttpCore's parser, from {@link Bounds}. */
     static final Http1Config HTTP_CONFIG = Http1Config.custom()
-            .setBufferSize(Bounds.BUFFER)
-            .setMaxLineLength(Bounds.LINE)
-            .setMaxHeaderCount(Bounds.FIELDS)
-            .setInitialWindowSize(Bounds.WINDOW)
+            .setBufferSize(Bounds.READ_BUFFER_BYTES)
+            .setMaxLineLength(Bounds.MAX_LINE_BYTES)
+            .setMaxHeaderCount(Bounds.MAX_HEADERS)
+            .setInitialWindowSize(Bounds.INITIAL_WINDOW_BYTES)
             .build();
     /** Time for a request head, from the start of the connection or from the first byte of a later request. */
     private static final long HEAD_TIMEOUT_MS = 2400;
--- a/balancer/src/main/java/calicochute/frontend/Frontend.java
+++ b/balancer/src/main/java/calicochute/frontend/Frontend.java
@@ -9,7 +9,7 @@
 import calicochute.presence.Presence;
 import calicochute.settings.Bounds;
 import calicochute.settings.Configuration;
-import calicochute.settings.Succession;
+import calicochute.settings.SettingsHistory;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
@@ -60,7 +60,7 @@
             Counters counters,
             BooleanSupplier ready,
             Supplier<Presence> presence,
-            Supplier<Succession> settings)
+            Supplier<SettingsHistory> settings)
             throws IOException {
         parser = new SessionParser(settings);
         this.clock = clock;
@@ -70,8 +70,8 @@
         this.presence = presence;
         maxConnections = configuration.bounds().clientConnections();
         connectionLimit = new ConnectionLimit(maxConnections);
-        windowBytes = configuration.bounds().window();
-        readAhead = new ReadAheadBudget(configuration.bounds().ahead());
+        windowBytes = configuration.bounds().windowBytes();
+        readAhead = new ReadAheadBudget(configuration.bounds().readAheadBytes());
         resetDetector = new ResetDetector(clock);
         address = configuration.listen();
         this.inherited = inherited;
@@ -84,13 +84,18 @@
                 ? ConnectionAcceptor.bind(
                         address,
                         BACKLOG_CONNECTIONS,
-                        maxConnections + Bounds.AHEAD,
+                        maxConnections + Bounds.EXTRA_ACCEPTED_CONNECTIONS,
                         "frontend",
                         handlers,
                         onException,
                         counters)
                 : ConnectionAcceptor.adopt(
-                        inherited, maxConnections + Bounds.AHEAD, "frontend", handlers, onException, counters);
+                        inherited,
+                        maxConnections + Bounds.EXTRA_ACCEPTED_CONNECTIONS,
+                        "frontend",
+                        handlers,
+                        onException,
+                        counters);
         acceptor.onDescriptorShortage(this::handleDescriptorShortage);
         return acceptor.start();
     }
--- a/balancer/src/main/java/calicochute/frontend/RequestHeadParser.java
+++ b/balancer/src/main/java/calicochute/frontend/RequestHeadParser.java
@@ -23,7 +23,7 @@
 final class RequestHeadParser implements NHttpMessageParser<HttpRequest> {
     private static final Pattern CONTENT_LENGTH = Pattern.compile("[0-9]{1,18}");
     /** Longest request head, in bytes. */
-    private static final int MAX_HEAD_BYTES = 2 * Bounds.LINE;
+    private static final int MAX_HEAD_BYTES = 2 * Bounds.MAX_LINE_BYTES;
     /**
      * Keeps the request target unchanged: HttpCore's own factory takes the first segment of a target that starts with
      * // for a host and drops it.
--- a/balancer/src/main/java/calicochute/frontend/SessionHandler.java
+++ b/balancer/src/main/java/calicochute/frontend/SessionHandler.java
@@ -41,7 +41,7 @@
     private final ClientConnection.State connection;
     private final Frontend frontend;
     private final Pipe requestBody = new Pipe();
-    /** Request body bytes granted beyond the initial window of {@link Bounds#WINDOW}. */
+    /** Request body bytes granted beyond the initial window of {@link Bounds#INITIAL_WINDOW_BYTES}. */
     private final AtomicLong grantedBytes = new AtomicLong();
 
     private final ReadAheadBudget.Share readAheadShare;
@@ -82,7 +82,7 @@
         connection.headReceived();
         if (entity == null) {
             completeRequest();
-        } else if (entity.getContentLength() > Bounds.LONGEST_BODY) {
+        } else if (entity.getContentLength() > Bounds.MAX_BODY_BYTES) {
             // Rejected at the head, so that the client need not send the body first.
             reject(bodyTooLong());
         } else {
@@ -146,23 +146,23 @@
     }
 
     private boolean windowUsedUp() {
-        return requestBody.totalBytes() - grantedBytes.get() >= Bounds.WINDOW;
+        return requestBody.totalBytes() - grantedBytes.get() >= Bounds.INITIAL_WINDOW_BYTES;
     }
 
     @Override
     public void consume(ByteBuffer data) throws IOException {
         connection.bodyReceived(data.remaining());
         try {
-            if (requestBody.totalBytes() + data.remaining() > Bounds.LONGEST_BODY) {
+            if (requestBody.totalBytes() + data.remaining() > Bounds.MAX_BODY_BYTES) {
                 data.position(data.limit());
                 if (responding) {
-                    throw new IOException("body over " + Bounds.LONGEST_BODY + " bytes");
+                    throw new IOException("body over " + Bounds.MAX_BODY_BYTES + " bytes");
                 }
                 reject(bodyTooLong());
             } else {
                 requestBody.put(data);
-                if (exchange == null && !responding && requestBody.totalBytes() > Bounds.BODY) {
-                    requestBody.shrinkWindow(Bounds.WINDOW - frontend.windowBytes());
+                if (exchange == null && !responding && requestBody.totalBytes() > Bounds.MAX_BUFFERED_BODY_BYTES) {
+                    requestBody.shrinkWindow(Bounds.INITIAL_WINDOW_BYTES - frontend.windowBytes());
                     startSession(new Body.Streamed(requestBody, declaredLength));
                 }
             }
@@ -177,7 +177,7 @@
     }
 
     private static SessionParser.BadInputException bodyTooLong() {
-        return new SessionParser.BadInputException(413, "body over " + Bounds.LONGEST_BODY + " bytes");
+        return new SessionParser.BadInputException(413, "body over " + Bounds.MAX_BODY_BYTES + " bytes");
     }
 
     private void reject(SessionParser.BadInputException badInput) throws HttpException, IOException {
--- a/balancer/src/main/java/calicochute/frontend/SessionParser.java
+++ b/balancer/src/main/java/calicochute/frontend/SessionParser.java
@@ -7,7 +7,7 @@
 import calicochute.exchange.Field;
 import calicochute.exchange.Message;
 import calicochute.exchange.ResponseSender;
-import calicochute.settings.Succession;
+import calicochute.settings.SettingsHistory;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -38,7 +38,7 @@
 
     private static final long MAX_CLIENT_TIMEOUT_MS = 3_600_000;
     private final AtomicLong lastId = new AtomicLong();
-    private final Supplier<Succession> settings;
+    private final Supplier<SettingsHistory> settings;
 
     /** The request is not a valid session; carries the HTTP status to answer with. */
     static final class BadInputException extends Exception {
@@ -51,7 +51,7 @@
         }
     }
 
-    SessionParser(Supplier<Succession> settings) {
+    SessionParser(Supplier<SettingsHistory> settings) {
         this.settings = settings;
     }
 
@@ -63,7 +63,7 @@
             throw new BadInputException(400, "X-Txn is not 16 hex digits");
         }
         // Read once: a session keeps the settings it began with.
-        Succession currentSettings = settings.get();
+        SettingsHistory currentSettings = settings.get();
         int classIndex =
                 requireKnown(currentSettings.classIndex(singleHeader(request, "X-Lane", true), nowMicros), "X-Lane");
         boolean hasTenants = !currentSettings.current().tenants().isEmpty();
--- a/balancer/src/main/java/calicochute/node/FleetStart.java
+++ b/balancer/src/main/java/calicochute/node/FleetStart.java
@@ -11,7 +11,7 @@
 import calicochute.operator.OperatorFileException;
 import calicochute.operator.OperatorFileReader;
 import calicochute.settings.Configuration;
-import calicochute.settings.Succession;
+import calicochute.settings.SettingsHistory;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.function.Consumer;
@@ -31,7 +31,7 @@
     static FleetPart of(
             Configuration configuration,
             DecisionQueue queue,
-            Supplier<Succession> succession,
+            Supplier<SettingsHistory> succession,
             Consumer<Balancer.Event> module) {
         String named = System.getenv(VARIABLE);
         if (named == null || named.isEmpty()) {
@@ -65,9 +65,9 @@
         }
     }
 
-    private static OperatorFile again(Path path, Configuration configuration, Succession now) {
+    private static OperatorFile again(Path path, Configuration configuration, SettingsHistory now) {
         try {
-            return OperatorFileReader.read(path, configuration.name(), now.forModule(), List.of());
+            return OperatorFileReader.read(path, configuration.name(), now.forDecisionModule(), List.of());
         } catch (OperatorFileException e) {
             Log.warn("fleet-reload-failed", e.text());
             return null;
--- a/balancer/src/main/java/calicochute/node/Node.java
+++ b/balancer/src/main/java/calicochute/node/Node.java
@@ -25,7 +25,7 @@
 import calicochute.presence.Presence;
 import calicochute.settings.Configuration;
 import calicochute.settings.SettingsException;
-import calicochute.settings.Succession;
+import calicochute.settings.SettingsHistory;
 import calicochute.takeover.LearntFile;
 import calicochute.takeover.Lives;
 import calicochute.takeover.Origin;
@@ -53,7 +53,7 @@
     private static final long TAKEN_OVER_NANOS = 100_000_000L;
     private static final long LONGEST_END_NANOS = 10_000_000_000L;
     private final Configuration configuration;
-    private volatile Succession succession;
+    private volatile SettingsHistory succession;
     private final Counters counters;
     private final DecisionQueue queue;
     private final Connector connector = new Connector();
@@ -90,7 +90,7 @@
         this.configuration = configuration;
         this.counters = counters;
         Settings settings = configuration.settings();
-        succession = Succession.of(settings);
+        succession = SettingsHistory.of(settings);
         queue = new DecisionThread(counters);
         balancer = Balancer.create(settings);
         backend = new BackendServers(
@@ -98,7 +98,7 @@
                 queue,
                 counters,
                 settings.limits().connectTimeout(),
-                configuration.connectionIdle(),
+                configuration.connectionIdleMicros(),
                 configuration.bounds(),
                 this);
         membership = new Membership(backend, figures, queue, new OutageFile(shared, settings.tier()), this::tell);
@@ -156,12 +156,12 @@
      */
     public void reload(Configuration changed) throws SettingsException {
         // Only here does it change, one reload at a time: a file that can't follow the running one changes nothing.
-        Succession next = succession.next(changed.settings(), queue.now());
+        SettingsHistory next = succession.next(changed.settings(), queue.now());
         queue.post(() -> {
             succession = next;
             next.classes().forEach(c -> figures.listClass(c.name()));
-            backend.retune(changed.settings().limits().connectTimeout(), changed.connectionIdle());
-            tell(new Balancer.SettingsChanged(next.forModule()));
+            backend.retune(changed.settings().limits().connectTimeout(), changed.connectionIdleMicros());
+            tell(new Balancer.SettingsChanged(next.forDecisionModule()));
             counters.count(Counter.RELOADS);
             figures.reloaded(true);
             Log.info(
--- a/balancer/src/main/java/calicochute/settings/Bounds.java
+++ b/balancer/src/main/java/calicochute/settings/Bounds.java
@@ -1,53 +1,62 @@
 package calicochute.settings;
 
 /**
- * How much of everything the configuration's limits leave room for. Descriptors are shared between clients and backend
- * servers; what the program itself, discovery and connections just being accepted or closed need is set aside first.
+ * Limits on connections and buffers, derived from the configuration's socket and memory limits. Clients and backend
+ * servers get equal shares of the sockets that are left after a reserve for the process itself, discovery and
+ * connections that are being accepted or closed.
  *
- * @param window how far ahead of its server a long message is read
- * @param ahead bytes that all clients' connections together may be read beyond that, for their ends to be seen
+ * @param clientConnections greatest number of connections from clients
+ * @param serverConnections greatest number of connections to backend servers
+ * @param windowBytes how much of a streamed body is read before its receiver has taken it
+ * @param readAheadBytes bytes that may be read beyond that, over all client connections, to notice that a client has
+ *     closed its connection
  */
-public record Bounds(int clientConnections, int serverConnections, int window, int ahead) {
-    /** A message up to this long is handed on whole; a longer one in pieces. */
-    public static final int BODY = 1 << 16;
-    /** No message has a longer body. */
-    public static final int LONGEST_BODY = 1 << 25;
-    /** An answer of untold length is handed on in pieces from here on: its first bytes are waited for. */
-    public static final int UNTOLD = 1 << 14;
-    /** A head's lines, and the fields it may have. */
-    public static final int LINE = 8192;
+public record Bounds(int clientConnections, int serverConnections, int windowBytes, int readAheadBytes) {
+    /** A body up to this length is buffered whole before it is passed on; a longer one is streamed. */
+    public static final int MAX_BUFFERED_BODY_BYTES = 1 << 16;
+    /** Greatest length of a body. */
+    public static final int MAX_BODY_BYTES = 1 << 25;
+    /** A response without a known length is streamed once it is longer than this; until then its bytes are buffered. */
+    public static final int MAX_BUFFERED_UNKNOWN_LENGTH_BYTES = 1 << 14;
+    /** Greatest length of a line of a message head. */
+    public static final int MAX_LINE_BYTES = 8192;
+    /** Greatest number of header fields of a message. */
+    public static final int MAX_HEADERS = 64;
+    /** Size of a connection's read buffer. */
+    public static final int READ_BUFFER_BYTES = 4096;
+    /** Window of a body for which it is not yet known whether it will be buffered or streamed. */
+    public static final int INITIAL_WINDOW_BYTES = MAX_BUFFERED_BODY_BYTES + READ_BUFFER_BYTES;
 
-    public static final int FIELDS = 64;
-    /** What one connection reads at a time. */
-    public static final int BUFFER = 4096;
-    /** What is read ahead while it is not known yet whether a message is short. */
-    public static final int WINDOW = BODY + BUFFER;
-
-    private static final int LEAST_WINDOW = 8192;
-    /** Connections to the second address, for its staff and those who only sit on them. */
+    private static final int MIN_WINDOW_BYTES = 8192;
+    /** Greatest number of connections to the second address, idle ones included. */
     public static final int ADMIN_CONNECTIONS = 32;
     /**
-     * Connections that either acceptor takes in beyond what there is room for, before another one is ended: of what is
-     * set aside.
+     * Connections that an acceptor accepts beyond its limit before it closes another one; they are part of the reserved
+     * sockets.
      */
-    public static final int AHEAD = 8;
-    /** What the second address needs beside its connections: its selectors and its listener. */
-    private static final int ADMIN_OWN = 8;
+    public static final int EXTRA_ACCEPTED_CONNECTIONS = 8;
+    /** Descriptors that the second address needs besides its connections: its selectors and its listener. */
+    private static final int ADMIN_DESCRIPTORS = 8;
 
-    private static final int MOST_AHEAD = 1 << 24;
-    private static final int SET_ASIDE = 48;
-    private static final int FEWEST = 16;
+    private static final int MAX_READ_AHEAD_BYTES = 1 << 24;
+    /** Descriptors that neither clients nor backend servers get. */
+    private static final int RESERVED_DESCRIPTORS = 48;
+    /** Connections to either side, however low the limit on sockets. */
+    private static final int MIN_CONNECTIONS = 16;
 
     /**
+     * Derives the limits of a process.
+     *
+     * @param sockets greatest number of open sockets
      * @param admin whether there is a second address
-     * @param memoryMb what the process may hold; a sixth of it is for messages on their way
+     * @param memoryMb memory limit of the process in MiB; a sixth of it is for bodies in transit
      */
     public static Bounds of(int sockets, boolean admin, int memoryMb) {
-        int aside = SET_ASIDE + (admin ? ADMIN_CONNECTIONS + ADMIN_OWN : 0);
-        int each = Math.max(FEWEST, (sockets - aside) / 2);
-        // Each client's connection may have a body on its way in and one on its way out.
+        int reserved = RESERVED_DESCRIPTORS + (admin ? ADMIN_CONNECTIONS + ADMIN_DESCRIPTORS : 0);
+        int each = Math.max(MIN_CONNECTIONS, (sockets - reserved) / 2);
+        // Each client connection may have a request body and a response body in transit.
         long share = ((long) memoryMb << 20) / 6 / (2L * each);
-        return new Bounds(each, each, (int) Math.max(LEAST_WINDOW, Math.min(BODY, share)), (int)
-                Math.min(MOST_AHEAD, ((long) memoryMb << 20) / 16));
+        return new Bounds(each, each, (int) Math.max(MIN_WINDOW_BYTES, Math.min(MAX_BUFFERED_BODY_BYTES, share)), (int)
+                Math.min(MAX_READ_AHEAD_BYTES, ((long) memoryMb << 20) / 16));
     }
 }
--- a/balancer/src/main/java/calicochute/settings/Configuration.java
+++ b/balancer/src/main/java/calicochute/settings/Configuration.java
@@ -17,9 +17,17 @@
 import java.util.Set;
 
 /**
- * All that one real balancer is told. {@code known} is the list as it last had it, in discovery's form; {@code admin}
- * is the second address, or null; {@code connectionIdle} is the time in microseconds after which a backend server drops
- * an idle connection.
+ * The contents of a configuration file.
+ *
+ * @param name name of this balancer
+ * @param listen address that clients connect to
+ * @param admin second address, for operators; null for none
+ * @param discovery address of the discovery service
+ * @param bounds limits on connections and buffers
+ * @param connectionIdleMicros time after which a backend server closes an idle connection
+ * @param known the server list that this balancer had last, in discovery's JSON format; empty for none
+ * @param settings settings of the decision module
+ * @param document the file's JSON
  */
 public record Configuration(
         String name,
@@ -27,18 +35,21 @@
         InetSocketAddress admin,
         InetSocketAddress discovery,
         Bounds bounds,
-        long connectionIdle,
+        long connectionIdleMicros,
         String known,
         Settings settings,
         Document document) {
     private static final String ADMIN_VARIABLE = "PROXY_ADMIN_ADDR";
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int DEFAULT_MEMORY_MB = 128;
-    private static final long DEFAULT_CONNECTION_IDLE = 30_000_000;
-    /** This host's timers go in steps of about a millisecond, and its clock is far finer than any answer takes. */
-    private static final long DEFAULT_TICK = 1_000, LEAST_TICK = 1_000, MOST_TICK = 10_000;
+    private static final long DEFAULT_CONNECTION_IDLE_MICROS = 30_000_000;
+    /** The tick in microseconds; this process has timers with a resolution of about a millisecond. */
+    private static final long DEFAULT_TICK_MICROS = 1_000;
 
-    /** Reads a configuration file; every complaint names the file's faulty entry. */
+    private static final long MIN_TICK_MICROS = 1_000;
+    private static final long MAX_TICK_MICROS = 10_000;
+
+    /** Reads a configuration file; an exception's message names the file and the faulty entry. */
     public static Configuration read(Path file) throws SettingsException {
         try {
             Document document = Document.parse(Files.readString(file));
@@ -47,19 +58,19 @@
             flatten("", object(root, "settings"), values);
             document.checkLimits();
             values.put("nonce64", seed(text(root, "seed")));
-            // Guards against a session held for want of a server that is looked at again every few microseconds, or not
-            // before its
-            // deadline, and against answer times that look all alike: the tick told is of a clock, and this host has
-            // its own.
-            long tick = SettingsParser.time(values, "tick", DEFAULT_TICK);
-            values.put("tick", Long.toString(Math.max(LEAST_TICK, Math.min(MOST_TICK, tick))));
+            // The configured tick is that of another clock. With a tick far below this process's timer resolution,
+            // a session that waits for a server would be reconsidered every few microseconds; with one far above it,
+            // not before its deadline, and all response times would look alike.
+            long tick = SettingsParser.time(values, "tick", DEFAULT_TICK_MICROS);
+            values.put("tick", Long.toString(Math.max(MIN_TICK_MICROS, Math.min(MAX_TICK_MICROS, tick))));
             Settings settings = SettingsParser.parse(values);
             if (settings.classes().isEmpty()) {
-                throw new SettingsException("settings name no classes");
+                throw new SettingsException("settings lack classes");
             }
             JsonObject limits = root.has("limits") ? object(root, "limits") : new JsonObject();
-            String told = root.has("admin_addr") ? text(root, "admin_addr") : System.getenv(ADMIN_VARIABLE);
-            InetSocketAddress admin = told == null || told.isEmpty() ? null : address("admin_addr", told);
+            String adminAddress = root.has("admin_addr") ? text(root, "admin_addr") : System.getenv(ADMIN_VARIABLE);
+            InetSocketAddress admin =
+                    adminAddress == null || adminAddress.isEmpty() ? null : address("admin_addr", adminAddress);
             return new Configuration(
                     text(root, "name"),
                     address("listen", text(root, "listen")),
@@ -69,7 +80,7 @@
                             limits.has("sockets") ? limits.get("sockets").getAsInt() : DEFAULT_SOCKETS,
                             admin != null,
                             limits.has("memory_mb") ? limits.get("memory_mb").getAsInt() : DEFAULT_MEMORY_MB),
-                    SettingsParser.time(values, "caps.conn_idle", DEFAULT_CONNECTION_IDLE),
+                    SettingsParser.time(values, "caps.conn_idle", DEFAULT_CONNECTION_IDLE_MICROS),
                     root.has("known") ? root.get("known").toString() : "",
                     settings,
                     document);
@@ -86,26 +97,35 @@
         }
     }
 
-    /** Reads the file that takes over from this one, under load: what this one has, it must have too. */
+    /**
+     * Reads a file that replaces this configuration while the process runs. A key that this configuration has must not
+     * be missing from it.
+     */
     public Configuration readNext(Path file) throws SettingsException {
         Configuration next = read(file);
-        // Its servers, and all that was learnt and put out by hand, are of the tier it began with.
+        // The server list, learned estimates and operators' outages belong to the tier that the process started with.
         if (next.settings.tier() != settings.tier()) {
             throw new SettingsException(
                     Code.RELOAD,
                     file.toString(),
                     "settings.layer is " + next.settings.tier() + ", but the running balancer's tier is "
-                            + settings.tier() + ": another tier needs a restart");
+                            + settings.tier() + "; changing the tier needs a restart");
         }
         Set<String> missing = next.document.missing(document);
         if (!missing.isEmpty()) {
             throw new SettingsException(
-                    Code.RELOAD, file.toString(), "lacks what the running one has: " + String.join(", ", missing));
+                    Code.RELOAD,
+                    file.toString(),
+                    "keys of the running configuration are missing: " + String.join(", ", missing));
         }
         return next;
     }
 
-    /** Splits host:port. */
+    /**
+     * Parses host:port.
+     *
+     * @param what name of the entry, for the message of an exception
+     */
     public static InetSocketAddress address(String what, String text) throws SettingsException {
         int colon = text.lastIndexOf(':');
         try {
@@ -144,26 +164,30 @@
         return from.getAsJsonObject(name);
     }
 
-    /** Nested settings become the wire's pairs: plain lists joined by commas, lists of objects counted. */
-    private static void flatten(String path, JsonElement value, Map<String, String> to) {
+    /**
+     * Flattens nested settings into pairs of path and value. A list's size is added under PATH.count and its plain
+     * items under PATH, joined by commas; objects of a list have paths with their index.
+     */
+    private static void flatten(String path, JsonElement value, Map<String, String> target) {
         if (value.isJsonObject()) {
             value.getAsJsonObject()
                     .entrySet()
-                    .forEach(e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), to));
+                    .forEach(entry -> flatten(
+                            path.isEmpty() ? entry.getKey() : path + "." + entry.getKey(), entry.getValue(), target));
         } else if (value.isJsonArray()) {
             JsonArray items = value.getAsJsonArray();
             List<String> plain = new ArrayList<>();
             for (int i = 0; i < items.size(); i++) {
                 if (items.get(i).isJsonObject()) {
-                    flatten(path + "." + i, items.get(i), to);
+                    flatten(path + "." + i, items.get(i), target);
                 } else {
                     plain.add(items.get(i).getAsString());
                 }
             }
-            to.put(path + ".count", "" + items.size());
-            to.put(path, String.join(",", plain));
+            target.put(path + ".count", "" + items.size());
+            target.put(path, String.join(",", plain));
         } else if (value.isJsonPrimitive()) {
-            to.put(path, value.getAsString());
+            target.put(path, value.getAsString());
         }
     }
 }
--- a/balancer/src/main/java/calicochute/settings/Document.java
+++ b/balancer/src/main/java/calicochute/settings/Document.java
@@ -14,69 +14,70 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** A configuration file's JSON, and the checks that its meaning does not need. */
+/** A strictly parsed JSON document, and the checks of a configuration that need only its JSON. */
 public record Document(JsonObject root) {
-    /** Longer ones are mistakes: a day in microseconds. */
-    private static final BigDecimal LONGEST = BigDecimal.valueOf(86_400_000_000L);
+    /** Greatest deadline in microseconds, a day; a greater one is taken for a mistake. */
+    private static final BigDecimal MAX_DEADLINE_MICROS = BigDecimal.valueOf(86_400_000_000L);
 
-    private static final BigDecimal MOST_ATTEMPTS = BigDecimal.valueOf(1000);
+    private static final BigDecimal MAX_ATTEMPTS = BigDecimal.valueOf(1000);
 
-    /** Reads strict JSON, to its end: a file cut short is refused wherever it was cut. */
+    /** Parses strict JSON up to the end of the text; a truncated text is rejected wherever it was cut. */
     public static Document parse(String text) throws SettingsException {
         JsonReader reader = new JsonReader(new StringReader(text));
         reader.setStrictness(Strictness.STRICT);
         try {
             JsonElement root = JsonParser.parseReader(reader);
             if (!root.isJsonObject()) {
-                throw new SettingsException("it is no JSON object");
+                throw new SettingsException("not a JSON object");
             }
             if (reader.peek() != JsonToken.END_DOCUMENT) {
-                throw new SettingsException("something follows its end");
+                throw new SettingsException("text follows the JSON object");
             }
             return new Document(root.getAsJsonObject());
         } catch (JsonParseException | IOException e) {
-            throw new SettingsException("it is not whole JSON: " + e.getMessage());
+            throw new SettingsException("incomplete or invalid JSON: " + e.getMessage());
         }
     }
 
-    /** Deadlines and attempts are numbers above 0, wherever they are given. */
+    /** Checks that deadlines and the limit on attempts, where given, are positive numbers, and class names unique. */
     public void checkLimits() throws SettingsException {
         JsonObject settings = root.getAsJsonObject("settings");
         if (settings.get("caps") instanceof JsonObject caps && caps.has("max_attempts")) {
-            BigDecimal attempts = positive("settings.caps.max_attempts", caps.get("max_attempts"), MOST_ATTEMPTS);
+            BigDecimal attempts = positive("settings.caps.max_attempts", caps.get("max_attempts"), MAX_ATTEMPTS);
             if (attempts.stripTrailingZeros().scale() > 0) {
-                throw new SettingsException("settings.caps.max_attempts is no whole number: " + attempts);
+                throw new SettingsException("settings.caps.max_attempts is not a whole number: " + attempts);
             }
         }
         Set<String> names = new TreeSet<>();
         if (settings.get("classes") instanceof JsonArray classes) {
             for (int i = 0; i < classes.size(); i++) {
-                String at = "settings.classes." + i;
-                if (!(classes.get(i) instanceof JsonObject c) || !c.has("name")) {
-                    throw new SettingsException(at + " has no name");
+                String keyPath = "settings.classes." + i;
+                if (!(classes.get(i) instanceof JsonObject requestClass) || !requestClass.has("name")) {
+                    throw new SettingsException(keyPath + " has no name");
                 }
-                if (!names.add(c.get("name").getAsString())) {
-                    throw new SettingsException(at + " names a class a second time: " + c.get("name"));
+                if (!names.add(requestClass.get("name").getAsString())) {
+                    throw new SettingsException(keyPath + " repeats the class name " + requestClass.get("name"));
                 }
-                if (c.has("deadline")) {
-                    positive(at + ".deadline", c.get("deadline"), LONGEST);
+                if (requestClass.has("deadline")) {
+                    positive(keyPath + ".deadline", requestClass.get("deadline"), MAX_DEADLINE_MICROS);
                 }
             }
         }
     }
 
-    private static BigDecimal positive(String path, JsonElement value, BigDecimal most) throws SettingsException {
+    private static BigDecimal positive(String path, JsonElement value, BigDecimal max) throws SettingsException {
         if (value.isJsonPrimitive() && value.getAsJsonPrimitive().isNumber()) {
             BigDecimal number = value.getAsBigDecimal();
-            if (number.signum() > 0 && number.compareTo(most) <= 0) {
+            if (number.signum() > 0 && number.compareTo(max) <= 0) {
                 return number;
             }
         }
-        throw new SettingsException(path + " is no number above 0 and up to " + most + ": " + value);
+        throw new SettingsException(path + " is not a number above 0 and up to " + max + ": " + value);
     }
 
     /**
-     * The paths of keys that the other document has and this one lacks; in lists, keys that all of its objects have.
+     * The paths of keys that the other document has and this one lacks. Of a list, those keys count that all of its
+     * objects have.
      */
     public Set<String> missing(Document other) {
         Set<String> missing = new TreeSet<>();
@@ -86,32 +87,32 @@
 
     private static void missing(String path, JsonObject wanted, JsonObject found, Set<String> missing) {
         wanted.entrySet().forEach(entry -> {
-            String at = path + entry.getKey();
-            JsonElement there = found.get(entry.getKey());
-            if (there == null || there.isJsonNull()) {
-                missing.add(at);
+            String keyPath = path + entry.getKey();
+            JsonElement own = found.get(entry.getKey());
+            if (own == null || own.isJsonNull()) {
+                missing.add(keyPath);
             } else if (entry.getValue() instanceof JsonObject inner) {
-                if (there instanceof JsonObject object) {
-                    missing(at + ".", inner, object, missing);
+                if (own instanceof JsonObject object) {
+                    missing(keyPath + ".", inner, object, missing);
                 } else {
-                    missing.add(at);
+                    missing.add(keyPath);
                 }
             } else if (entry.getValue() instanceof JsonArray list) {
-                if (there instanceof JsonArray array) {
+                if (own instanceof JsonArray array) {
                     JsonObject common = common(list);
                     for (int i = 0; i < array.size(); i++) {
                         if (array.get(i) instanceof JsonObject object) {
-                            missing(at + "." + i + ".", common, object, missing);
+                            missing(keyPath + "." + i + ".", common, object, missing);
                         }
                     }
                 } else {
-                    missing.add(at);
+                    missing.add(keyPath);
                 }
             }
         });
     }
 
-    /** The keys that all objects of a list have, with the values of the first. */
+    /** An object with the keys that all objects of a list have, and the first one's values. */
     private static JsonObject common(JsonArray list) {
         JsonObject common = null;
         for (JsonElement element : list) {
--- a/balancer/src/main/java/calicochute/settings/SettingsException.java
+++ b/balancer/src/main/java/calicochute/settings/SettingsException.java
@@ -3,7 +3,7 @@
 import calicochute.errors.Code;
 import calicochute.errors.CodedException;
 
-/** Settings, a configuration or a list that can't be used; the message says what is wrong with them. */
+/** Invalid settings, an invalid configuration or an invalid server list; the message says what is wrong. */
 public final class SettingsException extends CodedException {
     private static final long serialVersionUID = 1L;
 
@@ -11,11 +11,15 @@
         this(Code.SETTINGS, "", message);
     }
 
-    public SettingsException(Code code, String where, String seen) {
-        super(code, where, seen, null);
+    /**
+     * @param location where the problem is, or empty
+     * @param problem what is wrong
+     */
+    public SettingsException(Code code, String location, String problem) {
+        super(code, location, problem, null);
     }
 
-    /** The same fault, told with the place where it was met. */
+    /** The same problem with its location prefixed by {@code place}. */
     public SettingsException in(String place) {
         return new SettingsException(code(), location().isEmpty() ? place : place + ": " + location(), problem());
     }
--- a/balancer/src/main/java/calicochute/settings/SettingsParser.java
+++ b/balancer/src/main/java/calicochute/settings/SettingsParser.java
@@ -13,7 +13,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns flattened path=value pairs into {@link Settings}, for both hosts; unknown paths are ignored. */
+/**
+ * Builds {@link Settings} from pairs of path and value, for the process and the simulator; unknown paths are ignored.
+ */
 public final class SettingsParser {
     private final Map<String, String> values;
 
@@ -21,13 +23,14 @@
         this.values = values;
     }
 
+    /** Parses and validates all settings. */
     public static Settings parse(Map<String, String> values) throws SettingsException {
         return new SettingsParser(values).settings();
     }
 
-    /** One time in microseconds, by its path; at least 1. */
-    static long time(Map<String, String> values, String path, long absent) throws SettingsException {
-        return new SettingsParser(values).time(path, absent, 1);
+    /** The time at a path in microseconds, at least 1; {@code defaultMicros} where the path is missing. */
+    static long time(Map<String, String> values, String path, long defaultMicros) throws SettingsException {
+        return new SettingsParser(values).time(path, defaultMicros, 1);
     }
 
     private Settings settings() throws SettingsException {
@@ -45,9 +48,8 @@
         Rules rules = new Rules(
                 time("obligations.answer_slack", 0, 0),
                 time("obligations.ask_every", 0, 0),
-                // Guards against 0/0 where a server's start is ahead of this clock: no time to warm up is the least
-                // there is.
                 decimal("obligations.cold_from", 1),
+                // At least 1, which avoids 0/0 for a server whose start time is ahead of this clock.
                 Math.max(1, time("obligations.warm_up", 0, 0)),
                 time("obligations.drain_grace", 0, 0),
                 decimal("obligations.fall_multiple", 1),
@@ -94,21 +96,21 @@
     private List<RequestClass> classes() throws SettingsException {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < count("classes.count", 0, 0); i++) {
-            String at = "classes." + i + ".";
-            if (!values.containsKey(at + "name")) {
-                throw new SettingsException("born lacks " + at + "name");
+            String prefix = "classes." + i + ".";
+            if (!values.containsKey(prefix + "name")) {
+                throw new SettingsException("born lacks " + prefix + "name");
             }
-            long deadline = time(at + "deadline", 60_000_000, 1);
+            long deadlineMicros = time(prefix + "deadline", 60_000_000, 1);
             classes.add(new RequestClass(
-                    text(at + "name", ""),
-                    effect(text(at + "effect", "once")),
-                    scope(text(at + "key_scope", "cell")),
-                    time(at + "window", 0, 0),
-                    time(at + "objective", deadline, 1),
-                    deadline,
-                    decimal(at + "points", 1),
-                    decimal(at + "late_worth", 0),
-                    flag(at + "streaming")));
+                    text(prefix + "name", ""),
+                    effect(text(prefix + "effect", "once")),
+                    scope(text(prefix + "key_scope", "cell")),
+                    time(prefix + "window", 0, 0),
+                    time(prefix + "objective", deadlineMicros, 1),
+                    deadlineMicros,
+                    decimal(prefix + "points", 1),
+                    decimal(prefix + "late_worth", 0),
+                    flag(prefix + "streaming")));
         }
         return classes;
     }
@@ -116,11 +118,11 @@
     private List<Tenant> tenants() throws SettingsException {
         List<Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < count("accounts.count", 0, 0); i++) {
-            String at = "accounts." + i + ".";
+            String prefix = "accounts." + i + ".";
             tenants.add(new Tenant(
-                    text(at + "name", ""),
-                    decimal(at + "portion", 1),
-                    decimal(at + "allowance_per_s", Double.MAX_VALUE)));
+                    text(prefix + "name", ""),
+                    decimal(prefix + "portion", 1),
+                    decimal(prefix + "allowance_per_s", Double.MAX_VALUE)));
         }
         return tenants;
     }
@@ -143,8 +145,8 @@
         };
     }
 
-    private String text(String path, String absent) {
-        return values.getOrDefault(path, absent);
+    private String text(String path, String defaultValue) {
+        return values.getOrDefault(path, defaultValue);
     }
 
     private boolean flag(String path) {
@@ -152,10 +154,10 @@
         return value != null && (value.equals("true") || value.equals("1"));
     }
 
-    private long number(String path, long absent) throws SettingsException {
+    private long number(String path, long defaultValue) throws SettingsException {
         String value = values.get(path);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         try {
             // A whole number may be written 3.0 or 3e6.
@@ -165,30 +167,30 @@
         }
     }
 
-    private int count(String path, int absent, int least) throws SettingsException {
-        return (int) within(path, number(path, absent), least, Integer.MAX_VALUE);
+    private int count(String path, int defaultValue, int min) throws SettingsException {
+        return (int) within(path, number(path, defaultValue), min, Integer.MAX_VALUE);
     }
 
-    /** Microseconds; sums of a few of them stay within a long. */
-    private long time(String path, long absent, long least) throws SettingsException {
-        return within(path, number(path, absent), least, Long.MAX_VALUE / 16);
+    /** A time in microseconds, limited so that the sum of a few times cannot overflow a long. */
+    private long time(String path, long defaultValue, long min) throws SettingsException {
+        return within(path, number(path, defaultValue), min, Long.MAX_VALUE / 16);
     }
 
-    private static long within(String path, long value, long least, long most) throws SettingsException {
-        if (value < least || value > most) {
-            throw new SettingsException(path + " is not from " + least + " to " + most + ": " + value);
+    private static long within(String path, long value, long min, long max) throws SettingsException {
+        if (value < min || value > max) {
+            throw new SettingsException(path + " is not from " + min + " to " + max + ": " + value);
         }
         return value;
     }
 
-    private double decimal(String path, double absent) throws SettingsException {
+    private double decimal(String path, double defaultValue) throws SettingsException {
         String value = values.get(path);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         try {
             double number = Double.parseDouble(value);
-            // Guards against what would make no number of all it enters.
+            // NaN or infinity would turn every result computed from it into NaN.
             if (number >= 0 && number < Double.POSITIVE_INFINITY) {
                 return number;
             }
--- a/balancer/src/test/java/calicochute/settings/SettingsParserTest.java
+++ b/balancer/src/test/java/calicochute/settings/SettingsParserTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What no decision could be made with is turned down by name, and not met later as a fault or as no number. */
+/**
+ * Values that no decision could be computed from are rejected with the name of their path; accepted, they would show up
+ * later as a fault or as NaN.
+ */
 class SettingsParserTest {
     private static Map<String, String> with(String path, String value) {
         Map<String, String> values = new HashMap<>(
@@ -44,14 +47,14 @@
         "prices.cross_zone,-Infinity",
         "classes.count,-1"
     })
-    void whatIsOutOfRangeIsNamed(String path, String value) {
-        String why = assertThrows(SettingsException.class, () -> SettingsParser.parse(with(path, value)))
+    void outOfRangeValueIsNamed(String path, String value) {
+        String message = assertThrows(SettingsException.class, () -> SettingsParser.parse(with(path, value)))
                 .getMessage();
-        assertTrue(why.contains(path) && why.contains(value), why);
+        assertTrue(message.contains(path) && message.contains(value), message);
     }
 
     @Test
-    void theEdgesThatMeanSomethingAreTaken() throws SettingsException {
+    void boundaryValuesAreAccepted() throws SettingsException {
         assertEquals(
                 0, SettingsParser.parse(with("caps.max_open", "0")).limits().maxOpen());
         assertEquals(
