--- a/balancer/src/main/java/calicochute/fleet/Experiments.java
+++ b/balancer/src/main/java/calicochute/fleet/Experiments.java
@@ -41,7 +41,7 @@
         this.longest = longest;
         this.channels = channels;
         this.trials = trials;
-        peers = file.ids();
+        peers = file.peerIds();
         states = file.state().isEmpty() ? null : new StateFolder(Path.of(file.state()), file.cluster(), file.me());
     }
 
--- a/balancer/src/main/java/calicochute/fleet/Fleet.java
+++ b/balancer/src/main/java/calicochute/fleet/Fleet.java
@@ -64,7 +64,7 @@
         long start = queue.now();
         LongSupplier longest = () ->
                 classes.get().stream().mapToLong(RequestClass::deadline).max().orElse(1_000_000);
-        peers = file.ids();
+        peers = file.peerIds();
         channels = new Channels(file, queue, start, seed, trials);
         experiments = new Experiments(file, queue, start, longest, channels, trials);
         OutcomeSharing sharing = channels.sharing();
--- a/balancer/src/main/java/calicochute/node/FleetStart.java
+++ b/balancer/src/main/java/calicochute/node/FleetStart.java
@@ -47,7 +47,7 @@
         try {
             OperatorFile file =
                     OperatorFileReader.read(path, configuration.name(), configuration.settings(), List.of());
-            if (!file.talks()) {
+            if (!file.needsPeers()) {
                 Log.info("fleet-off", "neither shared outcomes nor experiments are asked for");
                 return FleetPart.OFF;
             }
--- a/balancer/src/main/java/calicochute/operator/OperatorFile.java
+++ b/balancer/src/main/java/calicochute/operator/OperatorFile.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /**
- * The operator's own file, as checked by {@link OperatorFileReader}.
+ * The contents of the operator's file, as validated by {@link OperatorFileReader}.
  *
- * @param cluster the fleet's name: datagrams of another are not heard
- * @param me this balancer among the peers
- * @param listen the UDP address at which it hears them
- * @param peers all balancers of the fleet, this one too
- * @param share outcomes are shared
- * @param bandit what the fleet knows is told to the decision module; needs {@code share}
+ * @param cluster name of the fleet; datagrams of other fleets are ignored
+ * @param me id of this balancer among the peers
+ * @param listen the UDP address at which this balancer receives datagrams
+ * @param peers all balancers of the fleet, including this one
+ * @param share whether outcomes are shared with the peers
+ * @param bandit whether the decision module gets estimates from the shared outcomes; requires {@code share}
  * @param experiments split experiments, in the file's order
- * @param state the folder in which experiments outlive the process; empty: none
+ * @param state folder for the state of experiments across restarts; empty for none
  */
 public record OperatorFile(
         String cluster,
@@ -30,16 +30,16 @@
         experiments = List.copyOf(experiments);
     }
 
-    /** A balancer and where it is reached, as seen from this one. */
+    /** A balancer and the address at which this one reaches it. */
     public record Peer(String id, InetSocketAddress address) {}
 
-    /** The peers' names in order: the same at all balancers, however each file lists them. */
-    public List<String> ids() {
+    /** The sorted ids of the peers: the same at all balancers, whatever the order in their files. */
+    public List<String> peerIds() {
         return peers.stream().map(Peer::id).sorted().toList();
     }
 
-    /** True if anything in it needs other balancers. */
-    public boolean talks() {
+    /** True if the file asks for anything that involves other balancers. */
+    public boolean needsPeers() {
         return share || !experiments.isEmpty();
     }
 }
--- a/balancer/src/main/java/calicochute/operator/OperatorFileException.java
+++ b/balancer/src/main/java/calicochute/operator/OperatorFileException.java
@@ -3,23 +3,23 @@
 import calicochute.errors.Code;
 import calicochute.errors.CodedException;
 
-/** An operator's file that can't be used: what was seen where. */
+/** An invalid operator's file. */
 public final class OperatorFileException extends CodedException {
     private static final long serialVersionUID = 1L;
-    private final String todo;
+    private final String advice;
 
-    OperatorFileException(String where, String seen) {
-        this(Code.OPERATOR_FILE, where, seen, "");
+    OperatorFileException(String location, String problem) {
+        this(Code.OPERATOR_FILE, location, problem, "");
     }
 
-    /** @param todo what to do about this one, where more can be said than for all of its code */
-    OperatorFileException(Code code, String where, String seen, String todo) {
-        super(code, where, seen, null);
-        this.todo = todo;
+    /** @param advice how to correct this problem, in addition to the remedy of its code; empty for none */
+    OperatorFileException(Code code, String location, String problem, String advice) {
+        super(code, location, problem, null);
+        this.advice = advice;
     }
 
     @Override
     public String remedy() {
-        return todo.isEmpty() ? code().remedy() : todo + ". " + code().remedy();
+        return advice.isEmpty() ? code().remedy() : advice + ". " + code().remedy();
     }
 }
--- a/balancer/src/main/java/calicochute/operator/OperatorFileReader.java
+++ b/balancer/src/main/java/calicochute/operator/OperatorFileReader.java
@@ -37,20 +37,23 @@
 import java.util.stream.Collectors;
 import org.yaml.snakeyaml.error.MarkedYAMLException;
 
-/** Reads the operator's file (YAML) and holds it against the settings; every complaint names file, line and rule. */
+/**
+ * Reads the operator's file (YAML) and validates it against the settings. An exception names the file, the line or
+ * field and the rule.
+ */
 public final class OperatorFileReader {
-    private static final int MOST_PEERS = 400;
-    private static final int MOST_EXPERIMENTS = 16;
-    private static final long MOST_BYTES = 1 << 20;
-    private static final int MOST_NAME = 64;
-    private static final Pattern TIME = Pattern.compile("(\\d{1,9})(s|m|h|d)");
+    private static final int MAX_PEERS = 400;
+    private static final int MAX_EXPERIMENTS = 16;
+    private static final long MAX_FILE_BYTES = 1 << 20;
+    private static final int MAX_NAME_LENGTH = 64;
+    private static final Pattern DURATION = Pattern.compile("(\\d{1,9})(s|m|h|d)");
     private final Path file;
 
     private OperatorFileReader(Path file) {
         this.file = file;
     }
 
-    /** As it stands in the file, before any check; absent entries are null. */
+    /** The file's contents before validation; missing entries are null. */
     record Raw(
             String cluster,
             String me,
@@ -64,8 +67,10 @@
     record RawPeer(String id, String address) {}
 
     /**
-     * @param name this balancer's, where the file does not say it
-     * @param servers against which arms are held; empty where they are not known yet
+     * Reads and validates a file.
+     *
+     * @param name this balancer's id where the file has none
+     * @param servers servers that the experiments' arms are checked against; empty if not known yet
      */
     public static OperatorFile read(Path file, String name, Settings settings, List<Backend> servers)
             throws OperatorFileException {
@@ -75,45 +80,45 @@
     private OperatorFile read(String name, Settings settings, List<Backend> servers) throws OperatorFileException {
         Raw raw = raw();
         String me = raw.me == null ? name : raw.me;
-        need(
-                raw.cluster != null && !raw.cluster.isBlank() && raw.cluster.length() <= MOST_NAME,
+        check(
+                raw.cluster != null && !raw.cluster.isBlank() && raw.cluster.length() <= MAX_NAME_LENGTH,
                 "cluster",
-                "must be 1 to " + MOST_NAME + " characters");
-        need(raw.listen != null, "listen", "is missing: the UDP address at which this balancer hears the others");
+                "must be 1 to " + MAX_NAME_LENGTH + " characters");
+        check(raw.listen != null, "listen", "is missing: the UDP address at which this balancer receives datagrams");
         List<Peer> peers = new ArrayList<>();
         Set<String> ids = new HashSet<>();
         Set<InetSocketAddress> addresses = new HashSet<>();
         for (RawPeer peer : raw.peers == null ? List.<RawPeer>of() : raw.peers) {
-            String at = "peers[" + peers.size() + "]";
-            need(
-                    peer != null && peer.id != null && !peer.id.isBlank() && peer.id.length() <= MOST_NAME,
-                    at + ".id",
-                    "must be 1 to " + MOST_NAME + " characters");
-            need(peer.address != null, at + ".address", "is missing");
-            InetSocketAddress address = address(at + ".address", peer.address);
-            need(ids.add(peer.id), at + ".id", "is there twice: " + peer.id);
-            need(addresses.add(address), at + ".address", "is there twice: " + peer.address);
+            String field = "peers[" + peers.size() + "]";
+            check(
+                    peer != null && peer.id != null && !peer.id.isBlank() && peer.id.length() <= MAX_NAME_LENGTH,
+                    field + ".id",
+                    "must be 1 to " + MAX_NAME_LENGTH + " characters");
+            check(peer.address != null, field + ".address", "is missing");
+            InetSocketAddress address = address(field + ".address", peer.address);
+            check(ids.add(peer.id), field + ".id", "is a duplicate: " + peer.id);
+            check(addresses.add(address), field + ".address", "is a duplicate: " + peer.address);
             peers.add(new Peer(peer.id, address));
         }
-        need(!peers.isEmpty() && peers.size() <= MOST_PEERS, "peers", "must be 1 to " + MOST_PEERS);
+        check(!peers.isEmpty() && peers.size() <= MAX_PEERS, "peers", "must be 1 to " + MAX_PEERS);
         InetSocketAddress listen = address("listen", raw.listen);
         if (ids.add(me)) {
-            // The list may be the same at all balancers or leave out each one's own line.
+            // The list may be the same at all balancers, or leave out this balancer.
             peers.add(new Peer(me, listen));
         }
         boolean share = raw.share == null || raw.share;
         boolean bandit = raw.bandit == null ? share : raw.bandit;
-        need(share || !bandit, "bandit", "needs share: true");
+        check(share || !bandit, "bandit", "needs share: true");
         List<Experiment> experiments = raw.experiments == null ? List.of() : raw.experiments;
-        need(experiments.size() <= MOST_EXPERIMENTS, "experiments", "must be " + MOST_EXPERIMENTS + " at most");
-        experiments(experiments, settings, servers);
+        check(experiments.size() <= MAX_EXPERIMENTS, "experiments", "must be " + MAX_EXPERIMENTS + " at most");
+        validate(experiments, settings, servers);
         return new OperatorFile(
                 raw.cluster, me, listen, peers, share, bandit, experiments, raw.state == null ? "" : raw.state);
     }
 
-    private void experiments(List<Experiment> experiments, Settings settings, List<Backend> servers)
+    private void validate(List<Experiment> experiments, Settings settings, List<Backend> servers)
             throws OperatorFileException {
-        need(experiments.stream().noneMatch(java.util.Objects::isNull), "experiments", "holds an empty entry");
+        check(experiments.stream().noneMatch(java.util.Objects::isNull), "experiments", "holds an empty entry");
         List<Complaint> complaints = ExperimentValidator.validate(
                 experiments,
                 new ExperimentValidator.Context(
@@ -132,15 +137,16 @@
         }
     }
 
-    /** A listed server as experiments select it. */
-    public static Experiment.Server server(Backend b) {
-        return new Experiment.Server(b.id(), b.kind(), Integer.toString(b.cell()), b.zone(), b.weight());
+    /** A listed server in the form that the selectors of experiments match. */
+    public static Experiment.Server server(Backend backend) {
+        return new Experiment.Server(
+                backend.id(), backend.kind(), Integer.toString(backend.cell()), backend.zone(), backend.weight());
     }
 
     private Raw raw() throws OperatorFileException {
         try {
-            if (Files.size(file) > MOST_BYTES) {
-                throw new OperatorFileException(file.toString(), "is over " + MOST_BYTES + " bytes long");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new OperatorFileException(file.toString(), "is over " + MAX_FILE_BYTES + " bytes long");
             }
             Raw raw = mapper().readValue(Files.readString(file), Raw.class);
             if (raw == null) {
@@ -148,31 +154,36 @@
             }
             return raw;
         } catch (UnrecognizedPropertyException e) {
-            throw new OperatorFileException(place(e.getPath()), path(e) + e.getOriginalMessage());
+            throw new OperatorFileException(location(e.getPath()), pathPrefix(e) + e.getOriginalMessage());
         } catch (JsonMappingException e) {
-            throw new OperatorFileException(place(e), path(e) + e.getOriginalMessage());
+            throw new OperatorFileException(location(e), pathPrefix(e) + e.getOriginalMessage());
         } catch (JacksonException e) {
-            throw new OperatorFileException(place(e), "is not YAML: " + e.getOriginalMessage());
+            throw new OperatorFileException(location(e), "is not YAML: " + e.getOriginalMessage());
         } catch (IOException e) {
             throw new OperatorFileException(file.toString(), "cannot be read: " + e);
         }
     }
 
-    private static String path(JsonMappingException e) {
+    private static String pathPrefix(JsonMappingException e) {
         String path = e.getPath().stream()
-                .map(r -> r.getFieldName() == null ? "[" + r.getIndex() + "]" : "." + r.getFieldName())
+                .map(reference -> reference.getFieldName() == null
+                        ? "[" + reference.getIndex() + "]"
+                        : "." + reference.getFieldName())
                 .collect(Collectors.joining())
                 .replaceFirst("^\\.", "");
         return path.isEmpty() ? "" : path + ": ";
     }
 
-    /** Where a field is: a record's unknown ones are refused at its end only, and with the place of that. */
-    private String place(List<JsonMappingException.Reference> path) {
+    /**
+     * The file and line of a field. Jackson reports an unknown field of a record only at the record's end and with that
+     * location.
+     */
+    private String location(List<JsonMappingException.Reference> path) {
         JsonPointer wanted = JsonPointer.empty();
-        for (JsonMappingException.Reference r : path) {
-            wanted = r.getFieldName() == null
-                    ? wanted.appendIndex(r.getIndex())
-                    : wanted.appendProperty(r.getFieldName());
+        for (JsonMappingException.Reference reference : path) {
+            wanted = reference.getFieldName() == null
+                    ? wanted.appendIndex(reference.getIndex())
+                    : wanted.appendProperty(reference.getFieldName());
         }
         try (JsonParser parser = mapper().createParser(Files.readString(file))) {
             while (parser.nextToken() != null) {
@@ -181,14 +192,14 @@
                 }
             }
         } catch (IOException e) {
-            // It was changed meanwhile: the file alone is named.
+            // The file has changed since; the location is the file alone.
         }
         return file.toString();
     }
 
-    private String place(JacksonException e) {
+    private String location(JacksonException e) {
         for (Throwable cause = e; cause != null; cause = cause.getCause()) {
-            // Jackson's own place is behind the last token that could be read.
+            // Jackson's own location is after the last token that it could read.
             if (cause instanceof MarkedYAMLException yaml && yaml.getProblemMark() != null) {
                 return file + ":" + (yaml.getProblemMark().getLine() + 1);
             }
@@ -200,43 +211,43 @@
         return YAMLMapper.builder()
                 .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
                 .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
-                .addModule(new SimpleModule().addDeserializer(Duration.class, new Times()))
+                .addModule(new SimpleModule().addDeserializer(Duration.class, new DurationDeserializer()))
                 .build();
     }
 
-    /** A number with its unit: 90s, 10m, 6h, 2d. */
-    private static final class Times extends StdDeserializer<Duration> {
+    /** Reads a duration: a number with a unit (90s, 10m, 6h, 2d), or ISO 8601. */
+    private static final class DurationDeserializer extends StdDeserializer<Duration> {
         private static final long serialVersionUID = 1L;
 
-        Times() {
+        DurationDeserializer() {
             super(Duration.class);
         }
 
         @Override
         public Duration deserialize(JsonParser parser, DeserializationContext context) throws IOException {
-            Matcher time = TIME.matcher(parser.getText().trim());
+            Matcher matcher = DURATION.matcher(parser.getText().trim());
             if (parser.getText().startsWith("P")) {
-                return iso(parser);
+                return isoDuration(parser);
             }
-            if (!time.matches()) {
+            if (!matcher.matches()) {
                 throw JsonMappingException.from(
-                        parser, "'" + parser.getText() + "' is no time such as 90s, 10m, 6h or 2d");
+                        parser, "'" + parser.getText() + "' is not a duration such as 90s, 10m, 6h or 2d");
             }
-            long many = Long.parseLong(time.group(1));
-            return switch (time.group(2)) {
-                case "s" -> Duration.ofSeconds(many);
-                case "m" -> Duration.ofMinutes(many);
-                case "h" -> Duration.ofHours(many);
-                default -> Duration.ofDays(many);
+            long count = Long.parseLong(matcher.group(1));
+            return switch (matcher.group(2)) {
+                case "s" -> Duration.ofSeconds(count);
+                case "m" -> Duration.ofMinutes(count);
+                case "h" -> Duration.ofHours(count);
+                default -> Duration.ofDays(count);
             };
         }
     }
 
-    private static Duration iso(JsonParser parser) throws IOException {
+    private static Duration isoDuration(JsonParser parser) throws IOException {
         try {
             return Duration.parse(parser.getText());
         } catch (DateTimeParseException e) {
-            throw JsonMappingException.from(parser, "'" + parser.getText() + "' is no time such as PT12H");
+            throw JsonMappingException.from(parser, "'" + parser.getText() + "' is not a duration such as PT12H");
         }
     }
 
@@ -248,7 +259,7 @@
         }
     }
 
-    private void need(boolean holds, String field, String rule) throws OperatorFileException {
+    private void check(boolean holds, String field, String rule) throws OperatorFileException {
         if (!holds) {
             throw new OperatorFileException(file + ": " + field, rule);
         }
