--- a/balancer/src/main/java/calicochute/cli/CheckCommand.java
+++ b/balancer/src/main/java/calicochute/cli/CheckCommand.java
@@ -2,7 +2,7 @@
 
 import calicochute.decision.Balancer.Backend;
 import calicochute.discovery.ServerList;
-import calicochute.node.FleetStart;
+import calicochute.node.FleetFactory;
 import calicochute.operator.OperatorFile;
 import calicochute.operator.OperatorFileReader;
 import calicochute.settings.Configuration;
@@ -24,7 +24,7 @@
                 + ", discovery at " + told.discovery() + ", "
                 + told.settings().classes().size() + " classes, "
                 + told.settings().tenants().size() + " tenants");
-        String named = System.getenv(FleetStart.VARIABLE);
+        String named = System.getenv(FleetFactory.ENVIRONMENT_VARIABLE);
         if (named != null && !named.isEmpty()) {
             List<Backend> servers = told.known().isEmpty()
                     ? List.of()
--- a/balancer/src/main/java/calicochute/fleet/TrialText.java
+++ b/balancer/src/main/java/calicochute/fleet/ExperimentReport.java
@@ -5,11 +5,11 @@
 import calicochute.experiment.seal.Register;
 import calicochute.metrics.Log;
 
-/** What staff read of one experiment: a line in its text, and a line in the log whenever a window of it is sealed. */
-final class TrialText {
-    private TrialText() {}
+/** The line about an experiment in the operators' report, and the log line for each sealed window. */
+final class ExperimentReport {
+    private ExperimentReport() {}
 
-    /** @param state null where it has not begun */
+    /** @param state state of the experiment; null if it has not started */
     static String line(String name, State state, Register register, long unreadable) {
         if (state == null) {
             return "name=" + name + " verdict=NONE window=none votes=" + register.canVote();
@@ -27,7 +27,7 @@
                 + " unreadable=" + unreadable;
     }
 
-    /** Logs what a sealed window changed. */
+    /** Logs what has changed with a sealed window; {@code before} is null if the experiment starts with it. */
     static void log(String name, State before, State state, String line) {
         if (before == null) {
             Log.info(
--- a/balancer/src/main/java/calicochute/fleet/Experiments.java
+++ b/balancer/src/main/java/calicochute/fleet/Experiments.java
@@ -11,103 +11,113 @@
 import java.util.function.LongSupplier;
 import java.util.stream.Collectors;
 
-/**
- * The experiments of the operator's file as they are under way at this balancer, and what of them outlives the process.
- */
+/** The running experiments of the operator's file, and their state across restarts. */
 final class Experiments {
     private final OperatorFile file;
     private final DecisionQueue queue;
-    private final long start;
-    private final LongSupplier longest;
-    private final Channels channels;
-    private final List<Trial> trials;
+    private final long startMicros;
+    private final LongSupplier longestDeadline;
+    private final PeerMessaging messaging;
+    private final List<ExperimentRunner> running;
     private final List<String> peers;
-    private final StateFolder states;
+    private final StateFolder stateFolder;
 
     /**
-     * @param longest deadline of any class as they are now, microseconds
-     * @param trials is kept up to date, in the file's order
+     * @param startMicros start time of this process
+     * @param longestDeadline longest deadline of the classes in force, in microseconds
+     * @param running list that this object keeps up to date, in the file's order
      */
     Experiments(
             OperatorFile file,
             DecisionQueue queue,
-            long start,
-            LongSupplier longest,
-            Channels channels,
-            List<Trial> trials) {
+            long startMicros,
+            LongSupplier longestDeadline,
+            PeerMessaging messaging,
+            List<ExperimentRunner> running) {
         this.file = file;
         this.queue = queue;
-        this.start = start;
-        this.longest = longest;
-        this.channels = channels;
-        this.trials = trials;
+        this.startMicros = startMicros;
+        this.longestDeadline = longestDeadline;
+        this.messaging = messaging;
+        this.running = running;
         peers = file.peerIds();
-        states = file.state().isEmpty() ? null : new StateFolder(Path.of(file.state()), file.cluster(), file.me());
+        stateFolder = file.state().isEmpty() ? null : new StateFolder(Path.of(file.state()), file.cluster(), file.me());
     }
 
-    void begin(Experiment experiment) {
-        Trial trial = trial(experiment, null);
-        byte[] kept = states == null ? null : states.read(trial.name());
-        trials.add(kept == null ? trial : trial(experiment, kept));
+    /** Starts an experiment, from its saved state if there is one. */
+    void start(Experiment experiment) {
+        ExperimentRunner runner = create(experiment, null);
+        byte[] saved = stateFolder == null ? null : stateFolder.read(runner.name());
+        running.add(saved == null ? runner : create(experiment, saved));
         Log.info(
                 "experiment",
-                "name=" + trial.name() + " remembered=" + (kept != null)
-                        + (states == null ? " (no state folder: it begins anew if all restart)" : ""));
+                "name=" + runner.name() + " remembered=" + (saved != null)
+                        + (stateFolder == null ? " (no state folder: it starts over if all balancers restart)" : ""));
     }
 
-    private Trial trial(Experiment experiment, byte[] kept) {
-        return new Trial(
-                experiment, Windows.DEFAULT, peers, file.me(), start, longest, states != null, kept, new Host());
+    private ExperimentRunner create(Experiment experiment, byte[] saved) {
+        return new ExperimentRunner(
+                experiment,
+                Windows.DEFAULT,
+                peers,
+                file.me(),
+                startMicros,
+                longestDeadline,
+                stateFolder != null,
+                saved,
+                new Host());
     }
 
-    /** One that is written as before goes on; one that is not begins anew, and one that is gone ends. */
-    void change(List<Experiment> wanted) {
-        List<Trial> before = List.copyOf(trials);
-        trials.clear();
-        for (Experiment experiment : wanted) {
-            Trial same = before.stream()
-                    .filter(t -> t.experiment().equals(experiment))
+    /** Continues unchanged experiments, starts changed ones over under another name, and ends removed ones. */
+    void update(List<Experiment> configured) {
+        List<ExperimentRunner> before = List.copyOf(running);
+        running.clear();
+        for (Experiment experiment : configured) {
+            ExperimentRunner unchanged = before.stream()
+                    .filter(runner -> runner.experiment().equals(experiment))
                     .findFirst()
                     .orElse(null);
-            if (same != null) {
-                trials.add(same);
+            if (unchanged != null) {
+                running.add(unchanged);
                 continue;
             }
             before.stream()
-                    .filter(t -> t.experiment().name().equals(experiment.name()))
-                    .forEach(t -> Log.warn(
+                    .filter(runner -> runner.experiment().name().equals(experiment.name()))
+                    .forEach(changed -> Log.warn(
                             "experiment-changed",
-                            "name=" + t.name() + " ends with verdict " + t.verdict()
-                                    + " and begins anew under another name"));
-            begin(experiment);
+                            "name=" + changed.name() + " ends with verdict " + changed.verdict()
+                                    + " and starts over under another name"));
+            start(experiment);
         }
-        before.stream().filter(t -> !trials.contains(t)).forEach(t -> Log.info("experiment-ends", t.text()));
+        before.stream()
+                .filter(runner -> !running.contains(runner))
+                .forEach(ended -> Log.info("experiment-ends", ended.report()));
     }
 
-    /** Lines for staff. */
-    String text() {
-        return trials.isEmpty()
+    /** One line per experiment, for operators. */
+    String report() {
+        return running.isEmpty()
                 ? "none\n"
-                : trials.stream().map(t -> t.text() + '\n').collect(Collectors.joining());
+                : running.stream().map(runner -> runner.report() + '\n').collect(Collectors.joining());
     }
 
-    private final class Host implements Trial.Host {
+    private final class Host implements ExperimentRunner.Host {
         @Override
-        public void counts(String name, String peer, byte[] counts) {
-            channels.counts(name, peer, counts);
+        public void sendCounts(String name, String peer, byte[] counts) {
+            messaging.sendCounts(name, peer, counts);
         }
 
         @Override
-        public void seal(String name, String peer, byte[] message) {
-            channels.seal(name, peer, message);
+        public void sendSealMessage(String name, String peer, byte[] message) {
+            messaging.sendSealMessage(name, peer, message);
         }
 
         @Override
-        public void keep(String name, byte[] state, long token, LongConsumer kept) {
-            if (states == null) {
-                kept.accept(token);
+        public void persist(String name, byte[] state, long token, LongConsumer onSaved) {
+            if (stateFolder == null) {
+                onSaved.accept(token);
             } else {
-                states.write(name, state, () -> queue.post(() -> kept.accept(token)));
+                stateFolder.write(name, state, () -> queue.post(() -> onSaved.accept(token)));
             }
         }
     }
--- a/balancer/src/main/java/calicochute/fleet/Fleet.java
+++ b/balancer/src/main/java/calicochute/fleet/Fleet.java
@@ -20,64 +20,66 @@
 import java.util.function.Supplier;
 
 /**
- * This balancer's part in the fleet: counts what becomes of sessions and dispatches, shares it by datagrams, and runs
- * its part of the experiments. All on the decision thread; the socket's thread only posts what came.
+ * This balancer's participation in the fleet: counts the outcomes of sessions and dispatches, shares them with the
+ * peers, and runs its part of the experiments. Everything runs on the decision thread, to which the socket's thread
+ * posts the datagrams that it receives.
  */
-public final class Fleet implements FleetPart {
-    /** Microseconds. */
-    private static final long TICK = 100_000;
+public final class Fleet implements FleetParticipant {
+    private static final long TICK_MICROS = 100_000;
 
-    private static final long TEXTS = 1_000_000;
+    private static final long REPORT_INTERVAL_MICROS = 1_000_000;
 
     private final DecisionQueue queue;
-    private final Supplier<OperatorFile> next;
+    private final Supplier<OperatorFile> rereadFile;
     private final OperatorFile file;
-    /** Those under way, in the file's order: one list, which {@link Experiments} changes and the others look into. */
-    private final List<Trial> trials = new ArrayList<>();
+    /** The running experiments in the file's order; {@link Experiments} changes the list, other classes read it. */
+    private final List<ExperimentRunner> running = new ArrayList<>();
 
     private final List<String> peers;
-    private final Channels channels;
+    private final PeerMessaging messaging;
     private final Experiments experiments;
-    private final Placing placing;
-    private final Sessions sessions;
-    private final Adviser adviser;
+    private final ArmAssignment arms;
+    private final SessionTracker sessions;
+    private final EstimatePublisher estimates;
     private boolean stopped;
-    private volatile String experimentsText = "";
-    private volatile String fleetText = "";
+    private volatile String experimentsReport = "";
+    private volatile String fleetReport = "";
 
     /**
-     * @param next reads the operator's file anew; null where it can't be used (and has been said)
-     * @param classes of the settings as they are now
+     * @param rereadFile reads the operator's file again; its result is null if the file is invalid, which it has logged
+     * @param classes the classes in force
+     * @param tenants the tenants in force
+     * @param module receives events for the decision module
      */
     public Fleet(
             OperatorFile file,
             DecisionQueue queue,
             long seed,
-            Supplier<OperatorFile> next,
+            Supplier<OperatorFile> rereadFile,
             Supplier<List<RequestClass>> classes,
             Supplier<List<Balancer.Tenant>> tenants,
             Consumer<Event> module)
             throws FleetException {
         this.file = file;
         this.queue = queue;
-        this.next = next;
-        long start = queue.now();
-        LongSupplier longest = () ->
+        this.rereadFile = rereadFile;
+        long startMicros = queue.now();
+        LongSupplier longestDeadline = () ->
                 classes.get().stream().mapToLong(RequestClass::deadline).max().orElse(1_000_000);
         peers = file.peerIds();
-        channels = new Channels(file, queue, start, seed, trials);
-        experiments = new Experiments(file, queue, start, longest, channels, trials);
-        OutcomeSharing sharing = channels.sharing();
-        placing = new Placing(trials, classes, sharing == null ? subjects -> {} : sharing::setKnownKeys, module);
-        sessions = new Sessions(queue, trials, placing, classes, tenants, longest.getAsLong());
-        adviser = file.bandit() ? new Adviser(file.me(), seed, module) : null;
+        messaging = new PeerMessaging(file, queue, startMicros, seed, running);
+        experiments = new Experiments(file, queue, startMicros, longestDeadline, messaging, running);
+        OutcomeSharing sharing = messaging.sharing();
+        arms = new ArmAssignment(running, classes, sharing == null ? keys -> {} : sharing::setKnownKeys, module);
+        sessions = new SessionTracker(queue, running, arms, classes, tenants, longestDeadline.getAsLong());
+        estimates = file.bandit() ? new EstimatePublisher(file.me(), seed, module) : null;
     }
 
     @Override
     public void start() {
         queue.post(() -> {
-            file.experiments().forEach(experiments::begin);
-            placing.place();
+            file.experiments().forEach(experiments::start);
+            arms.update();
             tick();
         });
     }
@@ -86,13 +88,13 @@
     public void stop() {
         queue.post(() -> {
             stopped = true;
-            channels.close();
+            messaging.close();
         });
     }
 
     @Override
     public void reload() {
-        OperatorFile changed = next.get();
+        OperatorFile changed = rereadFile.get();
         if (changed == null) {
             return;
         }
@@ -100,12 +102,10 @@
             if (!changed.peers().equals(file.peers())
                     || !changed.listen().equals(file.listen())
                     || !changed.cluster().equals(file.cluster())) {
-                Log.warn(
-                        "fleet-not-moved",
-                        "cluster, listen and peers stay as they were at the start; restart to change them");
+                Log.warn("fleet-not-moved", "changes of cluster, listen and peers need a restart and were ignored");
             }
-            experiments.change(changed.experiments());
-            placing.place();
+            experiments.update(changed.experiments());
+            arms.update();
         });
     }
 
@@ -114,70 +114,70 @@
             return;
         }
         long now = queue.now();
-        channels.tick(now);
-        OutcomeSharing sharing = channels.sharing();
+        messaging.tick(now);
+        OutcomeSharing sharing = messaging.sharing();
         if (sharing != null) {
             sessions.close(now).forEach(closed -> sharing.onWindowClosed(now, closed));
             sharing.tick(now);
         }
-        Set<String> live = channels.live();
-        trials.forEach(t -> t.tick(now, live));
-        if (adviser != null) {
-            adviser.tick(now, sharing::snapshot, live, placing.servers());
+        Set<String> live = messaging.live();
+        running.forEach(experiment -> experiment.tick(now, live));
+        if (estimates != null) {
+            estimates.tick(now, sharing::snapshot, live, arms.servers());
         }
-        if (now % TEXTS < TICK) {
-            experimentsText = experiments.text();
-            fleetText = text(live);
+        if (now % REPORT_INTERVAL_MICROS < TICK_MICROS) {
+            experimentsReport = experiments.report();
+            fleetReport = report(live);
         }
-        queue.schedule(TICK, this::tick);
+        queue.schedule(TICK_MICROS, this::tick);
     }
 
-    private String text(Set<String> live) {
-        OutcomeSharing sharing = channels.sharing();
+    private String report(Set<String> live) {
+        OutcomeSharing sharing = messaging.sharing();
         String shared = sharing == null
                 ? ""
                 : "rows " + sharing.snapshot().rows(queue.now()).size() + "\nsick "
-                        + (adviser == null ? 0 : adviser.sick())
-                        + "\ntries " + (adviser == null ? 0 : adviser.tries()) + "\noutcomes_dropped "
+                        + (estimates == null ? 0 : estimates.unhealthyServers())
+                        + "\ntries " + (estimates == null ? 0 : estimates.trialTurns()) + "\noutcomes_dropped "
                         + sharing.counts().all()
                         + "\nclock_off " + sharing.counts().clockOff() + "\n";
         return "me " + file.me() + "\ncluster " + file.cluster() + "\nlive " + live.size() + "\npeers " + peers.size()
-                + "\nmissing " + peers.stream().filter(p -> !live.contains(p)).toList() + "\n" + channels.text()
+                + "\nmissing " + peers.stream().filter(p -> !live.contains(p)).toList() + "\n" + messaging.report()
                 + shared;
     }
 
     @Override
     public void listed(ListKind kind, List<Backend> entries) {
-        placing.listed(kind, entries);
+        arms.listed(kind, entries);
     }
 
     @Override
-    public int begun(Exchange exchange) {
-        return sessions.begun(exchange);
+    public int sessionStarted(Exchange exchange) {
+        return sessions.sessionStarted(exchange);
     }
 
     @Override
-    public void dispatched(Dispatch dispatch, Outcome outcome, long elapsed) {
-        sessions.dispatched(dispatch, outcome, elapsed);
+    public void dispatchEnded(Dispatch dispatch, Outcome outcome, long elapsedMicros) {
+        sessions.dispatchEnded(dispatch, outcome, elapsedMicros);
     }
 
     @Override
-    public void answered(Exchange exchange, boolean served, boolean failed) {
-        sessions.answered(exchange, served, failed);
+    public void sessionAnswered(Exchange exchange, boolean served, boolean failed) {
+        sessions.sessionAnswered(exchange, served, failed);
     }
 
     @Override
-    public void retired(Exchange exchange) {
-        sessions.retired(exchange);
+    public void sessionRetired(Exchange exchange) {
+        sessions.sessionRetired(exchange);
     }
 
     @Override
-    public String experiments() {
-        return experimentsText;
+    public String experimentsReport() {
+        return experimentsReport;
     }
 
     @Override
-    public String fleet() {
-        return fleetText;
+    public String fleetReport() {
+        return fleetReport;
     }
 }
--- a/balancer/src/main/java/calicochute/fleet/StateFolder.java
+++ b/balancer/src/main/java/calicochute/fleet/StateFolder.java
@@ -17,21 +17,21 @@
 import org.apache.hc.core5.concurrent.DefaultThreadFactory;
 
 /**
- * What outlives a process, a small file for each name, written whole or not at all on a thread of its own: a new file
- * is forced to the disk and then takes the old one's name. Each begins with a mark, a version and a checksum, into
- * which whose state it is goes as well; what lacks them is left as it is.
+ * State that survives a restart, in one small file per name. A file is replaced atomically on a separate thread: a new
+ * file is forced to the disk and then renamed. It starts with a magic number, a version and a checksum that also covers
+ * the owner and the name; a file without a valid header is neither used nor changed.
  */
 final class StateFolder {
-    private static final int MARK = 0xCA11C0DE;
+    private static final int MAGIC = 0xCA11C0DE;
     private static final int VERSION = 2;
     /**
-     * Its checksum did not hold the owner. Still read: a voter that forgot over an upgrade what it had promised could
-     * promise twice.
+     * A version whose checksum does not cover the owner. It is still read: a voter that lost its promises in an upgrade
+     * could make conflicting ones.
      */
-    private static final int OWNERLESS = 1;
+    private static final int VERSION_WITHOUT_OWNER = 1;
 
-    private static final int HEAD = 16;
-    private static final int LONGEST = 1 << 16;
+    private static final int HEADER_BYTES = 16;
+    private static final int MAX_STATE_BYTES = 1 << 16;
     private final Path folder;
     private final String cluster;
     private final String owner;
@@ -39,8 +39,8 @@
             Executors.newSingleThreadExecutor(new DefaultThreadFactory("fleet-state", true));
 
     /**
-     * @param cluster the fleet's name: the state of one is nothing to another
-     * @param owner the balancer's name: two may share a folder, never a file
+     * @param cluster name of the fleet; state of another fleet is not used
+     * @param owner name of the balancer; balancers may share a folder but not a file
      */
     StateFolder(Path folder, String cluster, String owner) {
         this.folder = folder;
@@ -49,36 +49,37 @@
     }
 
     private Path file(String name) {
-        return folder.resolve(readable(owner) + "." + readable(name) + ".state");
+        return folder.resolve(fileNamePart(owner) + "." + fileNamePart(name) + ".state");
     }
 
-    /** Told apart where letters have to be replaced, by the hash of the whole. */
-    private static String readable(String name) {
+    /** The name as part of a file name; if characters are replaced, a hash of the name keeps it unique. */
+    private static String fileNamePart(String name) {
         String plain = name.replaceAll("[^A-Za-z0-9_-]", "_");
         return plain.equals(name) ? plain : plain + "-" + Integer.toHexString(name.hashCode());
     }
 
     /**
-     * What was kept last under the name; null if nothing was, or nothing that can be used. Only at the start: it reads
-     * the disk.
+     * The state saved last under the name; null if there is none that can be used. It reads the disk and blocks, so it
+     * may only be called at the start.
      */
     byte[] read(String name) {
         Path file = file(name);
         try {
-            if (Files.size(file) > LONGEST + HEAD) {
-                throw new FleetException(Code.STATE_FOREIGN, file.toString(), "is longer than any state");
+            if (Files.size(file) > MAX_STATE_BYTES + HEADER_BYTES) {
+                throw new FleetException(Code.STATE_FOREIGN, file.toString(), "is too long for a state file");
             }
             ByteBuffer all = ByteBuffer.wrap(Files.readAllBytes(file));
-            int version = all.remaining() < HEAD || all.getInt() != MARK ? 0 : all.getInt();
-            if (version != VERSION && version != OWNERLESS) {
-                throw new FleetException(Code.STATE_FOREIGN, file.toString(), "is no state of this version");
+            int version = all.remaining() < HEADER_BYTES || all.getInt() != MAGIC ? 0 : all.getInt();
+            if (version != VERSION && version != VERSION_WITHOUT_OWNER) {
+                throw new FleetException(
+                        Code.STATE_FOREIGN, file.toString(), "is not a state file of a supported version");
             }
-            long sum = all.getLong();
+            long checksum = all.getLong();
             byte[] state = new byte[all.remaining()];
             all.get(state);
-            if (sum != sum(version, name, state)) {
+            if (checksum != checksum(version, name, state)) {
                 throw new FleetException(
-                        Code.STATE_FOREIGN, file.toString(), "is torn, or of another name, balancer or cluster");
+                        Code.STATE_FOREIGN, file.toString(), "is damaged, or of another name, balancer or cluster");
             }
             return state;
         } catch (NoSuchFileException e) {
@@ -94,22 +95,24 @@
         }
     }
 
-    /** {@code kept} runs on the writer's thread once the state is on the disk; never if it can't be written. */
-    void write(String name, byte[] state, Runnable kept) {
+    /**
+     * Saves a state. {@code onSaved} runs on the writer's thread once the state is on the disk; never if that fails.
+     */
+    void write(String name, byte[] state, Runnable onSaved) {
         writer.execute(() -> {
             Path file = file(name);
-            Path fresh = file.resolveSibling(file.getFileName() + ".new");
+            Path newFile = file.resolveSibling(file.getFileName() + ".new");
             try {
                 Files.createDirectories(folder);
                 try (FileChannel out = FileChannel.open(
-                        fresh,
+                        newFile,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.TRUNCATE_EXISTING,
                         StandardOpenOption.WRITE)) {
-                    ByteBuffer all = ByteBuffer.allocate(HEAD + state.length)
-                            .putInt(MARK)
+                    ByteBuffer all = ByteBuffer.allocate(HEADER_BYTES + state.length)
+                            .putInt(MAGIC)
                             .putInt(VERSION)
-                            .putLong(sum(VERSION, name, state))
+                            .putLong(checksum(VERSION, name, state))
                             .put(state)
                             .flip();
                     while (all.hasRemaining()) {
@@ -117,8 +120,8 @@
                     }
                     out.force(true);
                 }
-                Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-                kept.run();
+                Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                onSaved.run();
             } catch (IOException e) {
                 Log.warn(
                         "state-not-written",
@@ -127,14 +130,14 @@
         });
     }
 
-    private long sum(int version, String name, byte[] state) {
-        CRC32C sum = new CRC32C();
-        if (version != OWNERLESS) {
-            // With a length, so that no two owners read alike.
-            sum.update((cluster.length() + " " + cluster + owner + "\n").getBytes(StandardCharsets.UTF_8));
+    private long checksum(int version, String name, byte[] state) {
+        CRC32C crc = new CRC32C();
+        if (version != VERSION_WITHOUT_OWNER) {
+            // The length separates the cluster from the owner, so that no two pairs give the same bytes.
+            crc.update((cluster.length() + " " + cluster + owner + "\n").getBytes(StandardCharsets.UTF_8));
         }
-        sum.update(name.getBytes(StandardCharsets.UTF_8));
-        sum.update(state);
-        return sum.getValue();
+        crc.update(name.getBytes(StandardCharsets.UTF_8));
+        crc.update(state);
+        return crc.getValue();
     }
 }
--- a/balancer/src/main/java/calicochute/fleet/Datagrams.java
+++ b/balancer/src/main/java/calicochute/fleet/UdpEndpoint.java
@@ -13,25 +13,27 @@
 import java.util.function.Consumer;
 
 /**
- * One UDP socket and the thread that reads it. What comes is bounded here: the decision thread never has more than a
- * few hundred waiting.
+ * One UDP socket and the thread that reads it. It limits the number of datagrams that wait for the decision thread and
+ * drops the ones beyond.
  */
-final class Datagrams implements AutoCloseable {
-    /** Bytes; none is longer, one that is was cut by the system and will be refused as malformed. */
-    private static final int LONGEST = 1_500;
+final class UdpEndpoint implements AutoCloseable {
+    /** Buffer size; a longer datagram is truncated by the system and rejected later as malformed. */
+    private static final int MAX_DATAGRAM_BYTES = 1_500;
+
+    /** Greatest number of datagrams received and not processed yet. */
+    private static final int MAX_QUEUED = 512;
 
-    private static final int MOST_WAITING = 512;
     private final DatagramChannel channel;
     private final Selector selector;
     private final Thread thread;
-    private final Consumer<byte[]> heard;
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final Consumer<byte[]> receiver;
+    private final AtomicInteger queued = new AtomicInteger();
     private final AtomicLong overflowed = new AtomicLong();
     private final AtomicLong unsent = new AtomicLong();
 
-    /** @param heard is called on the socket's thread and calls {@link #taken} once it is done with each */
-    Datagrams(InetSocketAddress listen, Consumer<byte[]> heard) throws FleetException {
-        this.heard = heard;
+    /** @param receiver gets each datagram on the socket's thread; {@link #release} must follow for each */
+    UdpEndpoint(InetSocketAddress listen, Consumer<byte[]> receiver) throws FleetException {
+        this.receiver = receiver;
         try {
             channel = DatagramChannel.open();
             try {
@@ -45,7 +47,7 @@
             }
         } catch (IOException e) {
             throw new FleetException(
-                    Code.FLEET_ADDRESS, String.valueOf(listen), "no datagrams can be heard: " + e.getMessage());
+                    Code.FLEET_ADDRESS, String.valueOf(listen), "cannot receive datagrams: " + e.getMessage());
         }
         thread = new Thread(this::read, "fleet");
         thread.setDaemon(true);
@@ -53,7 +55,7 @@
     }
 
     private void read() {
-        ByteBuffer buffer = ByteBuffer.allocate(LONGEST);
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
         while (channel.isOpen()) {
             try {
                 selector.select();
@@ -61,27 +63,28 @@
                 while (channel.isOpen() && channel.receive(buffer.clear()) != null) {
                     byte[] datagram = new byte[buffer.flip().remaining()];
                     buffer.get(datagram);
-                    if (waiting.incrementAndGet() > MOST_WAITING) {
-                        waiting.decrementAndGet();
+                    if (queued.incrementAndGet() > MAX_QUEUED) {
+                        queued.decrementAndGet();
                         overflowed.incrementAndGet();
                     } else {
-                        heard.accept(datagram);
+                        receiver.accept(datagram);
                     }
                 }
             } catch (ClosedSelectorException e) {
                 return;
             } catch (IOException e) {
-                // An address that refused an earlier datagram: the next one may be fine.
+                // A peer's address refused an earlier datagram; later ones may succeed.
                 overflowed.incrementAndGet();
             }
         }
     }
 
-    void taken() {
-        waiting.decrementAndGet();
+    /** Marks one received datagram as processed, so that another one can be queued. */
+    void release() {
+        queued.decrementAndGet();
     }
 
-    /** Never waits: a full buffer loses it, as the network may. */
+    /** Sends without blocking; if the send buffer is full the datagram is lost, as it may be in the network. */
     void send(InetSocketAddress to, byte[] datagram) {
         try {
             if (channel.send(ByteBuffer.wrap(datagram), to) == 0) {
@@ -106,7 +109,7 @@
             channel.close();
             selector.close();
         } catch (IOException e) {
-            // It is as good as closed.
+            // The socket is not used any further.
         }
     }
 }
--- a/balancer/src/main/java/calicochute/node/DeadlineGuards.java
+++ b/balancer/src/main/java/calicochute/node/DeadlineGuards.java
@@ -9,41 +9,43 @@
 import java.util.function.LongSupplier;
 
 /**
- * An alarm for each session that is owed its answer, due shortly before the session's time or the process's is over:
- * guards the rule that no session is lost, whatever the module does. On the decision thread.
+ * A timer per unanswered session, due shortly before the client's timeout or the stop of the process. It makes sure
+ * that each session gets a response, whatever the decision module does. Runs on the decision thread.
  */
 final class DeadlineGuards {
     private final DecisionQueue queue;
-    private final LongSupplier stopBy;
+    private final LongSupplier stopDeadline;
     private final Consumer<Exchange> overdue;
-    private final Map<Long, DecisionQueue.Timer> alarms = new HashMap<>();
+    private final Map<Long, DecisionQueue.Timer> timers = new HashMap<>();
 
-    /** @param stopBy when a stop has everything answered, as things are */
-    DeadlineGuards(DecisionQueue queue, LongSupplier stopBy, Consumer<Exchange> overdue) {
+    /** @param stopDeadline time by which a stop of the process requires all responses */
+    DeadlineGuards(DecisionQueue queue, LongSupplier stopDeadline, Consumer<Exchange> overdue) {
         this.queue = queue;
-        this.stopBy = stopBy;
+        this.stopDeadline = stopDeadline;
         this.overdue = overdue;
     }
 
+    /** Starts the timer of a session. */
     void guard(Exchange exchange) {
-        long due = Math.min(exchange.deadline(), stopBy.getAsLong());
-        long in = Math.max(Margins.answer(exchange.clientTimeoutMicros), due - queue.now())
-                - Margins.guard(exchange.clientTimeoutMicros);
-        alarms.put(exchange.id, queue.schedule(in, () -> overdue.accept(exchange)));
+        long dueMicros = Math.min(exchange.deadline(), stopDeadline.getAsLong());
+        long delayMicros = Math.max(Margins.answerMicros(exchange.clientTimeoutMicros), dueMicros - queue.now())
+                - Margins.guardMicros(exchange.clientTimeoutMicros);
+        timers.put(exchange.id, queue.schedule(delayMicros, () -> overdue.accept(exchange)));
     }
 
-    void drop(Exchange exchange) {
-        DecisionQueue.Timer alarm = alarms.remove(exchange.id);
-        if (alarm != null) {
-            alarm.cancel();
+    /** Cancels the timer of a session, if it has one. */
+    void cancel(Exchange exchange) {
+        DecisionQueue.Timer timer = timers.remove(exchange.id);
+        if (timer != null) {
+            timer.cancel();
         }
     }
 
-    /** The process's time has changed: sets those anew that there are. */
-    void renew(Collection<Exchange> open) {
-        open.stream().filter(e -> alarms.containsKey(e.id)).forEach(e -> {
-            drop(e);
-            guard(e);
+    /** Restarts the existing timers after a change of the stop deadline. */
+    void reschedule(Collection<Exchange> exchanges) {
+        exchanges.stream().filter(exchange -> timers.containsKey(exchange.id)).forEach(exchange -> {
+            cancel(exchange);
+            guard(exchange);
         });
     }
 }
--- a/balancer/src/main/java/calicochute/node/DecisionThread.java
+++ b/balancer/src/main/java/calicochute/node/DecisionThread.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** The decision queue on one thread of the standard scheduler. */
+/** The decision queue, implemented by a scheduled executor with one thread. */
 final class DecisionThread implements DecisionQueue {
-    private final long startedAt = System.currentTimeMillis() * 1000;
+    private final long startedAtMicros = System.currentTimeMillis() * 1000;
     private final long startedNanos = System.nanoTime();
     private final Counters counters;
     private final ScheduledThreadPoolExecutor executor;
@@ -25,7 +25,7 @@
 
     @Override
     public long now() {
-        return startedAt + (System.nanoTime() - startedNanos) / 1000;
+        return startedAtMicros + (System.nanoTime() - startedNanos) / 1000;
     }
 
     @Override
@@ -33,18 +33,18 @@
         try {
             executor.execute(() -> run(task));
         } catch (RejectedExecutionException e) {
-            // The process is about to exit and nothing is owed any more.
-            Log.info("stopped", "a late event was dropped");
+            // The executor has shut down because the process is exiting; no session waits for a response.
+            Log.info("stopped", "event dropped after shutdown");
         }
     }
 
     @Override
-    public Timer schedule(long micros, Runnable task) {
-        ScheduledFuture<?> future = executor.schedule(() -> run(task), micros, TimeUnit.MICROSECONDS);
+    public Timer schedule(long delayMicros, Runnable task) {
+        ScheduledFuture<?> future = executor.schedule(() -> run(task), delayMicros, TimeUnit.MICROSECONDS);
         return () -> future.cancel(false);
     }
 
-    /** Guards against an executor that swallows failures: each is counted and logged, and the thread goes on. */
+    /** Counts and logs a failure, which the executor would swallow; the thread continues. */
     private void run(Runnable task) {
         try {
             task.run();
--- a/balancer/src/main/java/calicochute/node/FleetStart.java
+++ b/balancer/src/main/java/calicochute/node/FleetFactory.java
@@ -5,7 +5,7 @@
 import calicochute.exchange.DecisionQueue;
 import calicochute.fleet.Fleet;
 import calicochute.fleet.FleetException;
-import calicochute.fleet.FleetPart;
+import calicochute.fleet.FleetParticipant;
 import calicochute.metrics.Log;
 import calicochute.operator.OperatorFile;
 import calicochute.operator.OperatorFileException;
@@ -18,56 +18,57 @@
 import java.util.function.Supplier;
 
 /**
- * Whether this balancer takes part in a fleet: where the operator's file names one and the settings allow talk between
- * balancers.
+ * Creates this balancer's participation in a fleet, if there is an operator's file that asks for it and the settings
+ * allow messages between balancers.
  */
-public final class FleetStart {
-    /** Names the operator's file. */
-    public static final String VARIABLE = "PROXY_FLEET";
+public final class FleetFactory {
+    /** The environment variable with the path of the operator's file. */
+    public static final String ENVIRONMENT_VARIABLE = "PROXY_FLEET";
 
-    private FleetStart() {}
+    private FleetFactory() {}
 
-    /** What can't be used is said and leaves the balancer alone: it serves all the same. */
-    static FleetPart of(
+    /** An invalid file or an unusable address is logged; the balancer then serves without a fleet. */
+    static FleetParticipant create(
             Configuration configuration,
             DecisionQueue queue,
-            Supplier<SettingsHistory> succession,
+            Supplier<SettingsHistory> settings,
             Consumer<Balancer.Event> module) {
-        String named = System.getenv(VARIABLE);
-        if (named == null || named.isEmpty()) {
-            return FleetPart.OFF;
+        String fileName = System.getenv(ENVIRONMENT_VARIABLE);
+        if (fileName == null || fileName.isEmpty()) {
+            return FleetParticipant.OFF;
         }
         if (!configuration.settings().limits().peers()) {
             Log.warn(
                     "fleet-off",
-                    "the settings forbid talk between balancers (caps.peers); " + VARIABLE + " is not read");
-            return FleetPart.OFF;
+                    "the settings forbid messages between balancers (caps.peers); " + ENVIRONMENT_VARIABLE
+                            + " is not read");
+            return FleetParticipant.OFF;
         }
-        Path path = Path.of(named);
+        Path path = Path.of(fileName);
         try {
             OperatorFile file =
                     OperatorFileReader.read(path, configuration.name(), configuration.settings(), List.of());
             if (!file.needsPeers()) {
-                Log.info("fleet-off", "neither shared outcomes nor experiments are asked for");
-                return FleetPart.OFF;
+                Log.info("fleet-off", "neither shared outcomes nor experiments are configured");
+                return FleetParticipant.OFF;
             }
             return new Fleet(
                     file,
                     queue,
                     configuration.settings().seed(),
-                    () -> again(path, configuration, succession.get()),
-                    () -> succession.get().classes(),
-                    () -> succession.get().tenants(),
+                    () -> reread(path, configuration, settings.get()),
+                    () -> settings.get().classes(),
+                    () -> settings.get().tenants(),
                     module);
         } catch (OperatorFileException | FleetException e) {
             Log.warn("fleet-off", ((CodedError) e).text());
-            return FleetPart.OFF;
+            return FleetParticipant.OFF;
         }
     }
 
-    private static OperatorFile again(Path path, Configuration configuration, SettingsHistory now) {
+    private static OperatorFile reread(Path path, Configuration configuration, SettingsHistory settings) {
         try {
-            return OperatorFileReader.read(path, configuration.name(), now.forDecisionModule(), List.of());
+            return OperatorFileReader.read(path, configuration.name(), settings.forDecisionModule(), List.of());
         } catch (OperatorFileException e) {
             Log.warn("fleet-reload-failed", e.text());
             return null;
--- a/balancer/src/main/java/calicochute/node/Margins.java
+++ b/balancer/src/main/java/calicochute/node/Margins.java
@@ -1,21 +1,23 @@
 package calicochute.node;
 
-/** How long before its client gives up a session must have its answer. All in microseconds. */
+/** How long before the client's timeout a session must have its response. */
 final class Margins {
-    /** An answer has to be written and to arrive. */
-    private static final long ANSWER = 15_000;
-    /** Of a time that is short already: what a quarter of it leaves out would be no time to serve in. */
-    private static final int SHARE = 4;
+    /** Time to write a response and for it to arrive. */
+    private static final long ANSWER_MARGIN_MICROS = 15_000;
+    /**
+     * The margin is at most the timeout divided by this, so that most of a short timeout remains to serve a session.
+     */
+    private static final int TIMEOUT_DIVISOR = 4;
 
     private Margins() {}
 
-    /** An answer leaves this long before the client gives up. */
-    static long answer(long patience) {
-        return Math.min(ANSWER, patience / SHARE);
+    /** The response is sent this long before the client's timeout. */
+    static long answerMicros(long timeoutMicros) {
+        return Math.min(ANSWER_MARGIN_MICROS, timeoutMicros / TIMEOUT_DIVISOR);
     }
 
-    /** Later still, and only if the module has not given up by itself, the session is ended for it. */
-    static long guard(long patience) {
-        return answer(patience) / 3;
+    /** If the decision module has not answered by then, the session is ended this long before the client's timeout. */
+    static long guardMicros(long timeoutMicros) {
+        return answerMicros(timeoutMicros) / 3;
     }
 }
--- a/balancer/src/main/java/calicochute/node/Membership.java
+++ b/balancer/src/main/java/calicochute/node/Membership.java
@@ -9,7 +9,7 @@
 import calicochute.discovery.ListListener;
 import calicochute.discovery.ServerList;
 import calicochute.exchange.DecisionQueue;
-import calicochute.fleet.FleetPart;
+import calicochute.fleet.FleetParticipant;
 import calicochute.metrics.Figures;
 import calicochute.metrics.Log;
 import calicochute.outage.OutageFile;
@@ -25,57 +25,59 @@
 import org.apache.hc.core5.concurrent.DefaultThreadFactory;
 
 /**
- * What the module is told of backend servers: discovery's word with the operators' on top. The file that holds the
- * latter is read and written on a thread of its own; all else happens on the decision thread.
+ * The backend servers as the decision module knows them: discovery's list, overlaid with the servers that operators
+ * have taken out of service. The file with the latter is read and written on a separate thread; everything else runs on
+ * the decision thread.
  */
 final class Membership implements ListListener {
-    /** How often the file is looked at: another process of this balancer may have changed it. */
-    private static final long LOOK_MS = 100;
+    /** Interval of reading the file, which another process of this balancer may have changed. */
+    private static final long POLL_INTERVAL_MS = 100;
 
-    private final BackendServers backend;
+    private final BackendServers backendServers;
     private final Figures figures;
     private final DecisionQueue queue;
     private final Consumer<BackendList> module;
     private final OutageFile file;
     private final Overlay overlay = new Overlay();
-    private final ScheduledExecutorService files =
+    private final ScheduledExecutorService fileThread =
             Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("outage-file", true));
-    private FleetPart fleet = FleetPart.OFF;
-    private Outages seen = Outages.NONE;
+    private FleetParticipant fleet = FleetParticipant.OFF;
+    private Outages lastOutages = Outages.NONE;
     /**
-     * The module takes itself to be subscribed: it may be told of changes. Otherwise changes would make it think so.
+     * Whether the decision module regards itself as subscribed. Only then may it get changes, since it would take them
+     * as a sign that it is subscribed.
      */
     private boolean subscribed;
 
-    private volatile boolean any;
+    private volatile boolean everListed;
 
     Membership(
-            BackendServers backend,
+            BackendServers backendServers,
             Figures figures,
             DecisionQueue queue,
             OutageFile file,
             Consumer<BackendList> module) {
-        this.backend = backend;
+        this.backendServers = backendServers;
         this.figures = figures;
         this.queue = queue;
         this.file = file;
         this.module = module;
     }
 
-    /** Who else hears of the list; before the start. */
-    void also(FleetPart part) {
-        fleet = part;
+    /** Sets the fleet's hooks, which get the list too; called before the start. */
+    void setFleet(FleetParticipant participant) {
+        fleet = participant;
     }
 
-    /** True once a list with a server on it has been held. */
-    boolean any() {
-        return any;
+    /** True once there has been a list with at least one server. */
+    boolean everListed() {
+        return everListed;
     }
 
-    // ---- Discovery's word
+    // ---- Discovery
 
-    void restored(ServerList known) {
-        list(ListKind.RESTORED, known);
+    void restored(ServerList knownList) {
+        apply(ListKind.RESTORED, knownList);
     }
 
     @Override
@@ -84,7 +86,7 @@
                 "list",
                 "generation=" + list.generation() + " whole=" + list.whole() + " entries="
                         + list.entries().size());
-        list(list.whole() ? ListKind.FULL : ListKind.CHANGES, list);
+        apply(list.whole() ? ListKind.FULL : ListKind.CHANGES, list);
     }
 
     @Override
@@ -93,71 +95,72 @@
         module.accept(new BackendList(ListKind.UNAVAILABLE, List.of()));
     }
 
-    private void list(ListKind kind, ServerList list) {
-        list.addresses().forEach(backend::address);
+    private void apply(ListKind kind, ServerList list) {
+        list.addresses().forEach(backendServers::address);
         List<Backend> entries = overlay.told(kind != ListKind.CHANGES, list.entries());
-        tell(kind, entries);
+        publish(kind, entries);
         if (kind != ListKind.CHANGES) {
-            backend.keepOnly(list.addresses().keySet());
+            backendServers.keepOnly(list.addresses().keySet());
         }
-        list.entries().stream().filter(e -> e.state() == BackendState.GONE).forEach(e -> backend.forget(e.id()));
-        any |= !list.addresses().isEmpty();
+        list.entries().stream().filter(e -> e.state() == BackendState.GONE).forEach(e -> backendServers.forget(e.id()));
+        everListed |= !list.addresses().isEmpty();
     }
 
-    private void tell(ListKind kind, List<Backend> entries) {
+    private void publish(ListKind kind, List<Backend> entries) {
         subscribed = kind != ListKind.RESTORED;
-        // Before the module acts on it: what waits for a connection is looked at once more before its first byte.
+        // Before the decision module acts on it: a dispatch that waits for a connection is checked against this again
+        // before its first byte is written.
         entries.forEach(e -> {
-            backend.wanted(e.id(), e.state() == BackendState.READY);
-            backend.started(e.id(), e.startedAt());
+            backendServers.wanted(e.id(), e.state() == BackendState.READY);
+            backendServers.started(e.id(), e.startedAt());
         });
         fleet.listed(kind, entries);
         module.accept(new BackendList(kind, entries));
         figures.members(overlay.members(), overlay.unwanted());
     }
 
-    // ---- The operators' word
+    // ---- Servers taken out of service by operators
 
-    /** Reads what the processes before this one left, and goes on looking. Before the start. */
+    /** Reads the file that earlier processes have left, and then polls it. Called before the start. */
     void readOutages() {
-        look();
-        files.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        pollFile();
+        fileThread.scheduleWithFixedDelay(this::pollFile, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void look() {
+    private void pollFile() {
         try {
-            Outages now = file.read();
-            if (!now.equals(seen)) {
-                seen = now;
-                queue.post(() -> take(now));
+            Outages outages = file.read();
+            if (!outages.equals(lastOutages)) {
+                lastOutages = outages;
+                queue.post(() -> applyOutages(outages));
             }
         } catch (IOException e) {
             Log.warn("outages-not-read", String.valueOf(e.getMessage()));
         }
     }
 
-    /** Work on files, in turn with the operators' word. */
-    void files(Runnable work) {
-        files.execute(work);
+    /** Runs file access on the thread that reads and writes the file of outages. */
+    void runOnFileThread(Runnable work) {
+        fileThread.execute(work);
     }
 
-    /** {@code done} hears of it once the file says so and the module has been told. */
-    void change(String server, UnaryOperator<Outages> how, Consumer<Result> done) {
+    /** Changes the outages; {@code done} gets the result after the file is written and the module has been informed. */
+    void changeOutages(String server, UnaryOperator<Outages> change, Consumer<Result> done) {
         queue.post(() -> {
             if (overlay.everListed(server)) {
-                files.execute(() -> write(how, done));
+                fileThread.execute(() -> writeOutages(change, done));
             } else {
                 done.accept(Result.NO_SUCH_SERVER);
             }
         });
     }
 
-    private void write(UnaryOperator<Outages> how, Consumer<Result> done) {
+    private void writeOutages(UnaryOperator<Outages> change, Consumer<Result> done) {
         try {
-            Outages now = file.change(how);
-            seen = now;
+            Outages outages = file.change(change);
+            lastOutages = outages;
             queue.post(() -> {
-                take(now);
+                applyOutages(outages);
                 done.accept(Result.DONE);
             });
         } catch (IOException e) {
@@ -166,11 +169,11 @@
         }
     }
 
-    private void take(Outages now) {
-        List<Backend> changed = overlay.taken(now);
+    private void applyOutages(Outages outages) {
+        List<Backend> changed = overlay.taken(outages);
         if (!changed.isEmpty()) {
-            Log.info("outages", "out=" + now.since().keySet());
-            tell(subscribed ? ListKind.CHANGES : ListKind.RESTORED, subscribed ? changed : overlay.all());
+            Log.info("outages", "out=" + outages.since().keySet());
+            publish(subscribed ? ListKind.CHANGES : ListKind.RESTORED, subscribed ? changed : overlay.all());
         }
     }
 }
--- a/balancer/src/main/java/calicochute/node/ModuleActions.java
+++ b/balancer/src/main/java/calicochute/node/ModuleActions.java
@@ -12,11 +12,11 @@
 import calicochute.metrics.Log;
 import java.util.Map;
 
-/** What the module asks for, turned into work for the sockets; on the decision thread. */
+/** Carries out the decision module's actions; runs on the decision thread. */
 final class ModuleActions implements Balancer.Actions {
     private final Node node;
-    /** The node's own: sessions that are not answered yet or have a dispatch out. */
-    private final Map<Long, Exchange> open;
+    /** The node's sessions that are not answered yet or have a pending dispatch; only read here. */
+    private final Map<Long, Exchange> openSessions;
 
     private final BackendServers backend;
     private final Discovery discovery;
@@ -25,13 +25,13 @@
 
     ModuleActions(
             Node node,
-            Map<Long, Exchange> open,
+            Map<Long, Exchange> openSessions,
             BackendServers backend,
             Discovery discovery,
             DecisionQueue queue,
             Counters counters) {
         this.node = node;
-        this.open = open;
+        this.openSessions = openSessions;
         this.backend = backend;
         this.discovery = discovery;
         this.queue = queue;
@@ -39,25 +39,29 @@
     }
 
     @Override
-    public void send(long request, String server, long timeout) {
-        Exchange exchange = open.get(request);
+    public void send(long request, String server, long timeoutMicros) {
+        Exchange exchange = openSessions.get(request);
         if (exchange == null) {
-            counters.mustHold(false, "a dispatch for a session that is over");
+            counters.mustHold(false, "a dispatch for a session that has ended");
             return;
         }
         long now = queue.now();
-        long notAfter = node.repeatableUntil(exchange);
-        boolean legal = !exchange.closed()
+        long latestSendMicros = node.repeatableUntilMicros(exchange);
+        boolean allowed = !exchange.closed()
                 && backend.knows(server)
-                && timeout > 0
-                && now < notAfter
+                && timeoutMicros > 0
+                && now < latestSendMicros
                 && exchange.dispatchCount() < exchange.limits.maxAttempts();
-        counters.mustHold(exchange.limits.secondCopies() || !exchange.anyPending(), "a second copy of a session");
-        Dispatch dispatch = exchange.addDispatch(server, now, notAfter);
-        if (legal) {
+        counters.mustHold(
+                exchange.limits.secondCopies() || !exchange.anyPending(),
+                "two dispatches of a session at the same time");
+        Dispatch dispatch = exchange.addDispatch(server, now, latestSendMicros);
+        if (allowed) {
             backend.send(
                     dispatch,
-                    Math.min(timeout, exchange.deadline() - Margins.answer(exchange.clientTimeoutMicros) - now));
+                    Math.min(
+                            timeoutMicros,
+                            exchange.deadline() - Margins.answerMicros(exchange.clientTimeoutMicros) - now));
         } else {
             queue.post(() -> node.dispatchEnded(dispatch, Outcome.MOOT, null));
         }
@@ -65,36 +69,36 @@
 
     @Override
     public void refuse(long request, long retryAfter) {
-        Exchange exchange = open.get(request);
+        Exchange exchange = openSessions.get(request);
         if (exchange != null) {
-            node.answer(exchange, new Response.Denied(Math.min(retryAfter, exchange.limits.maxRetryAfter())));
+            node.respond(exchange, new Response.Denied(Math.min(retryAfter, exchange.limits.maxRetryAfter())));
         }
     }
 
     @Override
     public void fail(long request) {
-        Exchange exchange = open.get(request);
+        Exchange exchange = openSessions.get(request);
         if (exchange != null) {
-            node.answer(
+            node.respond(
                     exchange,
                     new Response.Failed(
-                            exchange.deadline() - Margins.answer(exchange.clientTimeoutMicros) <= queue.now()));
+                            exchange.deadline() - Margins.answerMicros(exchange.clientTimeoutMicros) <= queue.now()));
         }
     }
 
     @Override
     public void cancel(long request, int attempt) {
-        Exchange exchange = open.get(request);
+        Exchange exchange = openSessions.get(request);
         Dispatch dispatch = exchange == null ? null : exchange.dispatch(attempt);
         if (dispatch != null && dispatch.pending()) {
-            // Posted: the module hears of it as an event of its own, not in the midst of this one.
+            // Posted, so that the module gets the result as a separate event and not while it handles this one.
             queue.post(() -> backend.cancel(dispatch));
         }
     }
 
     @Override
-    public void startTimer(long delay, int purpose, long subject) {
-        queue.schedule(delay, () -> node.tell(new Balancer.Timer(purpose, subject)));
+    public void startTimer(long delayMicros, int purpose, long subject) {
+        queue.schedule(delayMicros, () -> node.tell(new Balancer.Timer(purpose, subject)));
     }
 
     @Override
@@ -104,12 +108,12 @@
 
     @Override
     public void fetchList() {
-        counters.mustHold(false, "whole lists are not asked for: the watch begins with one where it has to");
+        counters.mustHold(false, "the module requested a full list; the watch of discovery fetches one when needed");
     }
 
     @Override
     public void probe(String server) {
-        counters.mustHold(false, "load is neither asked for nor read");
+        counters.mustHold(false, "the module requested a probe; probes are not supported");
     }
 
     @Override
@@ -119,7 +123,7 @@
 
     @Override
     public void sendToPeer(int peer, byte[] bytes) {
-        counters.mustHold(false, "messages to peers are not carried");
+        counters.mustHold(false, "the module sent a message to a peer; such messages are not supported");
     }
 
     @Override
--- a/balancer/src/main/java/calicochute/node/Node.java
+++ b/balancer/src/main/java/calicochute/node/Node.java
@@ -15,7 +15,7 @@
 import calicochute.exchange.Exchange;
 import calicochute.exchange.Response;
 import calicochute.exchange.SessionListener;
-import calicochute.fleet.FleetPart;
+import calicochute.fleet.FleetParticipant;
 import calicochute.frontend.Frontend;
 import calicochute.metrics.Counter;
 import calicochute.metrics.Counters;
@@ -41,19 +41,25 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * One real balancer: turns what the sockets bring into the module's events, and the module's actions into work for the
- * sockets. All but the start and the end happens on the decision thread.
+ * One balancer process: passes what arrives on its sockets to the decision module as events, and carries out the
+ * module's actions. Everything except start and stop runs on the decision thread.
  */
 public final class Node implements SessionListener, DispatchListener {
-    /** A dispatch is written within this time. */
-    private static final long WRITE_MARGIN = 10_000;
-    /** At a stop a client that reads takes the rest of an answer within this time; a slow one would meet the kill. */
-    private static final long TAKE_REST = 100_000;
+    /** Time allowed for writing a dispatch. */
+    private static final long WRITE_MARGIN_MICROS = 10_000;
+    /**
+     * At a stop, the time that clients have to read the rest of a streamed response. A client that reads more slowly
+     * would not finish before the process is killed.
+     */
+    private static final long RESPONSE_TAIL_MICROS = 100_000;
+
+    /** Time until a connection accepted last is registered with its I/O thread and counted as open. */
+    private static final long ACCEPT_HANDOVER_NANOS = 100_000_000L;
+    /** Greatest time that a stop waits for sessions and connections to end. */
+    private static final long MAX_DRAIN_NANOS = 10_000_000_000L;
 
-    private static final long TAKEN_OVER_NANOS = 100_000_000L;
-    private static final long LONGEST_END_NANOS = 10_000_000_000L;
     private final Configuration configuration;
-    private volatile SettingsHistory succession;
+    private volatile SettingsHistory settingsHistory;
     private final Counters counters;
     private final DecisionQueue queue;
     private final Connector connector = new Connector();
@@ -63,34 +69,39 @@
     private final Frontend frontend;
     private final AdminServer admin;
     private final Lives lives;
-    private final Heritage heritage;
-    private final Staff staff;
-    private final FleetPart fleet;
+    private final LearntStatePersistence learntState;
+    private final OperatorCommands operators;
+    private final FleetParticipant fleet;
     private final Figures figures = new Figures();
     private final Balancer balancer;
     private final Balancer.Actions actions;
-    private final Map<Long, Exchange> open = new HashMap<>();
-    private final DeadlineGuards deadlines;
+    private final Map<Long, Exchange> openSessions = new HashMap<>();
+    private final DeadlineGuards deadlineGuards;
     private final Set<String> clientIds = new HashSet<>();
-    /** After SIGTERM: when answers in pieces are cut. */
-    private DecisionQueue.Timer cut;
+    /** After SIGTERM: the timer that cuts off streamed responses. */
+    private DecisionQueue.Timer streamCut;
 
-    private volatile int unanswered;
+    private volatile int openCount;
 
+    /** A balancer that opens its own listening socket and shares no folder with other processes. */
     public Node(Configuration configuration, Counters counters) throws IOException {
         this(configuration, counters, null, null);
     }
 
     /**
-     * @param inherited the socket that listens for clients already, or null
-     * @param shared the folder that all processes of this balancer share, or null
+     * @param inheritedSocket a socket that already listens for clients, or null
+     * @param sharedFolder the folder that all processes of this balancer share, or null
      */
-    public Node(Configuration configuration, Counters counters, ServerSocketChannel inherited, SharedFolder shared)
+    public Node(
+            Configuration configuration,
+            Counters counters,
+            ServerSocketChannel inheritedSocket,
+            SharedFolder sharedFolder)
             throws IOException {
         this.configuration = configuration;
         this.counters = counters;
         Settings settings = configuration.settings();
-        succession = SettingsHistory.of(settings);
+        settingsHistory = SettingsHistory.of(settings);
         queue = new DecisionThread(counters);
         balancer = Balancer.create(settings);
         backend = new BackendServers(
@@ -101,64 +112,71 @@
                 configuration.connectionIdleMicros(),
                 configuration.bounds(),
                 this);
-        membership = new Membership(backend, figures, queue, new OutageFile(shared, settings.tier()), this::tell);
+        membership = new Membership(backend, figures, queue, new OutageFile(sharedFolder, settings.tier()), this::tell);
         discovery = new Discovery(connector, queue, counters, configuration.discovery(), membership, settings);
-        fleet = FleetStart.of(configuration, queue, () -> succession, this::tell);
-        actions = new ModuleActions(this, open, backend, discovery, queue, counters);
-        membership.also(fleet);
-        staff = new Staff(queue, membership, figures, fleet);
+        fleet = FleetFactory.create(configuration, queue, () -> settingsHistory, this::tell);
+        actions = new ModuleActions(this, openSessions, backend, discovery, queue, counters);
+        membership.setFleet(fleet);
+        operators = new OperatorCommands(queue, membership, figures, fleet);
         frontend = new Frontend(
-                configuration, inherited, queue, this, counters, membership::any, staff::presence, () -> succession);
-        staff.endsIdle(frontend::closeIdle);
-        deadlines =
-                new DeadlineGuards(queue, () -> staff.presence().answersBy(succession::longestDeadline), this::overdue);
+                configuration,
+                inheritedSocket,
+                queue,
+                this,
+                counters,
+                membership::everListed,
+                operators::presence,
+                () -> settingsHistory);
+        operators.onCloseIdle(frontend::closeIdle);
+        deadlineGuards = new DeadlineGuards(
+                queue, () -> operators.presence().answersBy(settingsHistory::longestDeadline), this::overdue);
         connector.onDescriptorShortage(frontend::handleDescriptorShortage);
         admin = configuration.admin() == null
                 ? null
-                : new AdminServer(staff, counters, frontend::handleDescriptorShortage);
-        lives = new Lives(shared);
-        // Where processes follow each other on one socket.
-        heritage = inherited == null || shared == null
+                : new AdminServer(operators, counters, frontend::handleDescriptorShortage);
+        lives = new Lives(sharedFolder);
+        // Only if successive processes of this balancer share a listening socket.
+        learntState = inheritedSocket == null || sharedFolder == null
                 ? null
-                : new Heritage(
-                        new LearntFile(shared),
-                        () -> Origin.of(configuration.name(), succession.current()),
+                : new LearntStatePersistence(
+                        new LearntFile(sharedFolder),
+                        () -> Origin.of(configuration.name(), settingsHistory.current()),
                         balancer,
                         queue,
                         counters,
-                        membership::files,
-                        () -> staff.presence().state() != Presence.State.ENDING);
+                        membership::runOnFileThread,
+                        () -> operators.presence().state() != Presence.State.ENDING);
         settings.classes().forEach(c -> figures.listClass(c.name()));
     }
 
-    /** Serves from now on; returns the address it listens at. */
+    /** Starts to serve; returns the address that clients connect to. */
     public InetSocketAddress start() throws IOException, InterruptedException, SettingsException {
         ServerList known = configuration.known().isEmpty() ? null : ServerList.parse(configuration.known());
         connector.start();
-        // Before the module hears of a server: one that is out by hand must not be sent to, not even at first.
+        // Before the module gets a list: a server that operators have taken out must not get any dispatch.
         membership.readOutages();
         queue.post(() -> restore(known));
-        if (heritage != null) {
-            heritage.start();
+        if (learntState != null) {
+            learntState.start();
         }
         fleet.start();
         if (admin != null) {
             Log.info("admin", "address=" + admin.start(configuration.admin()));
         }
         InetSocketAddress address = frontend.start();
-        staff.listening();
+        operators.listening();
         return address;
     }
 
     /**
-     * Takes over what may change under load: the settings and discovery's address. Its own addresses, its name and its
-     * limits stay as they were at the start.
+     * Applies the parts of a configuration that can change while the process runs: the settings and the address of
+     * discovery. Addresses of this process, its name and its limits stay as they were at the start.
      */
     public void reload(Configuration changed) throws SettingsException {
-        // Only here does it change, one reload at a time: a file that can't follow the running one changes nothing.
-        SettingsHistory next = succession.next(changed.settings(), queue.now());
+        // The history changes only here, one reload at a time; if next() rejects the settings nothing changes.
+        SettingsHistory next = settingsHistory.next(changed.settings(), queue.now());
         queue.post(() -> {
-            succession = next;
+            settingsHistory = next;
             next.classes().forEach(c -> figures.listClass(c.name()));
             backend.retune(changed.settings().limits().connectTimeout(), changed.connectionIdleMicros());
             tell(new Balancer.SettingsChanged(next.forDecisionModule()));
@@ -172,21 +190,21 @@
                                     .toList());
             discovery.move(changed.discovery());
             discovery.retune(changed.settings());
-            if (staff.presence().state() == Presence.State.ENDING) {
-                // The platform ends this process by the deadlines it has just told.
-                endBy();
+            if (operators.presence().state() == Presence.State.ENDING) {
+                // The platform waits for the deadlines of these settings before it kills the process.
+                applyStopDeadline();
             }
-            // Only now: the operator's file is held against the settings in force, and may name a class that came with
-            // them. Off this thread: it reads.
-            membership.files(fleet::reload);
+            // After the settings are in force: the operator's file is validated against them and may name a new class.
+            // On the file thread, since it reads a file.
+            membership.runOnFileThread(fleet::reload);
         });
     }
 
-    /** A file was turned down; nothing changed. */
-    public void reloadFailed(String why) {
+    /** Records that a new configuration was rejected and nothing changed. */
+    public void reloadFailed(String reason) {
         counters.count(Counter.RELOADS_FAILED);
         figures.reloaded(false);
-        Log.warn("reload-failed", why);
+        Log.warn("reload-failed", reason);
     }
 
     private void restore(ServerList known) {
@@ -203,43 +221,44 @@
 
     @Override
     public void sessionStarted(Exchange exchange) {
-        queue.post(() -> take(exchange));
+        queue.post(() -> admit(exchange));
     }
 
     @Override
     public void clientGone(Exchange exchange) {
         exchange.markClientGone();
-        queue.post(() -> gone(exchange));
+        queue.post(() -> endGoneSession(exchange));
     }
 
-    private void take(Exchange exchange) {
+    private void admit(Exchange exchange) {
         counters.count(Counter.SESSIONS_TAKEN);
         figures.taken();
         if (!exchange.awaitsResponse()) {
-            // Gone before this thread came to it: nothing is begun for it.
+            // The client has gone before this thread handled the session: no dispatch is started.
             counters.count(Counter.SESSIONS_CLIENT_GONE);
-            ended(exchange, Figures.End.GONE);
+            countEnd(exchange, Figures.End.GONE);
             exchange.abandon();
             return;
         }
-        if (unanswered >= exchange.limits.maxOpen()) {
+        if (openCount >= exchange.limits.maxOpen()) {
             counters.count(Counter.SESSIONS_OVER_LIMIT);
-            answer(exchange, new Response.Denied(exchange.limits.advisedRetryAfter()));
+            respond(exchange, new Response.Denied(exchange.limits.advisedRetryAfter()));
             return;
         }
         if (!clientIds.add(exchange.clientId)) {
-            // Guards against a second copy: the first session of this name is still being worked on.
+            // A session with the same client id is still open; a second one would duplicate its dispatches.
             counters.count(Counter.SESSIONS_BAD_INPUT);
             exchange.respond(new Response.Duplicate());
-            ended(exchange, Figures.End.FAILED);
+            countEnd(exchange, Figures.End.FAILED);
             return;
         }
-        open.put(exchange.id, exchange);
-        unanswered = open.size();
-        long left = (exchange.requestComplete() ? exchange.deadline() - queue.now() : exchange.clientTimeoutMicros)
-                - Margins.answer(exchange.clientTimeoutMicros);
+        openSessions.put(exchange.id, exchange);
+        openCount = openSessions.size();
+        long timeLeftMicros =
+                (exchange.requestComplete() ? exchange.deadline() - queue.now() : exchange.clientTimeoutMicros)
+                        - Margins.answerMicros(exchange.clientTimeoutMicros);
         if (exchange.requestComplete()) {
-            deadlines.guard(exchange);
+            deadlineGuards.guard(exchange);
         } else {
             counters.count(Counter.SESSIONS_IN_PIECES);
         }
@@ -248,29 +267,29 @@
                 exchange.classIndex,
                 exchange.tenantIndex,
                 null,
-                Math.max(0, left),
+                Math.max(0, timeLeftMicros),
                 exchange.clientRetry,
-                fleet.begun(exchange)));
+                fleet.sessionStarted(exchange)));
     }
 
     /**
-     * Until when a further dispatch of the session may leave: servers drop a repeat only for a while from the first
-     * dispatch that may have run, and it takes a moment to be written.
+     * The time until which a further dispatch of the session may be sent. Servers discard duplicates of a keyed request
+     * only for a limited time after the first dispatch that may have been executed, and writing takes time too.
      */
-    long repeatableUntil(Exchange exchange) {
-        Dispatch first = exchange.firstPossiblyExecuted();
-        Balancer.RequestClass kind = succession.classes().get(exchange.classIndex);
-        return first == null || kind.effect() != Balancer.Effect.KEYED
+    long repeatableUntilMicros(Exchange exchange) {
+        Dispatch firstPossiblyExecuted = exchange.firstPossiblyExecuted();
+        Balancer.RequestClass requestClass = settingsHistory.classes().get(exchange.classIndex);
+        return firstPossiblyExecuted == null || requestClass.effect() != Balancer.Effect.KEYED
                 ? Long.MAX_VALUE
-                : first.sentAt + kind.window() - WRITE_MARGIN;
+                : firstPossiblyExecuted.sentAt + requestClass.window() - WRITE_MARGIN_MICROS;
     }
 
     @Override
     public void requestCompleted(Exchange exchange) {
         queue.post(() -> {
             exchange.completeRequest(queue.now());
-            if (!exchange.closed() && open.containsKey(exchange.id)) {
-                deadlines.guard(exchange);
+            if (!exchange.closed() && openSessions.containsKey(exchange.id)) {
+                deadlineGuards.guard(exchange);
                 tell(new Balancer.BodyState(exchange.id, false, true));
             }
         });
@@ -278,149 +297,159 @@
 
     @Override
     public void responseEnded(Exchange exchange, boolean whole) {
-        queue.post(() -> over(exchange, whole));
+        queue.post(() -> endStreamedResponse(exchange, whole));
     }
 
-    /** An answer in pieces is over: its session ends only here. */
-    private void over(Exchange exchange, boolean whole) {
+    /** Ends a session whose response was streamed; such a session ends only when its response has. */
+    private void endStreamedResponse(Exchange exchange, boolean whole) {
         if (!exchange.streamingResponse()) {
             return;
         }
         exchange.setStreamingResponse(false);
-        // Where the server broke off the session has failed; where the client went away nothing is counted against it.
-        boolean cut = !whole
+        // If the server broke off the response the session has failed; if the client went away it has not.
+        boolean failed = !whole
                 && (exchange.responseAborted()
                         || exchange.latestDispatch() != null
                                 && !exchange.latestDispatch().pending()
                                 && !exchange.latestDispatch().succeeded());
-        counters.count(whole ? Counter.SESSIONS_SERVED : cut ? Counter.SESSIONS_FAILED : Counter.SESSIONS_CLIENT_GONE);
-        ended(exchange, whole ? Figures.End.COMPLETED : cut ? Figures.End.FAILED : Figures.End.GONE);
-        fleet.answered(exchange, whole, cut);
+        counters.count(
+                whole ? Counter.SESSIONS_SERVED : failed ? Counter.SESSIONS_FAILED : Counter.SESSIONS_CLIENT_GONE);
+        countEnd(exchange, whole ? Figures.End.COMPLETED : failed ? Figures.End.FAILED : Figures.End.GONE);
+        fleet.sessionAnswered(exchange, whole, failed);
         if (!whole && exchange.limits.cancel()) {
             exchange.pendingDispatches().forEach(backend::cancel);
         }
         retire(exchange);
     }
 
-    private void gone(Exchange exchange) {
-        over(exchange, false);
+    private void endGoneSession(Exchange exchange) {
+        endStreamedResponse(exchange, false);
         if (!exchange.closed()) {
             counters.count(Counter.SESSIONS_CLIENT_GONE);
-            ended(exchange, Figures.End.GONE);
-            fleet.answered(exchange, false, false);
+            countEnd(exchange, Figures.End.GONE);
+            fleet.sessionAnswered(exchange, false, false);
             exchange.abandon();
-            sessionOver(exchange);
+            withdraw(exchange);
             retire(exchange);
         }
     }
 
     /**
-     * Guards the rule that no session is lost: whatever the module does, an answer leaves in time; before the platform
-     * ends the process, if that comes first.
+     * Answers a session that the decision module has not answered in time: before the client's timeout, or before the
+     * platform kills the process if that comes first.
      */
     private void overdue(Exchange exchange) {
         if (exchange.closed()) {
             return;
         }
-        boolean stop = queue.now() < exchange.deadline() - Margins.answer(exchange.clientTimeoutMicros);
-        counters.count(stop ? Counter.SESSIONS_ENDED_BY_STOP : Counter.SESSIONS_ENDED_BY_DEADLINE);
-        answer(
+        boolean stopping = queue.now() < exchange.deadline() - Margins.answerMicros(exchange.clientTimeoutMicros);
+        counters.count(stopping ? Counter.SESSIONS_ENDED_BY_STOP : Counter.SESSIONS_ENDED_BY_DEADLINE);
+        respond(
                 exchange,
                 exchange.mayHaveExecuted()
-                        ? new Response.Failed(!stop)
+                        ? new Response.Failed(!stopping)
                         : new Response.Denied(exchange.limits.advisedRetryAfter()));
-        sessionOver(exchange);
+        withdraw(exchange);
         retire(exchange);
     }
 
     /**
-     * What has begun the module withdraws, where the settings let it; what has not must not begin any more in any case.
+     * Tells the module that the client is gone, so that it cancels dispatches on the wire if the settings allow that.
+     * Dispatches that are not on the wire yet must not start in any case.
      */
-    private void sessionOver(Exchange exchange) {
+    private void withdraw(Exchange exchange) {
         tell(new Balancer.ClientGone(exchange.id));
         exchange.pendingDispatches().forEach(backend::sessionOver);
     }
 
-    void answer(Exchange exchange, Response answer) {
-        if (exchange.respond(answer)) {
+    /** Gives a session its response, unless it has one already. */
+    void respond(Exchange exchange, Response response) {
+        if (exchange.respond(response)) {
             counters.count(
-                    answer instanceof Response.Served
+                    response instanceof Response.Served
                             ? Counter.SESSIONS_SERVED
-                            : answer instanceof Response.Denied ? Counter.SESSIONS_DENIED : Counter.SESSIONS_FAILED);
-            ended(
+                            : response instanceof Response.Denied ? Counter.SESSIONS_DENIED : Counter.SESSIONS_FAILED);
+            countEnd(
                     exchange,
-                    answer instanceof Response.Served
+                    response instanceof Response.Served
                             ? Figures.End.COMPLETED
-                            : answer instanceof Response.Denied ? Figures.End.REJECTED : Figures.End.FAILED);
-            fleet.answered(exchange, answer instanceof Response.Served, !(answer instanceof Response.Served));
-            deadlines.drop(exchange);
+                            : response instanceof Response.Denied ? Figures.End.REJECTED : Figures.End.FAILED);
+            fleet.sessionAnswered(
+                    exchange, response instanceof Response.Served, !(response instanceof Response.Served));
+            deadlineGuards.cancel(exchange);
             retire(exchange);
         }
     }
 
-    private void ended(Exchange exchange, Figures.End how) {
-        figures.ended(succession.classes().get(exchange.classIndex).name(), how);
+    private void countEnd(Exchange exchange, Figures.End end) {
+        figures.ended(settingsHistory.classes().get(exchange.classIndex).name(), end);
     }
 
-    /** Forgets a session that is closed and has no dispatch out. */
+    /** Forgets a session that is closed and has no pending dispatch. */
     private void retire(Exchange exchange) {
         if (exchange.closed()
                 && !exchange.anyPending()
                 && !exchange.streamingResponse()
-                && open.remove(exchange.id) != null) {
+                && openSessions.remove(exchange.id) != null) {
             clientIds.remove(exchange.clientId);
-            deadlines.drop(exchange);
-            fleet.retired(exchange);
-            unanswered = open.size();
+            deadlineGuards.cancel(exchange);
+            fleet.sessionRetired(exchange);
+            openCount = openSessions.size();
         }
     }
 
     // ---- Dispatches
 
     @Override
-    public void dispatchEnded(Dispatch dispatch, Outcome outcome, Response answer) {
+    public void dispatchEnded(Dispatch dispatch, Outcome outcome, Response response) {
         Exchange exchange = dispatch.exchange;
-        boolean first = dispatch.end(outcome);
-        counters.mustHold(first, "a dispatch ended twice");
+        boolean newlyEnded = dispatch.end(outcome);
+        counters.mustHold(newlyEnded, "a dispatch ended twice");
         if (!exchange.awaitsResponse() && !exchange.streamingResponse()) {
-            // The module must not try again for a client that has gone, even if this thread has not come to that yet.
-            gone(exchange);
+            // The module must not retry for a client that has gone, even if clientGone is still queued.
+            endGoneSession(exchange);
         }
         counters.count(Counter.valueOf("DISPATCHES_" + outcome));
-        fleet.dispatched(dispatch, outcome, elapsed(dispatch));
-        if (answer != null) {
-            answer(exchange, answer);
+        fleet.dispatchEnded(dispatch, outcome, elapsedMicros(dispatch));
+        if (response != null) {
+            respond(exchange, response);
         }
         if (!exchange.closed() && exchange.requestBodyConsumed()) {
-            // What was handed on of its body can't be handed on again.
+            // The part of the request body that was passed on cannot be sent again.
             tell(new Balancer.BodyState(exchange.id, true, false));
         }
         tell(new Balancer.AttemptEnded(
-                exchange.id, dispatch.number, dispatch.server, exchange.closed(), outcome, elapsed(dispatch), null));
+                exchange.id,
+                dispatch.number,
+                dispatch.server,
+                exchange.closed(),
+                outcome,
+                elapsedMicros(dispatch),
+                null));
         retire(exchange);
     }
 
-    /** From the session's last byte, where it was sent on before that. */
-    private long elapsed(Dispatch dispatch) {
+    /** Time since the dispatch was sent, or since the request's last byte if that came later. */
+    private long elapsedMicros(Dispatch dispatch) {
         return queue.now() - Math.max(dispatch.sentAt, dispatch.exchange.receivedAt());
     }
 
     @Override
-    public void dispatchBegun(Dispatch dispatch, Response answer) {
+    public void dispatchBegun(Dispatch dispatch, Response response) {
         Exchange exchange = dispatch.exchange;
         exchange.setStreamingResponse(true);
-        if (!exchange.respond(answer)) {
+        if (!exchange.respond(response)) {
             exchange.setStreamingResponse(false);
             if (exchange.limits.cancel()) {
                 backend.cancel(dispatch);
             } else {
-                ((Body.Streamed) ((Response.Served) answer).body()).pipe().cancel();
+                ((Body.Streamed) ((Response.Served) response).body()).pipe().cancel();
             }
             return;
         }
         counters.count(Counter.ANSWERS_IN_PIECES);
-        deadlines.drop(exchange);
-        tell(new Balancer.StreamStarted(exchange.id, dispatch.number, dispatch.server, elapsed(dispatch)));
+        deadlineGuards.cancel(exchange);
+        tell(new Balancer.StreamStarted(exchange.id, dispatch.number, dispatch.server, elapsedMicros(dispatch)));
     }
 
     @Override
@@ -432,23 +461,23 @@
         balancer.on(queue.now(), event, actions);
     }
 
-    // ---- The end
+    // ---- Stop
 
     /**
-     * Guards against an answer in pieces that the platform's kill would find unfinished: a server that hangs in its
-     * midst ends it here. What its client has not taken a little later, whether its server is done or not, ends with
-     * the connection.
+     * Ends streamed responses that would otherwise be unfinished when the platform kills the process. A response whose
+     * server has not finished is cut off here; what a client has not read a little later is lost with its connection,
+     * whether the server has finished or not.
      */
-    private void cutAnswers() {
-        open.values().stream()
+    private void cutStreamedResponses() {
+        openSessions.values().stream()
                 .filter(e -> e.streamingResponse() && e.latestDispatch().pending())
                 .toList()
                 .forEach(e -> {
                     cutByStop(e);
                     backend.cancel(e.latestDispatch());
                 });
-        queue.schedule(TAKE_REST, () -> {
-            open.values().stream()
+        queue.schedule(RESPONSE_TAIL_MICROS, () -> {
+            openSessions.values().stream()
                     .filter(e -> e.streamingResponse() && !e.responseAborted())
                     .forEach(this::cutByStop);
             frontend.abortStreamedResponses();
@@ -460,40 +489,47 @@
         exchange.setResponseAborted(true);
     }
 
-    /** What is open must have its answer before the platform ends this process, by the deadlines in force. */
-    private void endBy() {
-        deadlines.renew(open.values());
-        if (cut != null) {
-            cut.cancel();
+    /** Makes sure that open sessions are answered before the platform kills this process, by the deadlines in force. */
+    private void applyStopDeadline() {
+        deadlineGuards.reschedule(openSessions.values());
+        if (streamCut != null) {
+            streamCut.cancel();
         }
-        cut = queue.schedule(
-                Math.max(0, staff.presence().answersBy(succession::longestDeadline) - queue.now()), this::cutAnswers);
+        streamCut = queue.schedule(
+                Math.max(0, operators.presence().answersBy(settingsHistory::longestDeadline) - queue.now()),
+                this::cutStreamedResponses);
     }
 
-    /** Accepts a little longer, unless another process does; answers everything taken, and returns. */
+    /**
+     * Stops the process after SIGTERM: accepts clients a little longer unless another process does, answers all
+     * accepted sessions, and returns.
+     */
     public void drain() throws InterruptedException {
-        CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch stopBegun = new CountDownLatch(1);
         queue.post(() -> {
-            staff.end(lives.other());
-            endBy();
-            begun.countDown();
+            operators.stop(lives.other());
+            applyStopDeadline();
+            stopBegun.countDown();
         });
-        begun.await();
+        stopBegun.await();
         Log.info(
                 "draining",
-                "unanswered=" + unanswered + " accompanied=" + staff.presence().accompanied());
-        while (staff.presence().accepts(queue.now())) {
+                "unanswered=" + openCount + " accompanied="
+                        + operators.presence().accompanied());
+        while (operators.presence().accepts(queue.now())) {
             Thread.sleep(10);
         }
         frontend.stopAccepting();
-        long stopped = System.nanoTime();
-        // What was accepted last counts as connected only once the I/O thread has it.
-        while ((unanswered > 0 || frontend.openConnections() > 0 || System.nanoTime() - stopped < TAKEN_OVER_NANOS)
-                && System.nanoTime() - stopped < LONGEST_END_NANOS) {
+        long stoppedNanos = System.nanoTime();
+        // A connection accepted last is counted as open only after its I/O thread has registered it.
+        while ((openCount > 0
+                        || frontend.openConnections() > 0
+                        || System.nanoTime() - stoppedNanos < ACCEPT_HANDOVER_NANOS)
+                && System.nanoTime() - stoppedNanos < MAX_DRAIN_NANOS) {
             Thread.sleep(10);
         }
         frontend.close();
         fleet.stop();
-        Log.info("drained", "unanswered=" + unanswered);
+        Log.info("drained", "unanswered=" + openCount);
     }
 }
--- a/balancer/src/main/java/calicochute/node/Staff.java
+++ b/balancer/src/main/java/calicochute/node/OperatorCommands.java
@@ -2,37 +2,37 @@
 
 import calicochute.admin.Operations;
 import calicochute.exchange.DecisionQueue;
-import calicochute.fleet.FleetPart;
+import calicochute.fleet.FleetParticipant;
 import calicochute.metrics.Figures;
 import calicochute.presence.Presence;
 import java.util.function.Consumer;
 
-/** What operators ask of a balancer, and whether its clients are wanted. */
-final class Staff implements Operations {
-    /** How often clients' connections are looked at while they are sent away. */
-    private static final long LOOK_AGAIN = 100_000;
+/** The operators' commands to a balancer, and whether it accepts clients. */
+final class OperatorCommands implements Operations {
+    /** Interval of closing idle client connections while clients are sent away. */
+    private static final long IDLE_CLOSE_INTERVAL_MICROS = 100_000;
 
     private final DecisionQueue queue;
     private final Membership membership;
     private final Figures figures;
-    private final FleetPart fleet;
-    private Runnable endIdle = () -> {};
+    private final FleetParticipant fleet;
+    private Runnable closeIdleConnections = () -> {};
     private volatile Presence presence = Presence.serving();
     private volatile boolean listening;
 
-    Staff(DecisionQueue queue, Membership membership, Figures figures, FleetPart fleet) {
+    OperatorCommands(DecisionQueue queue, Membership membership, Figures figures, FleetParticipant fleet) {
         this.queue = queue;
         this.membership = membership;
         this.figures = figures;
         this.fleet = fleet;
     }
 
-    /** How clients' idle connections are ended; before the start. */
-    void endsIdle(Runnable how) {
-        endIdle = how;
+    /** Sets the action that closes idle client connections; called before the start. */
+    void onCloseIdle(Runnable action) {
+        closeIdleConnections = action;
     }
 
-    /** Clients can connect from now on. */
+    /** Marks that clients can connect. */
     void listening() {
         listening = true;
     }
@@ -41,25 +41,25 @@
         return presence;
     }
 
-    /** The end has come; on the decision thread. */
-    void end(boolean accompanied) {
+    /** Starts the stop of the process after SIGTERM; called on the decision thread. */
+    void stop(boolean accompanied) {
         presence = presence.end(queue.now(), accompanied);
-        endIdle();
+        closeIdle();
     }
 
     @Override
     public String experiments() {
-        return fleet.experiments();
+        return fleet.experimentsReport();
     }
 
     @Override
     public String fleet() {
-        return fleet.fleet();
+        return fleet.fleetReport();
     }
 
     @Override
     public boolean serves() {
-        return listening && membership.any();
+        return listening && membership.everListed();
     }
 
     @Override
@@ -69,19 +69,19 @@
 
     @Override
     public void takeOut(String server, Consumer<Result> done) {
-        membership.change(server, o -> o.with(server, System.currentTimeMillis()), done);
+        membership.changeOutages(server, outages -> outages.with(server, System.currentTimeMillis()), done);
     }
 
     @Override
     public void callBack(String server, Consumer<Result> done) {
-        membership.change(server, o -> o.without(server), done);
+        membership.changeOutages(server, outages -> outages.without(server), done);
     }
 
     @Override
     public void quiesce(Consumer<Result> done) {
         queue.post(() -> {
             presence = presence.quiesce(queue.now());
-            endIdle();
+            closeIdle();
             done.accept(Result.DONE);
         });
     }
@@ -94,13 +94,13 @@
         });
     }
 
-    /** Ends clients' idle connections for as long as the presence says so. */
-    private void endIdle() {
+    /** Closes idle client connections repeatedly, for as long as the presence requires it. */
+    private void closeIdle() {
         if (presence.lastAnswers()) {
             if (presence.endsIdle(queue.now())) {
-                endIdle.run();
+                closeIdleConnections.run();
             }
-            queue.schedule(LOOK_AGAIN, this::endIdle);
+            queue.schedule(IDLE_CLOSE_INTERVAL_MICROS, this::closeIdle);
         }
     }
 }
--- a/balancer/src/test/java/calicochute/fleet/StateFolderTest.java
+++ b/balancer/src/test/java/calicochute/fleet/StateFolderTest.java
@@ -19,8 +19,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/**
+ * Guards against a damaged or foreign state file that is used, and against a state reported as saved before it is on
+ * the disk: either could make a balancer contradict its earlier votes.
+ */
 class StateFolderTest {
-    private static final int LONGEST = 1 << 16;
+    private static final int MAX_STATE_BYTES = 1 << 16;
 
     @TempDir
     private Path root;
@@ -28,7 +32,7 @@
     private Path folder;
 
     @BeforeEach
-    void name() {
+    void setFolder() {
         folder = root.resolve("not/there/yet");
     }
 
@@ -37,24 +41,24 @@
     }
 
     private void write(String owner, String name, byte[] state) throws Exception {
-        CompletableFuture<Boolean> kept = new CompletableFuture<>();
-        new StateFolder(folder, "ours", owner).write(name, state, () -> kept.complete(true));
-        kept.get(30, TimeUnit.SECONDS);
+        CompletableFuture<Boolean> saved = new CompletableFuture<>();
+        new StateFolder(folder, "ours", owner).write(name, state, () -> saved.complete(true));
+        saved.get(30, TimeUnit.SECONDS);
     }
 
     private byte[] read(String owner, String name) {
         return new StateFolder(folder, "ours", owner).read(name);
     }
 
-    /** Bytes of the file of name "n" are put there, and can't be used. */
-    private void leftAsItIs(byte[] all) throws Exception {
-        Path file = Files.write(folder.resolve("me.n.state"), all);
+    /** Writes the file of the name "n" and checks that it is neither used nor changed. */
+    private void assertUnusedAndUnchanged(byte[] content) throws Exception {
+        Path file = Files.write(folder.resolve("me.n.state"), content);
         assertNull(read("me", "n"));
-        assertArrayEquals(all, Files.readAllBytes(file));
+        assertArrayEquals(content, Files.readAllBytes(file));
     }
 
     @Test
-    void whatWasKeptLastIsReadBack() throws Exception {
+    void lastSavedStateIsRead() throws Exception {
         assertNull(read("me", "n"));
         write("me", "n", bytes("a first and longer one"));
         write("me", "n", bytes("second"));
@@ -64,71 +68,71 @@
                     List.of("me.n.state"),
                     files.map(f -> f.getFileName().toString()).toList());
         }
-        write("me", "n", new byte[LONGEST]);
-        assertEquals(LONGEST, read("me", "n").length);
+        write("me", "n", new byte[MAX_STATE_BYTES]);
+        assertEquals(MAX_STATE_BYTES, read("me", "n").length);
     }
 
     @Test
-    void eachOwnerAndNameHasItsFile() throws Exception {
-        List<List<String>> all =
+    void eachOwnerAndNameHasItsOwnFile() throws Exception {
+        List<List<String>> ownersAndNames =
                 List.of(List.of("me", "a/b"), List.of("me", "a_b"), List.of("me", "a.b"), List.of("../me", "a/b"));
-        for (List<String> one : all) {
-            write(one.get(0), one.get(1), bytes(one.toString()));
+        for (List<String> ownerAndName : ownersAndNames) {
+            write(ownerAndName.get(0), ownerAndName.get(1), bytes(ownerAndName.toString()));
         }
-        for (List<String> one : all) {
-            assertArrayEquals(bytes(one.toString()), read(one.get(0), one.get(1)));
+        for (List<String> ownerAndName : ownersAndNames) {
+            assertArrayEquals(bytes(ownerAndName.toString()), read(ownerAndName.get(0), ownerAndName.get(1)));
         }
     }
 
     @Test
-    void whatIsNotItsOwnIsLeftAsItIs() throws Exception {
+    void invalidFilesAreNeitherUsedNorChanged() throws Exception {
         write("me", "n", bytes("state"));
         byte[] good = Files.readAllBytes(folder.resolve("me.n.state"));
         for (int i = 0; i < good.length; i++) {
-            byte[] spoilt = good.clone();
-            spoilt[i] ^= 1;
-            leftAsItIs(spoilt);
-            leftAsItIs(java.util.Arrays.copyOf(good, i));
+            byte[] damaged = good.clone();
+            damaged[i] ^= 1;
+            assertUnusedAndUnchanged(damaged);
+            assertUnusedAndUnchanged(java.util.Arrays.copyOf(good, i));
         }
         write("me", "other", bytes("state"));
-        leftAsItIs(Files.readAllBytes(folder.resolve("me.other.state")));
-        write("me", "n", new byte[LONGEST + 1]);
-        leftAsItIs(Files.readAllBytes(folder.resolve("me.n.state")));
+        assertUnusedAndUnchanged(Files.readAllBytes(folder.resolve("me.other.state")));
+        write("me", "n", new byte[MAX_STATE_BYTES + 1]);
+        assertUnusedAndUnchanged(Files.readAllBytes(folder.resolve("me.n.state")));
     }
 
     /**
-     * Copied under this balancer's file name, or kept by one of the same name in another cluster: promises that it
-     * never made.
+     * A file copied from another balancer, or written by a balancer of the same name in another cluster, holds promises
+     * that this balancer never made.
      */
     @Test
-    void anotherBalancersStateIsNotTaken() throws Exception {
+    void stateOfAnotherBalancerIsNotUsed() throws Exception {
         write("you", "n", bytes("state"));
-        leftAsItIs(Files.readAllBytes(folder.resolve("you.n.state")));
+        assertUnusedAndUnchanged(Files.readAllBytes(folder.resolve("you.n.state")));
         write("me", "n", bytes("state"));
         assertNull(new StateFolder(folder, "theirs", "me").read("n"));
         assertArrayEquals(bytes("state"), read("me", "n"));
     }
 
-    /** Written by an earlier version, which kept no owner: a voter must not forget over an upgrade. */
+    /** Version 1 had no owner in the checksum. It is read because a voter must not lose its promises in an upgrade. */
     @Test
-    void stateOfTheVersionBeforeIsStillRead() throws Exception {
-        java.util.zip.CRC32C sum = new java.util.zip.CRC32C();
-        sum.update(bytes("n" + "state"));
+    void stateOfVersion1IsRead() throws Exception {
+        java.util.zip.CRC32C checksum = new java.util.zip.CRC32C();
+        checksum.update(bytes("n" + "state"));
         Files.createDirectories(folder);
         Files.write(
                 folder.resolve("me.n.state"),
                 java.nio.ByteBuffer.allocate(21)
                         .putInt(0xCA11C0DE)
                         .putInt(1)
-                        .putLong(sum.getValue())
+                        .putLong(checksum.getValue())
                         .put(bytes("state"))
                         .array());
         assertArrayEquals(bytes("state"), read("me", "n"));
     }
 
     @Test
-    void whatIsNotOnTheDiskIsNotSaidToBe() throws Exception {
-        CompletableFuture<String> said = new CompletableFuture<>();
+    void failedWriteIsLoggedAndNotReportedAsSaved() throws Exception {
+        CompletableFuture<String> logged = new CompletableFuture<>();
         PrintStream before = System.out;
         System.setOut(new PrintStream(
                 new ByteArrayOutputStream() {
@@ -136,20 +140,20 @@
                     public void flush() {
                         String text = toString(StandardCharsets.UTF_8);
                         if (text.contains("state-not-written")) {
-                            said.complete(text);
+                            logged.complete(text);
                         }
                     }
                 },
                 true,
                 StandardCharsets.UTF_8));
-        CompletableFuture<Boolean> kept = new CompletableFuture<>();
+        CompletableFuture<Boolean> saved = new CompletableFuture<>();
         try {
             folder = Files.writeString(root.resolve("file"), "no folder").resolve("below");
-            new StateFolder(folder, "ours", "me").write("n", bytes("state"), () -> kept.complete(true));
-            assertTrue(said.get(30, TimeUnit.SECONDS).contains("C504"));
+            new StateFolder(folder, "ours", "me").write("n", bytes("state"), () -> saved.complete(true));
+            assertTrue(logged.get(30, TimeUnit.SECONDS).contains("C504"));
         } finally {
             System.setOut(before);
         }
-        assertFalse(kept.isDone());
+        assertFalse(saved.isDone());
     }
 }
--- a/balancer/src/test/java/calicochute/node/DecisionThreadTest.java
+++ b/balancer/src/test/java/calicochute/node/DecisionThreadTest.java
@@ -12,8 +12,8 @@
 
 class DecisionThreadTest {
     /**
-     * Guards against an executor that swallows failures: whatever a task ends in is counted, and the tasks behind it
-     * are run.
+     * Guards against failures that the executor swallows: each exception or error of a task is counted, and later tasks
+     * run.
      */
     @ParameterizedTest
     @ValueSource(
@@ -23,21 +23,21 @@
                 NoClassDefFoundError.class,
                 OutOfMemoryError.class
             })
-    void whateverATaskEndsInIsCounted(Class<? extends Throwable> how) throws Exception {
+    void failureOfATaskIsCountedAndLaterTasksRun(Class<? extends Throwable> type) throws Exception {
         Counters counters = new Counters();
         DecisionThread thread = new DecisionThread(counters);
-        thread.post(() -> fail(how));
-        thread.schedule(1, () -> fail(how));
-        CountDownLatch next = new CountDownLatch(1);
-        thread.schedule(1_000, () -> thread.post(next::countDown));
-        assertTrue(next.await(30, TimeUnit.SECONDS));
+        thread.post(() -> fail(type));
+        thread.schedule(1, () -> fail(type));
+        CountDownLatch laterTask = new CountDownLatch(1);
+        thread.schedule(1_000, () -> thread.post(laterTask::countDown));
+        assertTrue(laterTask.await(30, TimeUnit.SECONDS));
         assertEquals(2, counters.get(Counter.MODULE_FAULTS));
     }
 
-    /** Throws it, checked or not. */
-    private static void fail(Class<? extends Throwable> how) {
+    /** Throws a new exception or error of the given type. */
+    private static void fail(Class<? extends Throwable> type) {
         try {
-            Throwable thrown = how.getConstructor().newInstance();
+            Throwable thrown = type.getConstructor().newInstance();
             if (thrown instanceof Error e) {
                 throw e;
             }
--- a/balancer/src/test/java/calicochute/node/MarginsTest.java
+++ b/balancer/src/test/java/calicochute/node/MarginsTest.java
@@ -7,16 +7,18 @@
 
 class MarginsTest {
     /**
-     * Of however little time most is left to serve in, and the guard comes between the module's end and the client's.
+     * Guards against margins that leave no time to serve a session with a short timeout. The guard's timer must be due
+     * after the module's deadline and before the client's timeout.
      */
     @Test
-    void mostOfTheTimeIsLeft() {
-        assertEquals(15_000, Margins.answer(9_000_000));
-        assertEquals(15_000, Margins.answer(60_000));
-        assertEquals(5_000, Margins.guard(60_000));
-        for (long patience = 1_000; patience < 100_000; patience += 1_000) {
-            long answer = Margins.answer(patience), guard = Margins.guard(patience);
-            assertTrue(answer <= patience / 4 && guard > 0 && guard < answer, "" + patience);
+    void marginsAreSmallComparedToTheTimeout() {
+        assertEquals(15_000, Margins.answerMicros(9_000_000));
+        assertEquals(15_000, Margins.answerMicros(60_000));
+        assertEquals(5_000, Margins.guardMicros(60_000));
+        for (long timeoutMicros = 1_000; timeoutMicros < 100_000; timeoutMicros += 1_000) {
+            long answer = Margins.answerMicros(timeoutMicros);
+            long guard = Margins.guardMicros(timeoutMicros);
+            assertTrue(answer <= timeoutMicros / 4 && guard > 0 && guard < answer, "" + timeoutMicros);
         }
     }
 }
