--- a/balancer/src/main/java/calicochute/fleet/CountsSender.java
+++ b/balancer/src/main/java/calicochute/fleet/CountsSender.java
@@ -13,7 +13,9 @@
     /** Time after which the counts of the newest window are sent a second time. */
     private static final long RESEND_DELAY_MICROS = 300_000;
 
+    /** Greatest number of unsealed windows whose counts are stored. */
     private static final int MAX_WINDOWS = 64;
+
     private final String me;
     private final BiConsumer<String, byte[]> send;
     private final TreeMap<Long, byte[]> countsByWindow = new TreeMap<>();
--- a/balancer/src/main/java/calicochute/fleet/ExperimentRunner.java
+++ b/balancer/src/main/java/calicochute/fleet/ExperimentRunner.java
@@ -139,10 +139,10 @@
 
     /** Assigns a session; null if it does not take part, or the experiment has not started. */
     Enrollment sessionStarted(
-            long now, long deadlineMicros, String callId, String className, String tenant, boolean retry) {
+            long nowMicros, long deadlineMicros, String callId, String className, String tenant, boolean retry) {
         return sessionCounter == null
                 ? null
-                : sessionCounter.begin(now, deadlineMicros, callId, className, tenant, retry);
+                : sessionCounter.begin(nowMicros, deadlineMicros, callId, className, tenant, retry);
     }
 
     /** Counts a session that has taken part. */
@@ -158,20 +158,20 @@
 
     // ---- Counts
 
-    void onCounts(long now, String from, byte[] body) {
+    void onCounts(long nowMicros, String from, byte[] body) {
         try {
-            addCounts(now, from, Counts.fromBytes(body));
+            addCounts(nowMicros, from, Counts.fromBytes(body));
         } catch (UnreadableException e) {
             unreadable++;
         }
     }
 
-    private void addCounts(long now, String from, Counts counts) {
+    private void addCounts(long nowMicros, String from, Counts counts) {
         long window = counts.window();
         boolean relevant = state != null
                 && window > state.window()
-                && window <= windows.number(now)
-                && window > windows.number(now) - MAX_WINDOWS_BEHIND;
+                && window <= windows.number(nowMicros)
+                && window > windows.number(nowMicros) - MAX_WINDOWS_BEHIND;
         if (relevant) {
             gathered.computeIfAbsent(window, key -> new HashMap<>())
                     .merge(
@@ -189,40 +189,41 @@
 
     // ---- Periodic work
 
-    void tick(long now, Collection<String> live) {
+    void tick(long nowMicros, Collection<String> live) {
         if (!lastLive.equals(live)) {
             lastLive = live;
             countsSender.setProposers(Owners.of("experiment " + name, live, PROPOSER_COUNT));
         }
         int rank = countsSender.rank();
         register.setRank(rank < 0 ? PROPOSER_COUNT : rank);
-        register.tick(now);
+        register.tick(nowMicros);
         if (sessionCounter != null) {
-            sendClosedWindows(now);
+            sendClosedWindows(nowMicros);
         }
         if (rank >= 0) {
-            propose(now, live);
+            propose(nowMicros, live);
         }
-        perform(now);
+        perform(nowMicros);
     }
 
-    private void sendClosedWindows(long now) {
-        countsSender.resend(now);
-        for (Counts counts : sessionCounter.closeWindows(now)) {
+    private void sendClosedWindows(long nowMicros) {
+        countsSender.resend(nowMicros);
+        for (Counts counts : sessionCounter.closeWindows(nowMicros)) {
             if (counts.window() > state.window()) {
-                addCounts(now, me, counts);
-                countsSender.send(now, counts);
+                addCounts(nowMicros, me, counts);
+                countsSender.send(nowMicros, counts);
             }
         }
     }
 
-    private void propose(long now, Collection<String> live) {
+    private void propose(long nowMicros, Collection<String> live) {
         SlotId decidedSlot = register.decidedSlot();
         if (state == null) {
             register.propose(
-                    now,
+                    nowMicros,
                     decidedSlot,
-                    stopper.initialState(windows.number(now) + LEAD_WINDOWS).toBytes());
+                    stopper.initialState(windows.number(nowMicros) + LEAD_WINDOWS)
+                            .toBytes());
             return;
         }
         long window = state.window() + 1;
@@ -230,23 +231,23 @@
         long dueMicros = windows.end(window) + longestDeadline.getAsLong() + SETTLE_MICROS;
         boolean complete = received.keySet().containsAll(live);
         if (state.isFinished(experiment)
-                || now < dueMicros
-                || !complete && now < dueMicros + MISSING_COUNTS_GRACE_MICROS
+                || nowMicros < dueMicros
+                || !complete && nowMicros < dueMicros + MISSING_COUNTS_GRACE_MICROS
                 || proposedWindow == window && proposedCounts == received.size()) {
             return;
         }
         proposedWindow = window;
         proposedCounts = received.size();
         SealedWindow sealed = SealedWindow.of(experiment, window, state.share(window), received, peers);
-        register.propose(now, decidedSlot, stopper.advance(state, sealed).toBytes());
+        register.propose(nowMicros, decidedSlot, stopper.advance(state, sealed).toBytes());
     }
 
-    void onSealMessage(long now, String from, byte[] message) {
-        register.received(now, from, message);
-        perform(now);
+    void onSealMessage(long nowMicros, String from, byte[] message) {
+        register.received(nowMicros, from, message);
+        perform(nowMicros);
     }
 
-    private void perform(long now) {
+    private void perform(long nowMicros) {
         for (List<Effect> effects = register.effects(); !effects.isEmpty(); effects = register.effects()) {
             for (Effect effect : effects) {
                 if (effect instanceof Effect.Send send) {
@@ -254,7 +255,7 @@
                 } else if (effect instanceof Effect.Persist persist) {
                     host.persist(name, persist.state(), persist.token(), token -> {
                         register.persisted(token);
-                        perform(now);
+                        perform(nowMicros);
                     });
                 } else if (effect instanceof Effect.EpochBegun begun) {
                     Log.info(
--- a/balancer/src/main/java/calicochute/fleet/Fleet.java
+++ b/balancer/src/main/java/calicochute/fleet/Fleet.java
@@ -113,19 +113,19 @@
         if (stopped) {
             return;
         }
-        long now = queue.now();
-        messaging.tick(now);
+        long nowMicros = queue.now();
+        messaging.tick(nowMicros);
         OutcomeSharing sharing = messaging.sharing();
         if (sharing != null) {
-            sessions.close(now).forEach(closed -> sharing.onWindowClosed(now, closed));
-            sharing.tick(now);
+            sessions.close(nowMicros).forEach(closed -> sharing.onWindowClosed(nowMicros, closed));
+            sharing.tick(nowMicros);
         }
         Set<String> live = messaging.live();
-        running.forEach(experiment -> experiment.tick(now, live));
+        running.forEach(experiment -> experiment.tick(nowMicros, live));
         if (estimates != null) {
-            estimates.tick(now, sharing::snapshot, live, arms.servers());
+            estimates.tick(nowMicros, sharing::snapshot, live, arms.servers());
         }
-        if (now % REPORT_INTERVAL_MICROS < TICK_MICROS) {
+        if (nowMicros % REPORT_INTERVAL_MICROS < TICK_MICROS) {
             experimentsReport = experiments.report();
             fleetReport = report(live);
         }
--- a/balancer/src/main/java/calicochute/fleet/PeerMessaging.java
+++ b/balancer/src/main/java/calicochute/fleet/PeerMessaging.java
@@ -87,8 +87,8 @@
         return gossip.live();
     }
 
-    void tick(long now) {
-        gossip.tick(now);
+    void tick(long nowMicros) {
+        gossip.tick(nowMicros);
     }
 
     /** Closes the socket; datagrams that are still queued are ignored. */
@@ -122,38 +122,39 @@
 
     private final class GossipListener implements Gossip.Listener {
         @Override
-        public void onDirectMessage(long now, String from, long fromStart, int channel, byte[] body) {
+        public void onDirectMessage(long nowMicros, String from, long fromStart, int channel, byte[] body) {
             if (channel == OUTCOMES_CHANNEL && sharing != null) {
-                sharing.onReport(now, from, fromStart, body);
+                sharing.onReport(nowMicros, from, fromStart, body);
             } else if (body.length > EXPERIMENT_HASH_BYTES && (channel == COUNTS_CHANNEL || channel == SEAL_CHANNEL)) {
                 int experimentHash = ByteBuffer.wrap(body).getInt();
                 byte[] rest = Arrays.copyOfRange(body, EXPERIMENT_HASH_BYTES, body.length);
                 for (ExperimentRunner experiment : experiments) {
                     if (experiment.name().hashCode() == experimentHash && channel == COUNTS_CHANNEL) {
-                        experiment.onCounts(now, from, rest);
+                        experiment.onCounts(nowMicros, from, rest);
                     } else if (experiment.name().hashCode() == experimentHash) {
-                        experiment.onSealMessage(now, from, rest);
+                        experiment.onSealMessage(nowMicros, from, rest);
                     }
                 }
             }
         }
 
         @Override
-        public void onEntry(long now, String from, long fromStart, int channel, String key, long version, byte[] body) {
+        public void onEntry(
+                long nowMicros, String from, long fromStart, int channel, String key, long version, byte[] body) {
             if (channel == OUTCOMES_CHANNEL && sharing != null) {
-                sharing.onRows(now, from, fromStart, key, version, body);
+                sharing.onRows(nowMicros, from, fromStart, key, version, body);
             }
         }
 
         @Override
-        public void onDuplicateId(long now, String id, long firstStart, long secondStart) {
+        public void onDuplicateId(long nowMicros, String id, long firstStart, long secondStart) {
             Log.warn(
                     "fleet-twins",
                     "id=" + id + " starts=" + firstStart + "," + secondStart + ": two processes use the same id");
         }
 
         @Override
-        public void onLiveMembersChanged(long now, Set<String> live) {
+        public void onLiveMembersChanged(long nowMicros, Set<String> live) {
             Log.info("fleet-members", "live=" + live.size() + " of=" + addresses.size());
         }
     }
--- a/balancer/src/main/java/calicochute/fleet/SessionTracker.java
+++ b/balancer/src/main/java/calicochute/fleet/SessionTracker.java
@@ -75,13 +75,13 @@
     }
 
     /** The windows that are complete since the last call. */
-    List<ClosedWindow> close(long now) {
-        return windowCounter.close(now);
+    List<ClosedWindow> close(long nowMicros) {
+        return windowCounter.close(nowMicros);
     }
 
     /** Starts tracking a session; returns the number of the arm whose servers it may be sent to, 0 for none. */
     int sessionStarted(Exchange exchange) {
-        long now = queue.now();
+        long nowMicros = queue.now();
         String className = classes.get().get(exchange.classIndex).name();
         String tenant = exchange.tenantIndex < 0
                 ? ""
@@ -93,8 +93,8 @@
             enrollment = experiments
                     .get(i)
                     .sessionStarted(
-                            now,
-                            now + exchange.clientTimeoutMicros,
+                            nowMicros,
+                            nowMicros + exchange.clientTimeoutMicros,
                             callId(exchange),
                             className,
                             tenant,
@@ -104,7 +104,7 @@
                 arm = ArmAssignment.number(i, enrollment.arm());
             }
         }
-        sessions.put(exchange.id, new TrackedSession(windowCounter.beginSession(now), experiment, enrollment));
+        sessions.put(exchange.id, new TrackedSession(windowCounter.beginSession(nowMicros), experiment, enrollment));
         return arm;
     }
 
--- a/balancer/src/main/java/calicochute/fleet/UdpEndpoint.java
+++ b/balancer/src/main/java/calicochute/fleet/UdpEndpoint.java
@@ -85,9 +85,9 @@
     }
 
     /** Sends without blocking; if the send buffer is full the datagram is lost, as it may be in the network. */
-    void send(InetSocketAddress to, byte[] datagram) {
+    void send(InetSocketAddress receiverAddress, byte[] datagram) {
         try {
-            if (channel.send(ByteBuffer.wrap(datagram), to) == 0) {
+            if (channel.send(ByteBuffer.wrap(datagram), receiverAddress) == 0) {
                 unsent.incrementAndGet();
             }
         } catch (IOException e) {
--- a/balancer/src/main/java/calicochute/node/ModuleActions.java
+++ b/balancer/src/main/java/calicochute/node/ModuleActions.java
@@ -45,23 +45,23 @@
             counters.mustHold(false, "a dispatch for a session that has ended");
             return;
         }
-        long now = queue.now();
+        long nowMicros = queue.now();
         long latestSendMicros = node.repeatableUntilMicros(exchange);
         boolean allowed = !exchange.closed()
                 && backend.knows(server)
                 && timeoutMicros > 0
-                && now < latestSendMicros
+                && nowMicros < latestSendMicros
                 && exchange.dispatchCount() < exchange.limits.maxAttempts();
         counters.mustHold(
                 exchange.limits.secondCopies() || !exchange.anyPending(),
                 "two dispatches of a session at the same time");
-        Dispatch dispatch = exchange.addDispatch(server, now, latestSendMicros);
+        Dispatch dispatch = exchange.addDispatch(server, nowMicros, latestSendMicros);
         if (allowed) {
             backend.send(
                     dispatch,
                     Math.min(
                             timeoutMicros,
-                            exchange.deadline() - Margins.answerMicros(exchange.clientTimeoutMicros) - now));
+                            exchange.deadline() - Margins.answerMicros(exchange.clientTimeoutMicros) - nowMicros));
         } else {
             queue.post(() -> node.dispatchEnded(dispatch, Outcome.MOOT, null));
         }
--- a/balancer/src/main/java/calicochute/node/Node.java
+++ b/balancer/src/main/java/calicochute/node/Node.java
@@ -81,6 +81,7 @@
     /** After SIGTERM: the timer that cuts off streamed responses. */
     private DecisionQueue.Timer streamCut;
 
+    /** Size of {@link #openSessions}, for other threads. */
     private volatile int openCount;
 
     /** A balancer that opens its own listening socket and shares no folder with other processes. */
--- a/balancer/src/main/java/calicochute/settings/Document.java
+++ b/balancer/src/main/java/calicochute/settings/Document.java
@@ -88,17 +88,17 @@
     private static void missing(String path, JsonObject wanted, JsonObject found, Set<String> missing) {
         wanted.entrySet().forEach(entry -> {
             String keyPath = path + entry.getKey();
-            JsonElement own = found.get(entry.getKey());
-            if (own == null || own.isJsonNull()) {
+            JsonElement actual = found.get(entry.getKey());
+            if (actual == null || actual.isJsonNull()) {
                 missing.add(keyPath);
             } else if (entry.getValue() instanceof JsonObject inner) {
-                if (own instanceof JsonObject object) {
+                if (actual instanceof JsonObject object) {
                     missing(keyPath + ".", inner, object, missing);
                 } else {
                     missing.add(keyPath);
                 }
             } else if (entry.getValue() instanceof JsonArray list) {
-                if (own instanceof JsonArray array) {
+                if (actual instanceof JsonArray array) {
                     JsonObject common = common(list);
                     for (int i = 0; i < array.size(); i++) {
                         if (array.get(i) instanceof JsonObject object) {
--- a/balancer/src/test/java/calicochute/settings/SettingsCombinationsTest.java
+++ b/balancer/src/test/java/calicochute/settings/SettingsCombinationsTest.java
@@ -215,16 +215,16 @@
         final Session session;
         final long request;
         final int number;
-        final Backend to;
+        final Backend backend;
         final long sentAt;
         boolean pending = true;
         boolean provenNotRun;
 
-        Attempt(Session session, long request, int number, Backend to, long sentAt) {
+        Attempt(Session session, long request, int number, Backend backend, long sentAt) {
             this.session = session;
             this.request = request;
             this.number = number;
-            this.to = to;
+            this.backend = backend;
             this.sentAt = sentAt;
         }
     }
@@ -349,13 +349,19 @@
             boolean finished = attempt.session.ended || outcome == Outcome.OK;
             attempt.session.ended = finished;
             tell(new AttemptEnded(
-                    attempt.request, attempt.number, attempt.to.id(), finished, outcome, now - attempt.sentAt, null));
+                    attempt.request,
+                    attempt.number,
+                    attempt.backend.id(),
+                    finished,
+                    outcome,
+                    now - attempt.sentAt,
+                    null));
         }
 
         private void begin(Attempt attempt) {
             if (!attempt.session.ended) {
                 attempt.session.ended = true;
-                tell(new StreamStarted(attempt.request, attempt.number, attempt.to.id(), now - attempt.sentAt));
+                tell(new StreamStarted(attempt.request, attempt.number, attempt.backend.id(), now - attempt.sentAt));
             }
         }
 
@@ -408,14 +414,16 @@
         }
 
         @Override
-        public void send(long request, String backend, long timeout) {
+        public void send(long request, String id, long timeout) {
             Session session = sessions.get(request);
-            Backend to = listed.get(backend);
+            Backend backend = listed.get(id);
             assertFalse(session.ended, "sent after the session ended");
             assertTrue(
                     now < session.deadline && timeout > 0 && timeout <= session.deadline - now,
                     "timeout exceeds the time left");
-            assertTrue(to != null && to.state() == BackendState.READY, "sent to a backend that is draining or gone");
+            assertTrue(
+                    backend != null && backend.state() == BackendState.READY,
+                    "sent to a backend that is draining or gone");
             assertTrue(session.attempts.size() < session.maxAttempts, "more attempts than allowed");
             assertTrue(
                     session.attempts.stream().noneMatch(attempt -> attempt.pending), "two attempts at the same time");
@@ -433,12 +441,12 @@
                         session.requestClass.effect() == Effect.REPEATABLE
                                 || session.requestClass.scope() == KeyScope.ALL
                                 || (session.requestClass.scope() == KeyScope.ZONE
-                                        ? first.to.zone().equals(to.zone())
-                                        : first.to.cell() == to.cell()),
+                                        ? first.backend.zone().equals(backend.zone())
+                                        : first.backend.cell() == backend.cell()),
                         "sent again outside the deduplication scope");
             }
             sendCount++;
-            Attempt attempt = new Attempt(session, request, session.attempts.size(), to, now);
+            Attempt attempt = new Attempt(session, request, session.attempts.size(), backend, now);
             session.attempts.add(attempt);
             pending.add(attempt);
             at(now + timeout, () -> {
