--- a/balancer/src/main/java/calicochute/admin/AdminConnection.java
+++ b/balancer/src/main/java/calicochute/admin/AdminConnection.java
@@ -23,9 +23,9 @@
 /** A connection to the admin address, for one call. Used by that address's I/O thread. */
 final class AdminConnection {
     private static final Http1Config HTTP_CONFIG = Http1Config.custom()
-            .setBufferSize(Bounds.BUFFER)
-            .setMaxLineLength(Bounds.LINE)
-            .setMaxHeaderCount(Bounds.FIELDS)
+            .setBufferSize(Bounds.READ_BUFFER_BYTES)
+            .setMaxLineLength(Bounds.MAX_LINE_BYTES)
+            .setMaxHeaderCount(Bounds.MAX_HEADERS)
             .build();
     private static final HttpProcessor PROCESSOR = HttpProcessorBuilder.create().build();
     /** Time from the start of the connection to the last byte of the call. */
--- a/balancer/src/main/java/calicochute/cli/CheckCommand.java
+++ b/balancer/src/main/java/calicochute/cli/CheckCommand.java
@@ -2,7 +2,7 @@
 
 import calicochute.decision.Balancer.Backend;
 import calicochute.discovery.ServerList;
-import calicochute.node.FleetStart;
+import calicochute.node.FleetFactory;
 import calicochute.operator.OperatorFile;
 import calicochute.operator.OperatorFileReader;
 import calicochute.settings.Configuration;
@@ -24,7 +24,7 @@
                 + ", discovery at " + config.discovery() + ", "
                 + config.settings().classes().size() + " classes, "
                 + config.settings().tenants().size() + " tenants");
-        String operatorFile = System.getenv(FleetStart.VARIABLE);
+        String operatorFile = System.getenv(FleetFactory.ENVIRONMENT_VARIABLE);
         if (operatorFile != null && !operatorFile.isEmpty()) {
             List<Backend> servers = config.known().isEmpty()
                     ? List.of()
