--- a/balancer/src/main/java/calicochute/admin/AdminConnection.java
+++ b/balancer/src/main/java/calicochute/admin/AdminConnection.java
@@ -30,7 +30,7 @@
     private static final HttpProcessor PROCESSOR = HttpProcessorBuilder.create().build();
     /** Time from the start of the connection to the last byte of the call. */
     private static final long CALL_TIMEOUT_MS = 2000;
-    /** Idle time-out from the last byte of the call on. */
+    /** Idle timeout from the last byte of the call on. */
     private static final long ANSWER_TIMEOUT_MS = 5000;
 
     private final AdminServer server;
@@ -86,7 +86,7 @@
     }
 
     /**
-     * Guards against a caller that sends its call slowly, byte by byte: HttpCore's time-out starts again with each byte
+     * Guards against a caller that sends its call slowly, byte by byte: HttpCore's timeout starts again with each byte
      * received.
      */
     private void enforceCallTimeout() {
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Marks the call as received; from here on the time-out is that of the answer. */
+    /** Marks the call as received; from here on the timeout is that of the answer. */
     void markCallComplete() {
         callComplete = true;
         session.setSocketTimeout(Timeout.ofMilliseconds(ANSWER_TIMEOUT_MS));
--- a/balancer/src/main/java/calicochute/cli/RehearseCommand.java
+++ b/balancer/src/main/java/calicochute/cli/RehearseCommand.java
@@ -30,7 +30,7 @@
     private static final int SESSIONS = 3;
     private static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
     private static final int MAX_RESPONSE_BYTES = 1 << 16;
-    private static final int ANSWER_TIMEOUT_S = 5;
+    private static final int RESPONSE_TIMEOUT_S = 5;
 
     @Override
     public void run() throws Exception {
@@ -43,14 +43,14 @@
         Node node = new Node(Configuration.read(file), new Counters());
         Files.delete(file);
         InetSocketAddress listening = node.start();
-        CountDownLatch answers = new CountDownLatch(SESSIONS);
+        CountDownLatch responses = new CountDownLatch(SESSIONS);
         try (Connector clients = new Connector()) {
             clients.start();
             for (int i = 0; i < SESSIONS; i++) {
                 int id = i;
-                clients.open(listening, CONNECT_TIMEOUT_MICROS, c -> send(c, address, id, answers), e -> {}, c -> {});
+                clients.open(listening, CONNECT_TIMEOUT_MICROS, c -> send(c, address, id, responses), e -> {}, c -> {});
             }
-            if (!answers.await(ANSWER_TIMEOUT_S, TimeUnit.SECONDS)) {
+            if (!responses.await(RESPONSE_TIMEOUT_S, TimeUnit.SECONDS)) {
                 throw new IllegalStateException("not all sessions of the rehearsal were answered");
             }
         }
@@ -59,7 +59,7 @@
         System.exit(0);
     }
 
-    private static void send(Connection connection, String address, int id, CountDownLatch answers) {
+    private static void send(Connection connection, String address, int id, CountDownLatch responses) {
         BasicHttpRequest request = new BasicHttpRequest("POST", "/api");
         request.addHeader("Host", address);
         request.addHeader("X-Txn", String.format("%016x", id));
@@ -68,6 +68,6 @@
         request.addHeader("X-Remaining-Ms", "2000");
         request.addHeader("Idempotency-Key", "k" + id);
         request.addHeader("Content-Length", "2");
-        connection.call(request, new byte[2], MAX_RESPONSE_BYTES, reply -> answers.countDown());
+        connection.call(request, new byte[2], MAX_RESPONSE_BYTES, result -> responses.countDown());
     }
 }
--- a/balancer/src/main/java/calicochute/frontend/Frontend.java
+++ b/balancer/src/main/java/calicochute/frontend/Frontend.java
@@ -28,7 +28,7 @@
     private static final String COUNTERS_PATH = "/counters";
     private static final int BACKLOG_CONNECTIONS = 1024;
     private final SessionParser parser;
-    private final DecisionQueue clock;
+    private final DecisionQueue queue;
     private final SessionListener sessions;
     private final Counters counters;
     private final BooleanSupplier ready;
@@ -55,7 +55,7 @@
     public Frontend(
             Configuration configuration,
             ServerSocketChannel inherited,
-            DecisionQueue clock,
+            DecisionQueue queue,
             SessionListener sessions,
             Counters counters,
             BooleanSupplier ready,
@@ -63,7 +63,7 @@
             Supplier<SettingsHistory> settings)
             throws IOException {
         parser = new SessionParser(settings);
-        this.clock = clock;
+        this.queue = queue;
         this.sessions = sessions;
         this.counters = counters;
         this.ready = ready;
@@ -72,7 +72,7 @@
         connectionLimit = new ConnectionLimit(maxConnections);
         windowBytes = configuration.bounds().windowBytes();
         readAhead = new ReadAheadBudget(configuration.bounds().readAheadBytes());
-        resetDetector = new ResetDetector(clock);
+        resetDetector = new ResetDetector(queue);
         address = configuration.listen();
         this.inherited = inherited;
     }
@@ -153,7 +153,7 @@
     }
 
     long nowMicros() {
-        return clock.now();
+        return queue.now();
     }
 
     SessionListener sessions() {
--- a/balancer/src/main/java/calicochute/lifecycle/Lifecycle.java
+++ b/balancer/src/main/java/calicochute/lifecycle/Lifecycle.java
@@ -70,8 +70,8 @@
     }
 
     /** Handles SIGTERM. */
-    public Lifecycle stop(long now, boolean otherProcess) {
-        return state == State.STOPPING ? this : new Lifecycle(State.STOPPING, now, otherProcess);
+    public Lifecycle stop(long now, boolean otherProcessServing) {
+        return state == State.STOPPING ? this : new Lifecycle(State.STOPPING, now, otherProcessServing);
     }
 
     /** The state at the given time. */
--- a/balancer/src/main/java/calicochute/node/DeadlineGuards.java
+++ b/balancer/src/main/java/calicochute/node/DeadlineGuards.java
@@ -28,7 +28,7 @@
     /** Starts the timer of a session. */
     void guard(Exchange exchange) {
         long dueMicros = Math.min(exchange.deadline(), stopDeadline.getAsLong());
-        long delayMicros = Math.max(Margins.answerMicros(exchange.clientTimeoutMicros), dueMicros - queue.now())
+        long delayMicros = Math.max(Margins.responseMicros(exchange.clientTimeoutMicros), dueMicros - queue.now())
                 - Margins.guardMicros(exchange.clientTimeoutMicros);
         timers.put(exchange.id, queue.schedule(delayMicros, () -> overdue.accept(exchange)));
     }
--- a/balancer/src/main/java/calicochute/node/LearntStatePersistence.java
+++ b/balancer/src/main/java/calicochute/node/LearntStatePersistence.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Restores the decision module's learned state from the previous process, and saves it for the next one. */
+/** Restores the decision module's learnt state from the previous process, and saves it for the next one. */
 final class LearntStatePersistence {
     private static final long SAVE_INTERVAL_MICROS = 500_000;
     private final LearntFile file;
@@ -75,7 +75,7 @@
         }
         LearntState state = Handover.export(balancer);
         Origin currentOrigin = origin.get();
-        counters.checkInvariant(state.sane(), "the learned state contains an invalid number");
+        counters.checkInvariant(state.sane(), "the learnt state contains an invalid number");
         fileExecutor.accept(() -> {
             try {
                 file.write(currentOrigin, state, System.currentTimeMillis());
--- a/balancer/src/main/java/calicochute/node/Margins.java
+++ b/balancer/src/main/java/calicochute/node/Margins.java
@@ -3,7 +3,7 @@
 /** How long before the client's timeout a session must have its response. */
 final class Margins {
     /** Time to write a response and for it to arrive. */
-    private static final long ANSWER_MARGIN_MICROS = 15_000;
+    private static final long RESPONSE_MARGIN_MICROS = 15_000;
     /**
      * The margin is at most the timeout divided by this, so that most of a short timeout remains to serve a session.
      */
@@ -12,12 +12,12 @@
     private Margins() {}
 
     /** The response is sent this long before the client's timeout. */
-    static long answerMicros(long timeoutMicros) {
-        return Math.min(ANSWER_MARGIN_MICROS, timeoutMicros / TIMEOUT_DIVISOR);
+    static long responseMicros(long timeoutMicros) {
+        return Math.min(RESPONSE_MARGIN_MICROS, timeoutMicros / TIMEOUT_DIVISOR);
     }
 
     /** If the decision module has not answered by then, the session is ended this long before the client's timeout. */
     static long guardMicros(long timeoutMicros) {
-        return answerMicros(timeoutMicros) / 3;
+        return responseMicros(timeoutMicros) / 3;
     }
 }
--- a/balancer/src/main/java/calicochute/node/Membership.java
+++ b/balancer/src/main/java/calicochute/node/Membership.java
@@ -25,12 +25,11 @@
 import org.apache.hc.core5.concurrent.DefaultThreadFactory;
 
 /**
- * The backend servers as the decision module knows them: discovery's list, overlaid with the servers that operators
- * have taken out of service. The file with the latter is read and written on a separate thread; everything else runs on
- * the decision thread.
+ * The backend servers as the decision module knows them: discovery's list with the operators' cordons applied. The
+ * cordon file is read and written on a separate thread; everything else runs on the decision thread.
  */
 final class Membership implements ServerListListener {
-    /** Interval of reading the file, which another process of this balancer may have changed. */
+    /** Interval of reading the cordon file, which another process of this balancer may have changed. */
     private static final long POLL_INTERVAL_MS = 100;
 
     private final BackendServers backendServers;
@@ -42,7 +41,8 @@
     private final ScheduledExecutorService fileThread =
             Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("outage-file", true));
     private FleetParticipant fleet = FleetParticipant.OFF;
-    private Cordons lastOutages = Cordons.NONE;
+    /** As last read from the file or written to it. */
+    private Cordons lastCordons = Cordons.NONE;
     /**
      * Whether the decision module regards itself as subscribed. Only then may it get changes, since it would take them
      * as a sign that it is subscribed.
@@ -119,48 +119,48 @@
         stats.setMembers(overlay.listedCount(), overlay.unavailableCount());
     }
 
-    // ---- Servers taken out of service by operators
+    // ---- Cordons
 
     /** Reads the file that earlier processes have left, and then polls it. Called before the start. */
-    void readOutages() {
+    void readCordons() {
         pollFile();
         fileThread.scheduleWithFixedDelay(this::pollFile, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void pollFile() {
         try {
-            Cordons outages = file.read();
-            if (!outages.equals(lastOutages)) {
-                lastOutages = outages;
-                queue.post(() -> applyOutages(outages));
+            Cordons cordons = file.read();
+            if (!cordons.equals(lastCordons)) {
+                lastCordons = cordons;
+                queue.post(() -> applyCordons(cordons));
             }
         } catch (IOException e) {
             Log.warn("outages-not-read", String.valueOf(e.getMessage()));
         }
     }
 
-    /** Runs file access on the thread that reads and writes the file of outages. */
+    /** Runs file access on the thread that reads and writes the cordon file. */
     void runOnFileThread(Runnable work) {
         fileThread.execute(work);
     }
 
-    /** Changes the outages; {@code done} gets the result after the file is written and the module has been informed. */
-    void changeOutages(String server, UnaryOperator<Cordons> change, Consumer<Result> done) {
+    /** Changes the cordons; {@code done} gets the result after the file is written and the module has been informed. */
+    void changeCordons(String server, UnaryOperator<Cordons> change, Consumer<Result> done) {
         queue.post(() -> {
             if (overlay.everListed(server)) {
-                fileThread.execute(() -> writeOutages(change, done));
+                fileThread.execute(() -> writeCordons(change, done));
             } else {
                 done.accept(Result.NO_SUCH_SERVER);
             }
         });
     }
 
-    private void writeOutages(UnaryOperator<Cordons> change, Consumer<Result> done) {
+    private void writeCordons(UnaryOperator<Cordons> change, Consumer<Result> done) {
         try {
-            Cordons outages = file.update(change);
-            lastOutages = outages;
+            Cordons cordons = file.update(change);
+            lastCordons = cordons;
             queue.post(() -> {
-                applyOutages(outages);
+                applyCordons(cordons);
                 done.accept(Result.DONE);
             });
         } catch (IOException e) {
@@ -169,10 +169,10 @@
         }
     }
 
-    private void applyOutages(Cordons outages) {
-        List<Backend> changed = overlay.applyCordons(outages);
+    private void applyCordons(Cordons cordons) {
+        List<Backend> changed = overlay.applyCordons(cordons);
         if (!changed.isEmpty()) {
-            Log.info("outages", "out=" + outages.sinceMs().keySet());
+            Log.info("outages", "out=" + cordons.sinceMs().keySet());
             publish(
                     subscribed ? ListKind.CHANGES : ListKind.RESTORED,
                     subscribed ? changed : overlay.effectiveBackends());
--- a/balancer/src/main/java/calicochute/node/ModuleActions.java
+++ b/balancer/src/main/java/calicochute/node/ModuleActions.java
@@ -18,7 +18,7 @@
     /** The node's sessions that are not answered yet or have a pending dispatch; only read here. */
     private final Map<Long, Exchange> openSessions;
 
-    private final BackendServers backend;
+    private final BackendServers backendServers;
     private final DiscoveryClient discovery;
     private final DecisionQueue queue;
     private final Counters counters;
@@ -26,13 +26,13 @@
     ModuleActions(
             Node node,
             Map<Long, Exchange> openSessions,
-            BackendServers backend,
+            BackendServers backendServers,
             DiscoveryClient discovery,
             DecisionQueue queue,
             Counters counters) {
         this.node = node;
         this.openSessions = openSessions;
-        this.backend = backend;
+        this.backendServers = backendServers;
         this.discovery = discovery;
         this.queue = queue;
         this.counters = counters;
@@ -48,7 +48,7 @@
         long nowMicros = queue.now();
         long latestSendMicros = node.repeatableUntilMicros(exchange);
         boolean allowed = !exchange.closed()
-                && backend.hasServer(server)
+                && backendServers.hasServer(server)
                 && timeoutMicros > 0
                 && nowMicros < latestSendMicros
                 && exchange.dispatchCount() < exchange.limits.maxAttempts();
@@ -57,11 +57,11 @@
                 "two dispatches of a session at the same time");
         Dispatch dispatch = exchange.addDispatch(server, nowMicros, latestSendMicros);
         if (allowed) {
-            backend.send(
+            backendServers.send(
                     dispatch,
                     Math.min(
                             timeoutMicros,
-                            exchange.deadline() - Margins.answerMicros(exchange.clientTimeoutMicros) - nowMicros));
+                            exchange.deadline() - Margins.responseMicros(exchange.clientTimeoutMicros) - nowMicros));
         } else {
             queue.post(() -> node.dispatchEnded(dispatch, Outcome.MOOT, null));
         }
@@ -82,7 +82,7 @@
             node.respond(
                     exchange,
                     new Response.Failed(
-                            exchange.deadline() - Margins.answerMicros(exchange.clientTimeoutMicros) <= queue.now()));
+                            exchange.deadline() - Margins.responseMicros(exchange.clientTimeoutMicros) <= queue.now()));
         }
     }
 
@@ -92,7 +92,7 @@
         Dispatch dispatch = exchange == null ? null : exchange.dispatch(attempt);
         if (dispatch != null && dispatch.pending()) {
             // Posted, so that the module gets the result as a separate event and not while it handles this one.
-            queue.post(() -> backend.cancel(dispatch));
+            queue.post(() -> backendServers.cancel(dispatch));
         }
     }
 
@@ -119,7 +119,7 @@
 
     @Override
     public void closeIdleConnections(String server) {
-        backend.closeIdleConnections(server);
+        backendServers.closeIdleConnections(server);
     }
 
     @Override
--- a/balancer/src/main/java/calicochute/node/Node.java
+++ b/balancer/src/main/java/calicochute/node/Node.java
@@ -63,13 +63,13 @@
     private final Counters counters;
     private final DecisionQueue queue;
     private final Connector connector = new Connector();
-    private final BackendServers backend;
+    private final BackendServers backendServers;
     private final DiscoveryClient discovery;
     private final Membership membership;
     private final Frontend frontend;
     private final AdminServer admin;
     private final ProcessLock processLock;
-    private final LearntStatePersistence learntState;
+    private final LearntStatePersistence learntStatePersistence;
     private final OperatorCommands operators;
     private final FleetParticipant fleet;
     private final OperatorStats stats = new OperatorStats();
@@ -105,7 +105,7 @@
         settingsHistory = SettingsHistory.of(settings);
         queue = new DecisionThread(counters);
         balancer = Balancer.create(settings);
-        backend = new BackendServers(
+        backendServers = new BackendServers(
                 connector,
                 queue,
                 counters,
@@ -113,10 +113,11 @@
                 configuration.connectionIdleMicros(),
                 configuration.bounds(),
                 this);
-        membership = new Membership(backend, stats, queue, new CordonFile(sharedFolder, settings.tier()), this::tell);
+        membership =
+                new Membership(backendServers, stats, queue, new CordonFile(sharedFolder, settings.tier()), this::tell);
         discovery = new DiscoveryClient(connector, queue, counters, configuration.discovery(), membership, settings);
         fleet = FleetFactory.create(configuration, queue, () -> settingsHistory, this::tell);
-        actions = new ModuleActions(this, openSessions, backend, discovery, queue, counters);
+        actions = new ModuleActions(this, openSessions, backendServers, discovery, queue, counters);
         membership.setFleet(fleet);
         operators = new OperatorCommands(queue, membership, stats, fleet);
         frontend = new Frontend(
@@ -137,7 +138,7 @@
                 : new AdminServer(operators, counters, frontend::handleDescriptorShortage);
         processLock = new ProcessLock(sharedFolder);
         // Only if successive processes of this balancer share a listening socket.
-        learntState = inheritedSocket == null || sharedFolder == null
+        learntStatePersistence = inheritedSocket == null || sharedFolder == null
                 ? null
                 : new LearntStatePersistence(
                         new LearntFile(sharedFolder),
@@ -154,11 +155,11 @@
     public InetSocketAddress start() throws IOException, InterruptedException, SettingsException {
         ServerList known = configuration.known().isEmpty() ? null : ServerList.parse(configuration.known());
         connector.start();
-        // Before the module gets a list: a server that operators have taken out must not get any dispatch.
-        membership.readOutages();
+        // Before the module gets a list: a cordoned server must not get any dispatch.
+        membership.readCordons();
         queue.post(() -> restore(known));
-        if (learntState != null) {
-            learntState.start();
+        if (learntStatePersistence != null) {
+            learntStatePersistence.start();
         }
         fleet.start();
         if (admin != null) {
@@ -179,7 +180,7 @@
         queue.post(() -> {
             settingsHistory = next;
             next.classes().forEach(c -> stats.addClass(c.name()));
-            backend.updateTimeouts(changed.settings().limits().connectTimeout(), changed.connectionIdleMicros());
+            backendServers.updateTimeouts(changed.settings().limits().connectTimeout(), changed.connectionIdleMicros());
             tell(new Balancer.SettingsChanged(next.forDecisionModule()));
             counters.count(Counter.RELOADS);
             stats.reloadEnded(true);
@@ -257,7 +258,7 @@
         openCount = openSessions.size();
         long timeLeftMicros =
                 (exchange.requestComplete() ? exchange.deadline() - queue.now() : exchange.clientTimeoutMicros)
-                        - Margins.answerMicros(exchange.clientTimeoutMicros);
+                        - Margins.responseMicros(exchange.clientTimeoutMicros);
         if (exchange.requestComplete()) {
             deadlineGuards.guard(exchange);
         } else {
@@ -297,32 +298,32 @@
     }
 
     @Override
-    public void responseEnded(Exchange exchange, boolean whole) {
-        queue.post(() -> endStreamedResponse(exchange, whole));
+    public void responseEnded(Exchange exchange, boolean complete) {
+        queue.post(() -> endStreamedResponse(exchange, complete));
     }
 
     /** Ends a session whose response was streamed; such a session ends only when its response has. */
-    private void endStreamedResponse(Exchange exchange, boolean whole) {
+    private void endStreamedResponse(Exchange exchange, boolean complete) {
         if (!exchange.streamingResponse()) {
             return;
         }
         exchange.setStreamingResponse(false);
         // If the server broke off the response the session has failed; if the client went away it has not.
-        boolean failed = !whole
+        boolean failed = !complete
                 && (exchange.responseAborted()
                         || exchange.latestDispatch() != null
                                 && !exchange.latestDispatch().pending()
                                 && !exchange.latestDispatch().succeeded());
         counters.count(
-                whole ? Counter.SESSIONS_SERVED : failed ? Counter.SESSIONS_FAILED : Counter.SESSIONS_CLIENT_GONE);
+                complete ? Counter.SESSIONS_SERVED : failed ? Counter.SESSIONS_FAILED : Counter.SESSIONS_CLIENT_GONE);
         countEnd(
                 exchange,
-                whole
+                complete
                         ? OperatorStats.SessionEnd.COMPLETED
                         : failed ? OperatorStats.SessionEnd.FAILED : OperatorStats.SessionEnd.GONE);
-        fleet.sessionAnswered(exchange, whole, failed);
-        if (!whole && exchange.limits.cancel()) {
-            exchange.pendingDispatches().forEach(backend::cancel);
+        fleet.sessionAnswered(exchange, complete, failed);
+        if (!complete && exchange.limits.cancel()) {
+            exchange.pendingDispatches().forEach(backendServers::cancel);
         }
         retire(exchange);
     }
@@ -347,7 +348,7 @@
         if (exchange.closed()) {
             return;
         }
-        boolean stopping = queue.now() < exchange.deadline() - Margins.answerMicros(exchange.clientTimeoutMicros);
+        boolean stopping = queue.now() < exchange.deadline() - Margins.responseMicros(exchange.clientTimeoutMicros);
         counters.count(stopping ? Counter.SESSIONS_ENDED_BY_STOP : Counter.SESSIONS_ENDED_BY_DEADLINE);
         respond(
                 exchange,
@@ -364,7 +365,7 @@
      */
     private void withdraw(Exchange exchange) {
         tell(new Balancer.ClientGone(exchange.id));
-        exchange.pendingDispatches().forEach(backend::sessionEnded);
+        exchange.pendingDispatches().forEach(backendServers::sessionEnded);
     }
 
     /** Gives a session its response, unless it has one already. */
@@ -448,7 +449,7 @@
         if (!exchange.respond(response)) {
             exchange.setStreamingResponse(false);
             if (exchange.limits.cancel()) {
-                backend.cancel(dispatch);
+                backendServers.cancel(dispatch);
             } else {
                 ((Body.Streamed) ((Response.Served) response).body()).pipe().cancel();
             }
@@ -481,7 +482,7 @@
                 .toList()
                 .forEach(e -> {
                     cutByStop(e);
-                    backend.cancel(e.latestDispatch());
+                    backendServers.cancel(e.latestDispatch());
                 });
         queue.schedule(RESPONSE_TAIL_MICROS, () -> {
             openSessions.values().stream()
--- a/balancer/src/main/java/calicochute/node/OperatorCommands.java
+++ b/balancer/src/main/java/calicochute/node/OperatorCommands.java
@@ -42,8 +42,8 @@
     }
 
     /** Starts the stop of the process after SIGTERM; called on the decision thread. */
-    void stop(boolean accompanied) {
-        lifecycle = lifecycle.stop(queue.now(), accompanied);
+    void stop(boolean otherProcessServing) {
+        lifecycle = lifecycle.stop(queue.now(), otherProcessServing);
         closeIdle();
     }
 
@@ -69,12 +69,12 @@
 
     @Override
     public void cordon(String server, Consumer<Result> done) {
-        membership.changeOutages(server, outages -> outages.with(server, System.currentTimeMillis()), done);
+        membership.changeCordons(server, cordons -> cordons.with(server, System.currentTimeMillis()), done);
     }
 
     @Override
     public void uncordon(String server, Consumer<Result> done) {
-        membership.changeOutages(server, outages -> outages.without(server), done);
+        membership.changeCordons(server, cordons -> cordons.without(server), done);
     }
 
     @Override
--- a/balancer/src/main/java/calicochute/operator/OperatorFileReader.java
+++ b/balancer/src/main/java/calicochute/operator/OperatorFileReader.java
@@ -130,10 +130,10 @@
             Complaint first = complaints.get(0);
             throw new OperatorFileException(
                     Code.EXPERIMENT,
-                    file + ": experiments: " + first.where(),
-                    first.code() + ": " + first.seen()
+                    file + ": experiments: " + first.location(),
+                    first.code() + ": " + first.problem()
                             + (complaints.size() > 1 ? " (and " + (complaints.size() - 1) + " more)" : ""),
-                    first.todo());
+                    first.advice());
         }
     }
 
--- a/balancer/src/main/java/calicochute/settings/Bounds.java
+++ b/balancer/src/main/java/calicochute/settings/Bounds.java
@@ -28,14 +28,14 @@
     public static final int INITIAL_WINDOW_BYTES = MAX_BUFFERED_BODY_BYTES + READ_BUFFER_BYTES;
 
     private static final int MIN_WINDOW_BYTES = 8192;
-    /** Greatest number of connections to the second address, idle ones included. */
+    /** Greatest number of connections to the admin address, idle ones included. */
     public static final int ADMIN_CONNECTIONS = 32;
     /**
      * Connections that an acceptor accepts beyond its limit before it closes another one; they are part of the reserved
      * sockets.
      */
     public static final int EXTRA_ACCEPTED_CONNECTIONS = 8;
-    /** Descriptors that the second address needs besides its connections: its selectors and its listener. */
+    /** Descriptors that the admin address needs besides its connections: its selectors and its listener. */
     private static final int ADMIN_DESCRIPTORS = 8;
 
     private static final int MAX_READ_AHEAD_BYTES = 1 << 24;
@@ -48,7 +48,7 @@
      * Derives the limits of a process.
      *
      * @param sockets greatest number of open sockets
-     * @param admin whether there is a second address
+     * @param admin whether there is an admin address
      * @param memoryMb memory limit of the process in MiB; a sixth of it is for bodies in transit
      */
     public static Bounds of(int sockets, boolean admin, int memoryMb) {
--- a/balancer/src/main/java/calicochute/settings/Configuration.java
+++ b/balancer/src/main/java/calicochute/settings/Configuration.java
@@ -21,7 +21,7 @@
  *
  * @param name name of this balancer
  * @param listen address that clients connect to
- * @param admin second address, for operators; null for none
+ * @param admin admin address, for operators' calls; null for none
  * @param discovery address of the discovery service
  * @param bounds limits on connections and buffers
  * @param connectionIdleMicros time after which a backend server closes an idle connection
@@ -103,7 +103,7 @@
      */
     public Configuration readNext(Path file) throws SettingsException {
         Configuration next = read(file);
-        // The server list, learned estimates and operators' outages belong to the tier that the process started with.
+        // The server list, learnt state and cordons belong to the tier that the process started with.
         if (next.settings.tier() != settings.tier()) {
             throw new SettingsException(
                     Code.RELOAD,
--- a/balancer/src/test/java/calicochute/node/MarginsTest.java
+++ b/balancer/src/test/java/calicochute/node/MarginsTest.java
@@ -12,13 +12,13 @@
      */
     @Test
     void marginsAreSmallComparedToTheTimeout() {
-        assertEquals(15_000, Margins.answerMicros(9_000_000));
-        assertEquals(15_000, Margins.answerMicros(60_000));
+        assertEquals(15_000, Margins.responseMicros(9_000_000));
+        assertEquals(15_000, Margins.responseMicros(60_000));
         assertEquals(5_000, Margins.guardMicros(60_000));
         for (long timeoutMicros = 1_000; timeoutMicros < 100_000; timeoutMicros += 1_000) {
-            long answer = Margins.answerMicros(timeoutMicros);
+            long response = Margins.responseMicros(timeoutMicros);
             long guard = Margins.guardMicros(timeoutMicros);
-            assertTrue(answer <= timeoutMicros / 4 && guard > 0 && guard < answer, "" + timeoutMicros);
+            assertTrue(response <= timeoutMicros / 4 && guard > 0 && guard < response, "" + timeoutMicros);
         }
     }
 }
--- a/experiment/src/main/java/calicochute/experiment/Complaint.java
+++ b/experiment/src/main/java/calicochute/experiment/Complaint.java
@@ -3,11 +3,11 @@
 /**
  * A reason why an experiment cannot run as configured.
  *
- * @param where name of the experiment and the field in question
- * @param seen the value found there
- * @param todo how an operator can correct it
+ * @param location name of the experiment and the field in question
+ * @param problem what is wrong there, such as the value found
+ * @param advice how an operator can correct it
  */
-public record Complaint(Code code, String where, String seen, String todo) {
+public record Complaint(Code code, String location, String problem, String advice) {
     /** The kind of the problem. */
     public enum Code {
         NAME_MISSING,
--- a/experiment/src/main/java/calicochute/experiment/ExperimentValidator.java
+++ b/experiment/src/main/java/calicochute/experiment/ExperimentValidator.java
@@ -81,8 +81,8 @@
                 / (experiment.least() * experiment.least()));
     }
 
-    private void add(Code code, String where, String seen, String todo) {
-        complaints.add(new Complaint(code, where, seen, todo));
+    private void add(Code code, String location, String problem, String advice) {
+        complaints.add(new Complaint(code, location, problem, advice));
     }
 
     private void validateNumbers(Experiment experiment) {
@@ -245,7 +245,7 @@
         }
     }
 
-    private double armWeight(String where, Selector selector) {
+    private double armWeight(String location, Selector selector) {
         double sum = context.servers().stream()
                 .filter(selector::selects)
                 .mapToDouble(Server::weight)
@@ -253,18 +253,18 @@
         if (!(sum > 0)) {
             add(
                     Code.ARM_EMPTY,
-                    where,
+                    location,
                     "no listed server of positive weight matches " + selector,
                     "compare with kind, cell, zone and id in the discovery list");
         }
         return sum;
     }
 
-    private void validateCapacity(String where, double share, double weightShare, String arm) {
+    private void validateCapacity(String location, double share, double weightShare, String arm) {
         if (share * context.peakUtilization() > weightShare) {
             add(
                     Code.SHARE_OVER_CAPACITY,
-                    where,
+                    location,
                     String.format(
                             "%.3f of the sessions go to the %s, which has %.3f of the weight of both arms, at a peak utilization of %.2f",
                             share, arm, weightShare, context.peakUtilization()),
--- a/lab/src/main/java/calicochute/lab/emulator/StartException.java
+++ b/lab/src/main/java/calicochute/lab/emulator/StartException.java
@@ -7,7 +7,7 @@
 public final class StartException extends CodedIoException {
     private static final long serialVersionUID = 1L;
 
-    public StartException(String place, String observed) {
-        super(Code.BALANCER_START, place, observed, null);
+    public StartException(String location, String problem) {
+        super(Code.BALANCER_START, location, problem, null);
     }
 }
--- a/lab/src/main/java/calicochute/lab/experiment/DeploymentException.java
+++ b/lab/src/main/java/calicochute/lab/experiment/DeploymentException.java
@@ -7,7 +7,7 @@
 public final class DeploymentException extends CodedIoException {
     private static final long serialVersionUID = 1L;
 
-    public DeploymentException(String where, String seen) {
-        super(Code.DEPLOYMENT, where, seen, null);
+    public DeploymentException(String location, String problem) {
+        super(Code.DEPLOYMENT, location, problem, null);
     }
 }
--- a/lab/src/main/java/calicochute/lab/result/ResultException.java
+++ b/lab/src/main/java/calicochute/lab/result/ResultException.java
@@ -7,7 +7,7 @@
 public final class ResultException extends CodedIoException {
     private static final long serialVersionUID = 1L;
 
-    public ResultException(String where, String seen) {
-        super(Code.RESULT_FOLDER, where, seen, null);
+    public ResultException(String location, String problem) {
+        super(Code.RESULT_FOLDER, location, problem, null);
     }
 }
