--- a/balancer/src/test/java/calicochute/process/BadLinkTest.java
+++ b/balancer/src/test/java/calicochute/process/BackendConnectionFaultTest.java
@@ -1,7 +1,7 @@
 package calicochute.process;
 
-import static calicochute.process.Program.await;
-import static calicochute.process.Program.session;
+import static calicochute.process.BalancerProcess.await;
+import static calicochute.process.BalancerProcess.session;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
@@ -21,16 +21,16 @@
  * Connections to backend servers that go bad in each way, under sessions of each effect, with a good server beside the
  * bad one: one final answer in time, nothing repeated that may have run, the failure charged once, no connection left.
  */
-public class BadLinkTest {
+public class BackendConnectionFaultTest {
     private static final String GOOD = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na map";
     private final AtomicInteger ids = new AtomicInteger(0x100);
     private final List<Socket> held = new CopyOnWriteArrayList<>();
     private final Semaphore renewals = new Semaphore(0);
     private volatile int generation = 1;
-    private Peer discovery;
-    private Peer good;
+    private ScriptedServer discovery;
+    private ScriptedServer good;
     private Link bad;
-    private Program program;
+    private BalancerProcess balancer;
 
     /** A server by hand: what it does with a connection once a request's head and body have come. */
     private interface Way {
@@ -64,7 +64,7 @@
 
         private void serve(Socket socket) {
             try {
-                while (Http.read(socket.getInputStream()) != null) {
+                while (HttpMessage.read(socket.getInputStream()) != null) {
                     requests.incrementAndGet();
                     way.meet(socket);
                 }
@@ -83,17 +83,17 @@
 
     @Before
     public void start() throws Exception {
-        discovery = new Peer(r -> {
+        discovery = new ScriptedServer(r -> {
             renewals.acquire();
-            return Http.answer(
+            return HttpMessage.response(
                     200,
                     "",
-                    Program.list(generation, "Ready", addresses())
+                    BalancerProcess.discoveryList(generation, "Ready", addresses())
                             .replace("startedAtMs\":0", "startedAtMs\":" + generation));
         });
-        good = new Peer(r -> GOOD.getBytes(StandardCharsets.US_ASCII));
+        good = new ScriptedServer(r -> GOOD.getBytes(StandardCharsets.US_ASCII));
         bad = new Link();
-        program = Program.with(discovery, addresses());
+        balancer = BalancerProcess.withBackends(discovery, addresses());
     }
 
     private String[] addresses() {
@@ -102,14 +102,14 @@
 
     @After
     public void stop() throws Exception {
-        program.stop();
+        balancer.stop();
         bad.close();
         good.close();
         discovery.close();
     }
 
-    private Http send(String lane, int waitMs) throws Exception {
-        return program.send(
+    private HttpMessage send(String lane, int waitMs) throws Exception {
+        return balancer.send(
                 session(String.format("%016x", ids.incrementAndGet()), lane)
                         .replace("X-Remaining-Ms: 8000", "X-Remaining-Ms: " + waitMs),
                 lane.equals("view") ? new byte[0] : new byte[1]);
@@ -130,9 +130,9 @@
      */
     private void renew() throws Exception {
         generation++;
-        long told = program.counter("discovery_answers");
+        long told = balancer.counter("discovery_answers");
         renewals.release();
-        await("started anew", () -> program.counter("discovery_answers") > told);
+        await("started anew", () -> balancer.counter("discovery_answers") > told);
     }
 
     /**
@@ -156,10 +156,10 @@
     private void checkEach(String outcome, Way way) throws Exception {
         bad.way = way;
         for (String lane : List.of("order", "view", "scan")) {
-            long failed = program.counter("dispatches_" + outcome);
+            long failed = balancer.counter("dispatches_" + outcome);
             int served = good.requests.size();
             int status = statusOfTheOneThatMetIt(lane, 8000);
-            assertEquals("charged once", failed + 1, program.counter("dispatches_" + outcome));
+            assertEquals("charged once", failed + 1, balancer.counter("dispatches_" + outcome));
             // What has no effect, or whose key all servers remember, goes to the good one; the order may have run.
             assertEquals(outcome + " " + lane, lane.equals("order") ? 502 : 200, status);
             assertTrue(good.requests.size() > served || lane.equals("order"));
@@ -167,10 +167,10 @@
         checkNoneIsLeft();
     }
 
-    /** The program has ended each connection to the bad server that the server had not ended itself. */
+    /** The balancer has ended each connection to the bad server that the server had not ended itself. */
     private void checkNoneIsLeft() throws Exception {
         for (Socket socket : held) {
-            assertTrue(socket.isClosed() || Program.ended(socket));
+            assertTrue(socket.isClosed() || BalancerProcess.awaitEnd(socket));
         }
     }
 
@@ -211,12 +211,12 @@
     public void silentAfterTheRequest() throws Exception {
         bad.way = socket -> Thread.sleep(Long.MAX_VALUE);
         for (String lane : List.of("order", "view", "scan")) {
-            long late = program.counter("dispatches_timed_out");
+            long late = balancer.counter("dispatches_timed_out");
             // A deny, where its repeat would do no harm; a failure where it may have run.
             assertEquals(lane, lane.equals("order") ? 504 : 503, statusOfTheOneThatMetIt(lane, 600));
-            assertEquals(late + 1, program.counter("dispatches_timed_out"));
+            assertEquals(late + 1, balancer.counter("dispatches_timed_out"));
         }
-        assertEquals(0, program.counter("sessions_ended_by_deadline"));
+        assertEquals(0, balancer.counter("sessions_ended_by_deadline"));
     }
 
     /** Taken by the kernel, never read: the answer comes by the deadline all the same, and nothing is left behind. */
@@ -231,7 +231,7 @@
             late += status == 504 ? 1 : 0;
         }
         assertEquals(1, late);
-        assertEquals(1, program.counter("dispatches_timed_out"));
+        assertEquals(1, balancer.counter("dispatches_timed_out"));
         checkNoneIsLeft();
     }
 
@@ -248,7 +248,7 @@
         for (int i = 0; i < 5; i++) {
             assertEquals(200, statusOfTheOneThatMetIt("order", 8000));
         }
-        assertEquals(0, program.counter("dispatches_reset"));
+        assertEquals(0, balancer.counter("dispatches_reset"));
     }
 
     /** Ended in the pool by the far side: the next session finds another connection, and none is failed by it. */
@@ -259,8 +259,8 @@
         for (Socket socket : held) {
             reset(socket);
         }
-        await("noticed", () -> program.counter("connections_ended_early") == 1);
+        await("noticed", () -> balancer.counter("connections_ended_early") == 1);
         assertEquals(200, statusOfTheOneThatMetIt("order", 8000));
-        assertEquals(0, program.counter("dispatches_reset") + program.counter("dispatches_connect_failed"));
+        assertEquals(0, balancer.counter("dispatches_reset") + balancer.counter("dispatches_connect_failed"));
     }
 }
--- a/balancer/src/test/java/calicochute/process/BadClientTest.java
+++ b/balancer/src/test/java/calicochute/process/BadClientTest.java
@@ -1,7 +1,7 @@
 package calicochute.process;
 
-import static calicochute.process.Program.await;
-import static calicochute.process.Program.session;
+import static calicochute.process.BalancerProcess.await;
+import static calicochute.process.BalancerProcess.session;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
@@ -15,31 +15,31 @@
 import org.junit.After;
 import org.junit.Test;
 
-/** The program as clients meet it that send what they should not, or nothing, or too much. */
-public class BadClientTest extends OneServer {
+/** The balancer as clients meet it that send what they should not, or nothing, or too much. */
+public class BadClientTest extends SingleServerFixture {
     private static final int DESCRIPTORS = 100;
     private static final String VIEW = session(ID, "view");
     private static final String SCAN = session(ID, "scan");
 
     @Override
-    Program program() throws Exception {
-        return new Program("", 80, discovery, server);
+    BalancerProcess startBalancer() throws Exception {
+        return new BalancerProcess("", 80, discovery, server);
     }
 
     /** Whatever came before: nothing of it has reached a server, and the next client is served. */
     @After
     public void theNextClientIsServed() throws Exception {
         int before = server.requests.size();
-        assertEquals(200, program.send(session("0" + ID.substring(1), "view")).status());
+        assertEquals(200, balancer.send(session("0" + ID.substring(1), "view")).status());
         assertEquals(before + 1, server.requests.size());
     }
 
     /** Sends the text as it is and returns the status of the one answer, after which the connection has to end. */
     private int raw(String text) throws Exception {
-        try (Socket socket = program.connect()) {
+        try (Socket socket = balancer.connect()) {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-            Http answer = Http.read(socket.getInputStream());
-            assertTrue(Program.ended(socket));
+            HttpMessage answer = HttpMessage.read(socket.getInputStream());
+            assertTrue(BalancerProcess.awaitEnd(socket));
             return answer.status();
         }
     }
@@ -71,14 +71,15 @@
         assertEquals(431, raw(VIEW + "X-Pad: " + "p".repeat(9000)));
         assertEquals(431, raw(VIEW + "X-Pad: p\r\n".repeat(100)));
         assertEquals(431, raw(VIEW + ("X-Pad: " + "p".repeat(4000) + "\r\n").repeat(5)));
-        assertEquals(5, program.counter("sessions_bad_input"));
+        assertEquals(5, balancer.counter("sessions_bad_input"));
     }
 
     /** A target goes on as it came: nothing of a path is taken for a host, and what is no path is refused. */
     @Test
     public void targetsAreNotTakenApart() throws Exception {
         for (String path : List.of("//evil/api", "///a/b", "//", "/a:b//c;d", "/%zz%00?x=//y")) {
-            assertEquals(path, 200, program.send(VIEW.replace("/api?q=1", path)).status());
+            assertEquals(
+                    path, 200, balancer.send(VIEW.replace("/api?q=1", path)).status());
             assertEquals(
                     "GET " + path + " HTTP/1.1",
                     server.requests.get(server.requests.size() - 1).firstLine());
@@ -99,33 +100,33 @@
                 "5\r\nhello\r\n0\r\n" + "X-T: y\r\n".repeat(200),
                 "5\r\nhelloo\r\n");
         for (String body : bodies) {
-            try (Socket socket = program.connect()) {
+            try (Socket socket = balancer.connect()) {
                 socket.getOutputStream()
                         .write((SCAN + "Transfer-Encoding: chunked\r\n\r\n" + body + "\r\n")
                                 .getBytes(StandardCharsets.US_ASCII));
-                assertTrue(Program.ended(socket));
+                assertTrue(BalancerProcess.awaitEnd(socket));
             }
         }
-        assertEquals(bodies.size(), program.counter("sessions_bad_input"));
-        try (Socket socket = program.connect()) {
+        assertEquals(bodies.size(), balancer.counter("sessions_bad_input"));
+        try (Socket socket = balancer.connect()) {
             socket.getOutputStream()
                     .write((SCAN + "Transfer-Encoding: chunked\r\n\r\n5\r\nhe").getBytes(StandardCharsets.US_ASCII));
             socket.setSoLinger(true, 0);
         }
         assertEquals(0, server.requests.size());
-        assertEquals("who goes has not sent bad input", bodies.size(), program.counter("sessions_bad_input"));
+        assertEquals("who goes has not sent bad input", bodies.size(), balancer.counter("sessions_bad_input"));
     }
 
     /** A head that breaks off behind any byte goes nowhere: not with less time than its client has, and not at all. */
     @Test
     public void aHeadCutShortIsNoSession() throws Exception {
         for (int bytes = 1; bytes <= VIEW.length(); bytes++) {
-            try (Socket socket = program.connect()) {
+            try (Socket socket = balancer.connect()) {
                 socket.getOutputStream().write(VIEW.substring(0, bytes).getBytes(StandardCharsets.US_ASCII));
                 socket.shutdownOutput();
-                assertTrue(Program.ended(socket));
+                assertTrue(BalancerProcess.awaitEnd(socket));
             }
-            assertEquals("cut behind byte " + bytes, 0, program.counter("sessions_taken"));
+            assertEquals("cut behind byte " + bytes, 0, balancer.counter("sessions_taken"));
         }
     }
 
@@ -134,16 +135,16 @@
     public void aBodyCutShortIsNoSession() throws Exception {
         String chunks = "02\r\nhe\r\n003\r\nllo\r\n0\r\n\r\n";
         for (int bytes = 0; bytes <= chunks.length(); bytes++) {
-            try (Socket socket = program.connect()) {
-                assertEquals("cut behind byte " + bytes, 0, program.counter("sessions_taken"));
+            try (Socket socket = balancer.connect()) {
+                assertEquals("cut behind byte " + bytes, 0, balancer.counter("sessions_taken"));
                 socket.getOutputStream()
                         .write((SCAN + "Transfer-Encoding: chunked\r\n\r\n" + chunks.substring(0, bytes))
                                 .getBytes(StandardCharsets.US_ASCII));
                 if (bytes < chunks.length()) {
                     socket.shutdownOutput();
-                    assertTrue(Program.ended(socket));
+                    assertTrue(BalancerProcess.awaitEnd(socket));
                 } else {
-                    assertEquals(200, Http.read(socket.getInputStream()).status());
+                    assertEquals(200, HttpMessage.read(socket.getInputStream()).status());
                 }
             }
         }
@@ -162,16 +163,16 @@
         assertEquals(400, raw((VIEW.replace("view", "none") + "\r\n").repeat(200)));
         server.script = r -> {
             release.await();
-            return Http.answer(200, "", "the first");
+            return HttpMessage.response(200, "", "the first");
         };
-        try (Socket socket = program.connect()) {
+        try (Socket socket = balancer.connect()) {
             socket.getOutputStream().write((VIEW + "\r\n").repeat(3).getBytes(StandardCharsets.US_ASCII));
             await("dispatched", () -> server.requests.size() == 1);
             release.countDown();
-            Http answer = Http.read(socket.getInputStream());
+            HttpMessage answer = HttpMessage.read(socket.getInputStream());
             assertEquals(200, answer.status());
             assertEquals("close", answer.header("Connection"));
-            assertTrue(Program.ended(socket));
+            assertTrue(BalancerProcess.awaitEnd(socket));
         }
         assertEquals(1, server.requests.size());
     }
@@ -181,15 +182,15 @@
     public void slowClientsAreNotWaitedFor() throws Exception {
         server.script = r -> {
             release.await();
-            return Http.answer(200, "", "late");
+            return HttpMessage.response(200, "", "late");
         };
-        try (Socket owed = program.connect();
-                Socket silent = program.connect();
-                Socket half = program.connect();
-                Socket dripping = program.connect();
-                Socket body = program.connect()) {
+        try (Socket owed = balancer.connect();
+                Socket silent = balancer.connect();
+                Socket half = balancer.connect();
+                Socket dripping = balancer.connect();
+                Socket body = balancer.connect()) {
             body.getOutputStream().write((SCAN + "Content-Length: 60000\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-            owed.getOutputStream().write(Http.message(VIEW, new byte[0]));
+            owed.getOutputStream().write(HttpMessage.encode(VIEW, new byte[0]));
             half.getOutputStream().write("GET /api HTT".getBytes(StandardCharsets.US_ASCII));
             await("those that drip end, in the head and in the body", () -> {
                 boolean all = true;
@@ -203,11 +204,11 @@
                 }
                 return all;
             });
-            assertTrue(Program.ended(silent));
-            assertTrue(Program.ended(half));
-            assertEquals(4, program.counter("clients_closed_slow"));
+            assertTrue(BalancerProcess.awaitEnd(silent));
+            assertTrue(BalancerProcess.awaitEnd(half));
+            assertEquals(4, balancer.counter("clients_closed_slow"));
             release.countDown();
-            assertEquals(200, Http.read(owed.getInputStream()).status());
+            assertEquals(200, HttpMessage.read(owed.getInputStream()).status());
         }
     }
 
@@ -217,9 +218,9 @@
     @Test
     public void acceptingOutlivesALackOfDescriptors() throws Exception {
         List<Socket> silent = new ArrayList<>();
-        Program scarce = Program.scarce(DESCRIPTORS, discovery, server);
+        BalancerProcess scarce = BalancerProcess.withTooFewDescriptors(DESCRIPTORS, discovery, server);
         try {
-            assertEquals(200, scarce.admin("GET health", "").status());
+            assertEquals(200, scarce.callAdmin("GET health", "").status());
             // All at once: one after another on a loaded machine the first would be ended for their silence before the
             // last one comes.
             for (int i = 0; i < DESCRIPTORS; i++) {
@@ -227,12 +228,12 @@
             }
             await("out of descriptors", () -> scarce.log().contains("Too many open files"));
             for (int i = 0; i < 20; i++) {
-                silent.add(new Socket(InetAddress.getLoopbackAddress(), scarce.admin));
+                silent.add(new Socket(InetAddress.getLoopbackAddress(), scarce.adminPort));
             }
             for (Socket socket : silent) {
                 socket.close();
             }
-            await("asked", () -> scarce.admin("GET health", "").status() == 200);
+            await("asked", () -> scarce.callAdmin("GET health", "").status() == 200);
             await(
                     "served",
                     () -> scarce.send(session("1" + ID.substring(1), "view")).status() == 200);
@@ -247,18 +248,18 @@
     public void silentClientsMakeRoom() throws Exception {
         server.script = r -> {
             release.await();
-            return Http.answer(200, "", "late");
+            return HttpMessage.response(200, "", "late");
         };
         List<Socket> silent = new ArrayList<>();
-        try (Socket owed = program.connect()) {
-            owed.getOutputStream().write(Http.message(VIEW, new byte[0]));
+        try (Socket owed = balancer.connect()) {
+            owed.getOutputStream().write(HttpMessage.encode(VIEW, new byte[0]));
             await("dispatched", () -> server.requests.size() == 1);
             for (int i = 0; i < 60; i++) {
-                silent.add(program.connect());
+                silent.add(balancer.connect());
             }
-            await("made room", () -> program.counter("clients_closed_for_room") > 40);
+            await("made room", () -> balancer.counter("clients_closed_for_room") > 40);
             release.countDown();
-            assertEquals(200, Http.read(owed.getInputStream()).status());
+            assertEquals(200, HttpMessage.read(owed.getInputStream()).status());
         }
         for (Socket socket : silent) {
             socket.close();
@@ -274,13 +275,14 @@
         List<Socket> crowd = new ArrayList<>();
         for (int round = 0; round < 20; round++) {
             for (int i = 0; i < 20; i++) {
-                crowd.add(program.connect());
+                crowd.add(balancer.connect());
             }
             assertEquals(
                     200,
-                    program.send(session(String.format("%016x", round), "view")).status());
+                    balancer.send(session(String.format("%016x", round), "view"))
+                            .status());
         }
-        assertEquals(0, program.counter("acceptor_waits"));
+        assertEquals(0, balancer.counter("acceptor_waits"));
         for (Socket socket : crowd) {
             socket.close();
         }
@@ -290,11 +292,14 @@
     @Test
     public void aCrowdLeavesTheOthersTheirDescriptors() throws Exception {
         List<Socket> crowd = new ArrayList<>();
-        Program limited = Program.limited(160, discovery, server);
+        BalancerProcess limited = BalancerProcess.withDescriptorLimit(160, discovery, server);
         try {
-            discovery.script = r -> Http.answer(200, "", Program.list(2, "Ready", server));
+            discovery.script = r -> HttpMessage.response(200, "", BalancerProcess.discoveryList(2, "Ready", server));
             for (int i = 0; i < 600; i++) {
-                crowd.add(i % 3 == 0 ? new Socket(InetAddress.getLoopbackAddress(), limited.admin) : limited.connect());
+                crowd.add(
+                        i % 3 == 0
+                                ? new Socket(InetAddress.getLoopbackAddress(), limited.adminPort)
+                                : limited.connect());
             }
             int calls = discovery.requests.size();
             assertEquals(
@@ -302,7 +307,9 @@
                     200,
                     limited.send(session(ID, "view")).status());
             assertEquals(
-                    "the second address", 200, limited.admin("GET health", "").status());
+                    "the second address",
+                    200,
+                    limited.callAdmin("GET health", "").status());
             await("discovery is asked", () -> discovery.requests.size() > calls);
             assertEquals(limited.log(), 0, limited.counter("acceptor_waits"));
             assertTrue(limited.log(), !limited.log().contains("Too many open files"));
@@ -324,11 +331,11 @@
         List<Socket> asking = new ArrayList<>();
         discovery.script = r -> null;
         release.countDown();
-        Program scarce = Program.scarce(100, discovery, server);
+        BalancerProcess scarce = BalancerProcess.withTooFewDescriptors(100, discovery, server);
         try {
             // Started from folders of classes, not from its jar, a class's first use takes a descriptor too: used here
             // before.
-            assertEquals(200, scarce.admin("GET health", "").status());
+            assertEquals(200, scarce.callAdmin("GET health", "").status());
             assertEquals(200, scarce.send(VIEW).status());
             await("out of descriptors", () -> {
                 Socket socket = scarce.connect();
@@ -341,21 +348,24 @@
             CountDownLatch together = new CountDownLatch(1);
             server.script = r -> {
                 together.await();
-                return Http.answer(200, "", "a map");
+                return HttpMessage.response(200, "", "a map");
             };
             int before = server.requests.size();
             for (int i = 0; i < 6; i++) {
                 Socket socket = scarce.connect();
                 asking.add(socket);
-                socket.getOutputStream().write(Http.message(session(String.format("%016x", i), "view"), new byte[0]));
+                socket.getOutputStream()
+                        .write(HttpMessage.encode(session(String.format("%016x", i), "view"), new byte[0]));
             }
             await("connections to a backend server", () -> server.requests.size() == before + asking.size());
             assertEquals(
-                    "the second address", 200, scarce.admin("GET health", "").status());
+                    "the second address",
+                    200,
+                    scarce.callAdmin("GET health", "").status());
             await("discovery is asked", () -> discovery.requests.size() > calls);
             together.countDown();
             for (Socket socket : asking) {
-                assertEquals(200, Http.read(socket.getInputStream()).status());
+                assertEquals(200, HttpMessage.read(socket.getInputStream()).status());
             }
             assertTrue(scarce.counter("clients_closed_for_room") > 0);
             assertEquals(
--- a/balancer/src/test/java/calicochute/process/BadServerTest.java
+++ b/balancer/src/test/java/calicochute/process/BadServerTest.java
@@ -1,8 +1,8 @@
 package calicochute.process;
 
-import static calicochute.process.Program.await;
-import static calicochute.process.Program.list;
-import static calicochute.process.Program.session;
+import static calicochute.process.BalancerProcess.await;
+import static calicochute.process.BalancerProcess.discoveryList;
+import static calicochute.process.BalancerProcess.session;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
@@ -17,13 +17,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.Test;
 
-/** The program as backend servers meet it whose answers are spoilt, or bring more than belongs to them. */
-public class BadServerTest extends OneServer {
+/** The balancer as backend servers meet it whose answers are spoilt, or bring more than belongs to them. */
+public class BadServerTest extends SingleServerFixture {
     private static final String GOOD = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na map";
 
-    private Http order(String answer) throws Exception {
+    private HttpMessage order(String answer) throws Exception {
         server.script = r -> answer.getBytes(StandardCharsets.ISO_8859_1);
-        return program.send(session(ID, "order"), new byte[1]);
+        return balancer.send(session(ID, "order"), new byte[1]);
     }
 
     /** It may have run and is not repeated; nothing of the answer is served, and its connection is not used again. */
@@ -44,7 +44,7 @@
         for (String answer : spoilt) {
             assertEquals(answer, 502, order(answer).status());
         }
-        await("closed", () -> server.ended.size() == spoilt.size());
+        await("closed", () -> server.endedConnections.size() == spoilt.size());
         assertEquals(spoilt.size(), server.requests.size());
     }
 
@@ -57,12 +57,12 @@
                 report,
                 GOOD + GOOD,
                 GOOD + "noise without an end")) {
-            int open = server.ended.size();
-            Http served = order(answer);
+            int open = server.endedConnections.size();
+            HttpMessage served = order(answer);
             assertEquals(200, served.status());
             assertEquals("a map", new String(served.body(), StandardCharsets.US_ASCII));
             if (answer.length() > GOOD.length() && answer.startsWith(GOOD)) {
-                await("closed", () -> server.ended.size() == open + 1);
+                await("closed", () -> server.endedConnections.size() == open + 1);
             }
             assertEquals(
                     "next",
@@ -71,7 +71,7 @@
                                     .body(),
                             StandardCharsets.US_ASCII));
         }
-        assertEquals("the program ended them, not the server", 0, program.counter("connections_ended_early"));
+        assertEquals("the balancer ended them, not the server", 0, balancer.counter("connections_ended_early"));
     }
 
     /** A 4xx is the client's, passed on and not repeated; but a deny may not follow what may have run. */
@@ -83,7 +83,7 @@
         assertEquals(
                 502, order("HTTP/1.1 429 Enough\r\nContent-Length: 0\r\n\r\n").status());
         assertEquals(2, server.requests.size());
-        assertEquals(1, program.counter("dispatches_rejected"));
+        assertEquals(1, balancer.counter("dispatches_rejected"));
     }
 
     /**
@@ -96,7 +96,7 @@
             int ends = i + 1;
             assertEquals(200, order(GOOD).status());
             server.connections.get(i).close();
-            await("noticed", () -> program.counter("connections_ended_early") == ends);
+            await("noticed", () -> balancer.counter("connections_ended_early") == ends);
             assertEquals(ends, server.connections.size());
         }
         assertEquals(5, server.requests.size());
@@ -108,7 +108,7 @@
      */
     private static final class Ending implements AutoCloseable {
         final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        final List<Http> requests = new CopyOnWriteArrayList<>();
+        final List<HttpMessage> requests = new CopyOnWriteArrayList<>();
         final AtomicInteger begun = new AtomicInteger();
         final AtomicInteger over = new AtomicInteger();
 
@@ -137,13 +137,13 @@
                 }
                 socket.setSoTimeout(30_000);
                 socket.shutdownOutput();
-                for (Http request = Http.read(socket.getInputStream());
+                for (HttpMessage request = HttpMessage.read(socket.getInputStream());
                         request != null;
-                        request = Http.read(socket.getInputStream())) {
+                        request = HttpMessage.read(socket.getInputStream())) {
                     requests.add(request);
                 }
             } catch (IOException e) {
-                // The program ended it with a reset; what it had sent before that has been read.
+                // The balancer ended it with a reset; what it had sent before that has been read.
             }
         }
 
@@ -154,27 +154,27 @@
     }
 
     /**
-     * A server that ends each connection as it comes up. Where the program heard of it before it sent the request the
+     * A server that ends each connection as it comes up. Where the balancer heard of it before it sent the request the
      * server has run nothing, and the session is denied; where not it may have run, and the session has failed. Which
      * of the two is the machine's choice at each; ImmediateCloseTest has both orders by hand.
      */
     private void checkEndedAtOnce(boolean resets) throws Exception {
-        program.stop();
+        balancer.stop();
         try (Ending ending = new Ending(resets)) {
-            program = Program.with(discovery, "127.0.0.1:" + ending.listener.getLocalPort());
+            balancer = BalancerProcess.withBackends(discovery, "127.0.0.1:" + ending.listener.getLocalPort());
             List<Integer> statuses = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
-                long reset = program.counter("dispatches_reset");
-                long refused = program.counter("dispatches_connect_failed");
-                long sent = program.counter("dispatches_sent");
-                int status = program.send(session(String.format("%016x", i), "order"), new byte[1])
+                long reset = balancer.counter("dispatches_reset");
+                long refused = balancer.counter("dispatches_connect_failed");
+                long sent = balancer.counter("dispatches_sent");
+                int status = balancer.send(session(String.format("%016x", i), "order"), new byte[1])
                         .status();
-                reset = program.counter("dispatches_reset") - reset;
-                refused = program.counter("dispatches_connect_failed") - refused;
+                reset = balancer.counter("dispatches_reset") - reset;
+                refused = balancer.counter("dispatches_connect_failed") - refused;
                 assertTrue("session " + i + " was sent " + reset + " times", reset <= 1);
                 assertEquals("session " + i, reset == 1 ? 502 : 503, status);
                 assertEquals(
-                        "each dispatch is accounted for", program.counter("dispatches_sent") - sent, reset + refused);
+                        "each dispatch is accounted for", balancer.counter("dispatches_sent") - sent, reset + refused);
                 statuses.add(status);
             }
             assertTrue("some were dispatched", ending.begun.get() > 0);
@@ -211,14 +211,14 @@
             if (r.firstLine().contains("since=2")) {
                 release.await();
             }
-            return Http.answer(
+            return HttpMessage.response(
                     200,
                     "",
-                    list(2, "Gone", server)
+                    discoveryList(2, "Gone", server)
                             .replace(
                                     "]}",
                                     ","
-                                            + list(1, "Ready", server)
+                                            + discoveryList(1, "Ready", server)
                                                     .replaceAll(".*\\[|\\].*", "")
                                                     .replace("\"s127", "\"new127")
                                             + "]}"));
@@ -226,8 +226,8 @@
         for (Socket socket : discovery.connections) {
             socket.close();
         }
-        await("told", () -> program.log().contains("generation=2"));
-        await("its connection is closed", () -> server.ended.size() == 1);
+        await("told", () -> balancer.log().contains("generation=2"));
+        await("its connection is closed", () -> server.endedConnections.size() == 1);
         assertEquals(200, order(GOOD).status());
         assertEquals(2, server.connections.size());
     }
@@ -235,7 +235,7 @@
     /** An answer that breaks off behind any of its bytes is never taken for a whole one. */
     @Test
     public void anAnswerCutShortIsNone() throws Exception {
-        server.endsBehind = true;
+        server.closesAfterResponse = true;
         for (int bytes = 1; bytes < GOOD.length(); bytes++) {
             assertEquals(
                     "cut behind byte " + bytes,
--- a/balancer/src/test/java/calicochute/process/ClientEndTest.java
+++ b/balancer/src/test/java/calicochute/process/ClientEndTest.java
@@ -1,7 +1,7 @@
 package calicochute.process;
 
-import static calicochute.process.Program.await;
-import static calicochute.process.Program.session;
+import static calicochute.process.BalancerProcess.await;
+import static calicochute.process.BalancerProcess.session;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
@@ -14,14 +14,14 @@
 import org.junit.Test;
 
 /** Clients that go while an answer is owed, and connections that end while bytes are on their way. */
-public class ClientEndTest extends OneServer {
+public class ClientEndTest extends SingleServerFixture {
     private static final String VIEW = session(ID, "view") + "\r\n";
 
     /** Their answers wait until {@link #release}: what ends before has ended for another reason. */
     private void holdAnswers() {
         server.script = r -> {
             release.await();
-            return Http.answer(200, "", "a map");
+            return HttpMessage.response(200, "", "a map");
         };
     }
 
@@ -40,7 +40,7 @@
         int gone = 0;
         for (boolean reset : List.of(false, true)) {
             for (String bytes : behind) {
-                Socket socket = program.connect();
+                Socket socket = balancer.connect();
                 socket.getOutputStream().write(named(gone).getBytes(StandardCharsets.US_ASCII));
                 int sent = gone + 1;
                 await("dispatched", () -> server.requests.size() == sent);
@@ -54,8 +54,8 @@
                 }
                 await(
                         "gone behind " + bytes.length() + " bytes, reset " + reset,
-                        () -> program.counter("sessions_client_gone") == sent
-                                && program.counter("dispatches_cancelled") == sent);
+                        () -> balancer.counter("sessions_client_gone") == sent
+                                && balancer.counter("dispatches_cancelled") == sent);
                 socket.close();
                 gone++;
             }
@@ -67,22 +67,22 @@
     @Test
     public void goneInADrain() throws Exception {
         holdAnswers();
-        try (Socket socket = program.connect()) {
+        try (Socket socket = balancer.connect()) {
             socket.getOutputStream().write((VIEW + "x").getBytes(StandardCharsets.US_ASCII));
             await("dispatched", () -> server.requests.size() == 1);
-            program.process.destroy();
-            await("draining", () -> program.log().contains("draining unanswered=1"));
+            balancer.process.destroy();
+            await("draining", () -> balancer.log().contains("draining unanswered=1"));
         }
-        assertTrue(program.process.waitFor(30, TimeUnit.SECONDS));
-        assertTrue(program.log(), program.log().contains("sessions_client_gone 1"));
-        assertTrue(program.log(), program.log().contains("sessions_ended_by_stop 0"));
+        assertTrue(balancer.process.waitFor(30, TimeUnit.SECONDS));
+        assertTrue(balancer.log(), balancer.log().contains("sessions_client_gone 1"));
+        assertTrue(balancer.log(), balancer.log().contains("sessions_ended_by_stop 0"));
     }
 
     /** A client that sends on behind its request is not read for ever. */
     @Test
     public void aFloodBehindARequestIsEnded() throws Exception {
         holdAnswers();
-        try (Socket socket = program.connect()) {
+        try (Socket socket = balancer.connect()) {
             OutputStream out = socket.getOutputStream();
             out.write(VIEW.getBytes(StandardCharsets.US_ASCII));
             await("ended", () -> {
@@ -94,8 +94,8 @@
                 }
             });
         }
-        await("gone", () -> program.counter("sessions_client_gone") == 1);
-        assertEquals(1, program.counter("clients_closed_flooding"));
+        await("gone", () -> balancer.counter("sessions_client_gone") == 1);
+        assertEquals(1, balancer.counter("clients_closed_flooding"));
     }
 
     /**
@@ -105,21 +105,21 @@
     @Test
     public void anAnswerOutlivesBytesBehindItsRequest() throws Exception {
         holdAnswers();
-        try (Socket socket = program.connect();
-                Socket tooLong = program.connect()) {
+        try (Socket socket = balancer.connect();
+                Socket tooLong = balancer.connect()) {
             socket.getOutputStream().write((VIEW + named(7).repeat(500)).getBytes(StandardCharsets.US_ASCII));
             await("dispatched", () -> server.requests.size() == 1);
             release.countDown();
-            await("answered", () -> program.counter("sessions_served") == 1);
+            await("answered", () -> balancer.counter("sessions_served") == 1);
             socket.getOutputStream().write(named(8).getBytes(StandardCharsets.US_ASCII));
-            assertEquals(200, Http.read(socket.getInputStream()).status());
+            assertEquals(200, HttpMessage.read(socket.getInputStream()).status());
             assertEquals("the end, and no reset", -1, socket.getInputStream().read());
             // Refused at its head, while the body comes on.
             tooLong.getOutputStream()
                     .write((session(ID, "scan") + "Content-Length: 60000000\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
             tooLong.getOutputStream().write(new byte[300_000]);
-            assertEquals(413, Http.read(tooLong.getInputStream()).status());
+            assertEquals(413, HttpMessage.read(tooLong.getInputStream()).status());
             assertEquals("the end, and no reset", -1, tooLong.getInputStream().read());
         }
         assertEquals("none of what came behind is sent on", 1, server.requests.size());
--- a/balancer/src/test/java/calicochute/process/CustomerSettingsTest.java
+++ b/balancer/src/test/java/calicochute/process/CustomerSettingsTest.java
@@ -1,7 +1,7 @@
 package calicochute.process;
 
-import static calicochute.process.Program.await;
-import static calicochute.process.Program.session;
+import static calicochute.process.BalancerProcess.await;
+import static calicochute.process.BalancerProcess.session;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
@@ -28,29 +28,29 @@
 
     private void serves(UnaryOperator<String> settings, int remainingMs, String... lanes) throws Exception {
         AtomicInteger taken = new AtomicInteger();
-        try (Peer discovery = Peer.silent(release);
-                Peer server = new Peer(r -> {
+        try (ScriptedServer discovery = ScriptedServer.silent(release);
+                ScriptedServer server = new ScriptedServer(r -> {
                     if (taken.incrementAndGet() % 3 == 0) {
                         release.await();
                     }
-                    return Http.answer(200, "", "a map");
+                    return HttpMessage.response(200, "", "a map");
                 })) {
-            Program program = Program.edited(settings, discovery, server);
+            BalancerProcess balancer = BalancerProcess.withEditedConfig(settings, discovery, server);
             Set<Integer> statuses = new TreeSet<>();
             for (int i = 0; i < SESSIONS; i++) {
-                statuses.add(program.send(next(lanes[i % lanes.length], remainingMs), new byte[0])
+                statuses.add(balancer.send(next(lanes[i % lanes.length], remainingMs), new byte[0])
                         .status());
             }
             assertTrue(statuses.toString(), Set.of(200, 502, 503, 504).containsAll(statuses));
-            assertEquals(SESSIONS, program.counter("sessions_taken"));
-            assertEquals(0, program.counter("invariants_broken"));
-            assertEquals(0, program.counter("module_faults"));
-            program.signal("HUP");
-            await("reloaded", () -> program.counter("reloads") == 1);
-            program.send(next(lanes[0], remainingMs));
-            program.process.destroy();
-            assertTrue(program.process.waitFor(30, TimeUnit.SECONDS));
-            assertTrue(program.log(), program.log().contains("drained unanswered=0"));
+            assertEquals(SESSIONS, balancer.counter("sessions_taken"));
+            assertEquals(0, balancer.counter("invariants_broken"));
+            assertEquals(0, balancer.counter("module_faults"));
+            balancer.signal("HUP");
+            await("reloaded", () -> balancer.counter("reloads") == 1);
+            balancer.send(next(lanes[0], remainingMs));
+            balancer.process.destroy();
+            assertTrue(balancer.process.waitFor(30, TimeUnit.SECONDS));
+            assertTrue(balancer.log(), balancer.log().contains("drained unanswered=0"));
         } finally {
             release.countDown();
         }
@@ -119,14 +119,14 @@
     /** Of a client's few milliseconds a quarter is kept for the answer's way, not more than there are. */
     @Test
     public void littleTimeIsNotNone() throws Exception {
-        try (Peer discovery = Peer.silent(release);
-                Peer server = new Peer(r -> Http.answer(200, "", "a map"))) {
-            Program program = new Program(discovery, server);
+        try (ScriptedServer discovery = ScriptedServer.silent(release);
+                ScriptedServer server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"))) {
+            BalancerProcess balancer = new BalancerProcess(discovery, server);
             await("one of them is sent on", () -> {
-                program.send(next("view", 14));
-                return program.counter("dispatches_sent") > 0;
+                balancer.send(next("view", 14));
+                return balancer.counter("dispatches_sent") > 0;
             });
-            program.stop();
+            balancer.stop();
         } finally {
             release.countDown();
         }
--- a/balancer/src/test/java/calicochute/process/BadListTest.java
+++ b/balancer/src/test/java/calicochute/process/DiscoveryListTest.java
@@ -1,7 +1,7 @@
 package calicochute.process;
 
-import static calicochute.process.Program.await;
-import static calicochute.process.Program.list;
+import static calicochute.process.BalancerProcess.await;
+import static calicochute.process.BalancerProcess.discoveryList;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
@@ -13,35 +13,35 @@
 import org.junit.Test;
 
 /** Lists that are large, old or say one thing twice: each follows a rule that docs/oncall.md states. */
-public class BadListTest {
+public class DiscoveryListTest {
     private final BlockingQueue<String> lists = new LinkedBlockingQueue<>();
-    private Peer discovery;
-    private Peer server;
-    private Peer other;
-    private Program program;
+    private ScriptedServer discovery;
+    private ScriptedServer server;
+    private ScriptedServer other;
+    private BalancerProcess balancer;
     private int sessions;
 
     /** Discovery that tells what the test puts in line; the heap is that of the deployment. */
     @Before
     public void start() throws Exception {
-        discovery = new Peer(r -> Http.answer(200, "", lists.take()));
-        server = new Peer(r -> Http.answer(200, "", "a map"));
-        other = new Peer(r -> Http.answer(200, "", "another"));
-        program = Program.withHeap("96m", discovery, server);
+        discovery = new ScriptedServer(r -> HttpMessage.response(200, "", lists.take()));
+        server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
+        other = new ScriptedServer(r -> HttpMessage.response(200, "", "another"));
+        balancer = BalancerProcess.withMaxHeap("96m", discovery, server);
     }
 
     @After
     public void stop() throws Exception {
-        program.stop();
-        assertFalse(program.log(), program.log().contains("OutOfMemory"));
-        for (Peer peer : new Peer[] {discovery, server, other}) {
+        balancer.stop();
+        assertFalse(balancer.log(), balancer.log().contains("OutOfMemory"));
+        for (ScriptedServer peer : new ScriptedServer[] {discovery, server, other}) {
             peer.close();
         }
     }
 
     private void tell(int generation, boolean whole, String... entries) throws Exception {
         lists.add(whole(generation, whole, entries));
-        await("told", () -> program.log().contains("generation=" + generation + " "));
+        await("told", () -> balancer.log().contains("generation=" + generation + " "));
     }
 
     private static String whole(int generation, boolean whole, String... entries) {
@@ -49,7 +49,7 @@
                 + "]}";
     }
 
-    private static String entry(String id, Peer at, String lifecycle) {
+    private static String entry(String id, ScriptedServer at, String lifecycle) {
         return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + at.address()
                 + "\",\"zone\":\"a\",\"machineType\":\"m\"," + "\"cell\":0,\"lifecycle\":\"" + lifecycle
                 + "\",\"weight\":1.0,\"startedAtMs\":0}";
@@ -61,8 +61,8 @@
     }
 
     private String session(int remainingMs) throws Exception {
-        Http answer = program.send(
-                Program.session(String.format("%016x", ++sessions), "view").replace(": 8000", ": " + remainingMs));
+        HttpMessage answer = balancer.send(BalancerProcess.session(String.format("%016x", ++sessions), "view")
+                .replace(": 8000", ": " + remainingMs));
         return answer.status() + new String(answer.body());
     }
 
@@ -89,7 +89,7 @@
     public void anOlderGeneration() throws Exception {
         tell(7, true, entry("one", server, "Ready"), entry("two", other, "Terminating"));
         lists.add(whole(3, false, entry("one", server, "Terminating"), entry("two", other, "Ready")));
-        await("refused", () -> program.counter("discovery_older") == 1);
+        await("refused", () -> balancer.counter("discovery_older") == 1);
         assertEquals("200a map", served());
         int asked = discovery.requests.size();
         await("asked again", () -> discovery.requests.size() > asked || asked > 2);
@@ -112,7 +112,7 @@
         lists.add(whole(5, false));
         await("asked again", () -> discovery.requests.size() >= 3);
         assertTrue(discovery.requests.get(2).firstLine().contains("since=7&"));
-        assertEquals(0, program.counter("discovery_failures"));
+        assertEquals(0, balancer.counter("discovery_failures"));
     }
 
     /** Two names of one machine: each stands for itself, and the one that goes takes nothing from the other. */
@@ -157,10 +157,10 @@
                 true,
                 entry("two", other, "Ready"),
                 entry("three", other, "Ready").replace("\"a\"", "null")));
-        await("refused", () -> program.counter("discovery_malformed") == 1);
+        await("refused", () -> balancer.counter("discovery_malformed") == 1);
         assertEquals("200a map", served());
-        lists.add(list(4, "Terminating", "s1:80"));
-        await("refused", () -> program.counter("discovery_malformed") == 2);
+        lists.add(discoveryList(4, "Terminating", "s1:80"));
+        await("refused", () -> balancer.counter("discovery_malformed") == 2);
         tell(5, true, entry("two", other, "Ready"));
         assertEquals("200another", served());
     }
--- a/balancer/src/test/java/calicochute/process/EarlyStopTest.java
+++ b/balancer/src/test/java/calicochute/process/EarlyStopTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 
-/** A planned stop that comes as soon as anybody can see the program listen. */
+/** A planned stop that comes as soon as anybody can see the balancer listen. */
 public class EarlyStopTest {
     private static final int ROUNDS = 12;
 
@@ -32,20 +32,21 @@
     @Test
     public void whatIsTakenRightAfterTheStartIsAnswered() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        try (Peer discovery = Peer.silent(release);
-                Peer server = new Peer(r -> Http.answer(200, "", "a map"))) {
+        try (ScriptedServer discovery = ScriptedServer.silent(release);
+                ScriptedServer server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"))) {
             for (int round = 0; round < ROUNDS; round++) {
-                int port = Program.freePort();
+                int port = BalancerProcess.freePort();
                 Path config = Files.createTempFile("calicochute", ".json");
-                Files.writeString(config, Program.configuration(port, 0, 1024, discovery, server));
+                Files.writeString(config, BalancerProcess.configuration(port, 0, 1024, discovery, server));
                 Path log = Files.createTempFile("calicochute", ".log");
-                Process process = Program.start(log, "serve", "--config", config.toString());
+                Process process = BalancerProcess.start(log, "serve", "--config", config.toString());
                 try (Socket socket = connected(port)) {
                     process.destroy();
                     socket.setSoTimeout(30_000);
                     socket.getOutputStream()
-                            .write(Http.message(Program.session(String.format("%016x", round), "view"), new byte[0]));
-                    Http answer = Http.read(socket.getInputStream());
+                            .write(HttpMessage.encode(
+                                    BalancerProcess.session(String.format("%016x", round), "view"), new byte[0]));
+                    HttpMessage answer = HttpMessage.read(socket.getInputStream());
                     assertNotNull("round " + round + ": " + Files.readString(log), answer);
                     assertEquals(200, answer.status());
                 }
--- a/balancer/src/test/java/calicochute/process/Http.java
+++ b/balancer/src/test/java/calicochute/process/HttpMessage.java
@@ -6,38 +6,38 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** One HTTP/1.1 message as it stood on a socket: its head's text and its body's bytes. */
-record Http(String head, byte[] body) {
-    /** Reads one message; null at the end of input. */
-    static Http read(InputStream in) throws IOException {
+/** An HTTP/1.1 message: the text of its head, as read from a socket, and its decoded body. */
+record HttpMessage(String head, byte[] body) {
+    /** Reads one message; returns null if the input ends within the head. */
+    static HttpMessage read(InputStream input) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
-            int b = in.read();
-            if (b < 0) {
+            int octet = input.read();
+            if (octet < 0) {
                 return null;
             }
-            head.write(b);
+            head.write(octet);
         }
         String text = head.toString(StandardCharsets.ISO_8859_1);
-        String length = new Http(text, null).header("Content-Length");
-        if ("chunked".equalsIgnoreCase(new Http(text, null).header("Transfer-Encoding"))) {
-            return new Http(text, chunks(in));
+        String length = new HttpMessage(text, null).header("Content-Length");
+        if ("chunked".equalsIgnoreCase(new HttpMessage(text, null).header("Transfer-Encoding"))) {
+            return new HttpMessage(text, readChunkedBody(input));
         }
-        return new Http(text, in.readNBytes(length == null ? 0 : Integer.parseInt(length)));
+        return new HttpMessage(text, input.readNBytes(length == null ? 0 : Integer.parseInt(length)));
     }
 
-    private static byte[] chunks(InputStream in) throws IOException {
+    private static byte[] readChunkedBody(InputStream input) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         while (true) {
-            int size = Integer.parseInt(line(in).replaceFirst(";.*", ""), 16);
-            byte[] chunk = in.readNBytes(size);
+            int size = Integer.parseInt(readLine(input).replaceFirst(";.*", ""), 16);
+            byte[] chunk = input.readNBytes(size);
             if (chunk.length < size) {
-                throw new IOException("cut short after " + (body.size() + chunk.length) + " bytes");
+                throw new IOException("body ended after " + (body.size() + chunk.length) + " bytes");
             }
             body.write(chunk);
-            String end = line(in);
+            String end = readLine(input);
             while (size == 0 && !end.isEmpty()) {
-                end = line(in);
+                end = readLine(input);
             }
             if (size == 0) {
                 return body.toByteArray();
@@ -45,19 +45,23 @@
         }
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream input) throws IOException {
         StringBuilder line = new StringBuilder();
         while (!line.toString().endsWith("\r\n")) {
-            int b = in.read();
-            if (b < 0) {
-                throw new IOException("cut short");
+            int octet = input.read();
+            if (octet < 0) {
+                throw new IOException("input ended within a line");
             }
-            line.append((char) b);
+            line.append((char) octet);
         }
         return line.substring(0, line.length() - 2);
     }
 
-    static byte[] message(String head, byte[] body) {
+    /**
+     * Returns the bytes of a message; {@code head} ends with CRLF, and Content-Length is added unless the method is
+     * GET.
+     */
+    static byte[] encode(String head, byte[] body) {
         byte[] start = (head + (head.startsWith("GET") ? "" : "Content-Length: " + body.length + "\r\n") + "\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1);
         byte[] all = java.util.Arrays.copyOf(start, start.length + body.length);
@@ -65,8 +69,8 @@
         return all;
     }
 
-    static byte[] answer(int status, String fields, String body) {
-        return message("HTTP/1.1 " + status + " x\r\n" + fields, body.getBytes(StandardCharsets.UTF_8));
+    static byte[] response(int status, String fields, String body) {
+        return encode("HTTP/1.1 " + status + " x\r\n" + fields, body.getBytes(StandardCharsets.UTF_8));
     }
 
     String firstLine() {
--- a/balancer/src/test/java/calicochute/process/PackedClasses.java
+++ b/balancer/src/test/java/calicochute/process/JarredClassPath.java
@@ -11,14 +11,14 @@
 import java.util.zip.ZipOutputStream;
 
 /**
- * The tests' class path with each folder of classes packed, once in a test run. Guards against a program that is short
- * of descriptors and takes one for a class's first use: from a folder it does, and lacks that class for good; from an
- * archive, as it is shipped, it does not.
+ * The class path of the tests with each class folder packed into a jar, once per test run. Loading a class from a
+ * folder takes a file descriptor; a balancer that has none left would fail to load that class for good. From a jar, as
+ * in production, no further descriptor is needed.
  */
-final class PackedClasses {
+final class JarredClassPath {
     private static String path;
 
-    private PackedClasses() {}
+    private JarredClassPath() {}
 
     static synchronized String path() throws IOException {
         if (path == null) {
@@ -33,15 +33,16 @@
     }
 
     private static String pack(Path folder) throws IOException {
-        Path archive = Files.createTempFile("calicochute", ".jar");
-        archive.toFile().deleteOnExit();
-        try (ZipOutputStream out = new ZipOutputStream(Files.newOutputStream(archive));
+        Path jar = Files.createTempFile("calicochute", ".jar");
+        jar.toFile().deleteOnExit();
+        try (ZipOutputStream output = new ZipOutputStream(Files.newOutputStream(jar));
                 Stream<Path> files = Files.walk(folder)) {
             for (Path file : files.filter(Files::isRegularFile).sorted().toList()) {
-                out.putNextEntry(new ZipEntry(folder.relativize(file).toString().replace(File.separatorChar, '/')));
-                Files.copy(file, out);
+                output.putNextEntry(
+                        new ZipEntry(folder.relativize(file).toString().replace(File.separatorChar, '/')));
+                Files.copy(file, output);
             }
         }
-        return archive.toString();
+        return jar.toString();
     }
 }
--- a/balancer/src/test/java/calicochute/process/DiscoveryCrossingsTest.java
+++ b/balancer/src/test/java/calicochute/process/OverlappingDiscoveryCallsTest.java
@@ -1,7 +1,7 @@
 package calicochute.process;
 
-import static calicochute.process.Program.await;
-import static calicochute.process.Program.list;
+import static calicochute.process.BalancerProcess.await;
+import static calicochute.process.BalancerProcess.discoveryList;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertThrows;
@@ -20,48 +20,48 @@
  * Calls to discovery that cross each other: {@code WatchScheduleTest} says when each goes out, and here is what becomes
  * of them.
  */
-public class DiscoveryCrossingsTest {
+public class OverlappingDiscoveryCallsTest {
     private final CountDownLatch release = new CountDownLatch(1);
     private final CountDownLatch crossed = new CountDownLatch(1);
-    private Peer server;
-    private Peer discovery;
-    private Program program;
+    private ScriptedServer server;
+    private ScriptedServer discovery;
+    private BalancerProcess balancer;
 
     @Before
     public void start() throws Exception {
-        server = new Peer(r -> Http.answer(200, "", "a map"));
+        server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
     }
 
     private interface Numbered {
-        byte[] answer(int number, Http request) throws Exception;
+        byte[] answer(int number, HttpMessage request) throws Exception;
     }
 
     private void run(Numbered script) throws Exception {
         discovery = numbered(script);
-        program = new Program(discovery, server);
+        balancer = new BalancerProcess(discovery, server);
     }
 
     /** Discovery whose calls are numbered from 1, until the news is held: then it has nothing to tell. */
-    private Peer numbered(Numbered script) throws Exception {
-        Peer[] self = new Peer[1];
-        self[0] = new Peer(
+    private ScriptedServer numbered(Numbered script) throws Exception {
+        ScriptedServer[] self = new ScriptedServer[1];
+        self[0] = new ScriptedServer(
                 r -> r.firstLine().contains("since=9&") ? nothing(r) : script.answer(self[0].requests.size(), r));
         return self[0];
     }
 
     /** As discovery does with nothing to tell: its answer comes at the end of the wait. */
-    private byte[] nothing(Http request) throws Exception {
+    private byte[] nothing(HttpMessage request) throws Exception {
         release.await(
                 Long.parseLong(request.firstLine().replaceAll(".*timeout_ms=(\\d+).*", "$1")), TimeUnit.MILLISECONDS);
-        return Http.answer(200, "", "{\"generation\":9,\"reset\":false,\"instances\":[]}");
+        return HttpMessage.response(200, "", "{\"generation\":9,\"reset\":false,\"instances\":[]}");
     }
 
     private byte[] first() {
-        return Http.answer(200, "", list(2, "Ready", server));
+        return HttpMessage.response(200, "", discoveryList(2, "Ready", server));
     }
 
     private byte[] news() {
-        return Http.answer(200, "", list(9, "Terminating", server));
+        return HttpMessage.response(200, "", discoveryList(9, "Terminating", server));
     }
 
     private byte[] silence() throws Exception {
@@ -70,14 +70,14 @@
     }
 
     private void told() throws Exception {
-        await("told", () -> program.log().contains("INFO list generation=9 whole=false entries=1"));
+        await("told", () -> balancer.log().contains("INFO list generation=9 whole=false entries=1"));
     }
 
     @After
     public void stop() throws Exception {
         release.countDown();
         crossed.countDown();
-        program.stop();
+        balancer.stop();
         server.close();
         discovery.close();
     }
@@ -99,11 +99,11 @@
             return number == 1 ? first() : number == 3 ? silence() : news();
         });
         told();
-        assertEquals(2, program.counter("discovery_reopened"));
-        assertEquals(2, program.counter("discovery_failures"));
+        assertEquals(2, balancer.counter("discovery_reopened"));
+        assertEquals(2, balancer.counter("discovery_failures"));
         assertEquals(3, discovery.connections.size());
         assertTrue(discovery.requests.get(3).firstLine().contains("since=2&"));
-        assertTrue("the second is let go", Program.ended(discovery.connections.get(1)));
+        assertTrue("the second is let go", BalancerProcess.awaitEnd(discovery.connections.get(1)));
     }
 
     /**
@@ -123,7 +123,7 @@
             return number == 1 ? first() : silence();
         });
         told();
-        assertTrue("the second is let go", Program.ended(discovery.connections.get(1)));
+        assertTrue("the second is let go", BalancerProcess.awaitEnd(discovery.connections.get(1)));
         await("goes on", () -> discovery.requests.size() > 3);
         assertEquals(2, discovery.connections.size());
     }
@@ -133,21 +133,21 @@
     public void aSilenceAndThenResets() throws Exception {
         run((number, r) -> {
             if (number == 2) {
-                discovery.mostConnections = 1;
+                discovery.maxConnections = 1;
                 return silence();
             }
             return number == 1 ? first() : news();
         });
-        await("a silence and a reset", () -> program.counter("discovery_failures") >= 2);
-        assertFalse(program.log().contains("generation=9"));
+        await("a silence and a reset", () -> balancer.counter("discovery_failures") >= 2);
+        assertFalse(balancer.log().contains("generation=9"));
         discovery.connections.get(0).setSoTimeout(50);
         assertThrows(
                 "the silent one keeps its turn",
                 SocketTimeoutException.class,
                 () -> discovery.connections.get(0).getInputStream().read());
-        discovery.mostConnections = Integer.MAX_VALUE;
+        discovery.maxConnections = Integer.MAX_VALUE;
         told();
-        assertTrue("the silent one is let go", Program.ended(discovery.connections.get(0)));
+        assertTrue("the silent one is let go", BalancerProcess.awaitEnd(discovery.connections.get(0)));
     }
 
     /**
@@ -157,15 +157,16 @@
     @Test
     public void whatIsNoListAndThenOne() throws Exception {
         List<byte[]> bad = List.of(
-                Http.answer(200, "", "{\"generation\":9"),
-                Http.answer(200, "", list(9, "Later", server)),
-                Http.answer(503, "", ""),
-                Http.answer(200, "", list(1, "Terminating", server).replace("true", "false")));
+                HttpMessage.response(200, "", "{\"generation\":9"),
+                HttpMessage.response(200, "", discoveryList(9, "Later", server)),
+                HttpMessage.response(503, "", ""),
+                HttpMessage.response(
+                        200, "", discoveryList(1, "Terminating", server).replace("true", "false")));
         run((number, r) -> number == 1 ? first() : number <= 5 ? bad.get(number - 2) : news());
         told();
-        assertEquals(4, program.counter("discovery_failures"));
-        assertEquals(2, program.counter("discovery_malformed"));
-        assertEquals(1, program.counter("discovery_older"));
+        assertEquals(4, balancer.counter("discovery_failures"));
+        assertEquals(2, balancer.counter("discovery_malformed"));
+        assertEquals(1, balancer.counter("discovery_older"));
         assertTrue(discovery.requests.get(5).firstLine().contains("since=2&"));
     }
 
@@ -177,9 +178,9 @@
     public void aMoveInAnOutageAndAFirstCallThatHangs() throws Exception {
         run((number, r) -> number == 1 ? first() : silence());
         await("watched", () -> discovery.requests.size() == 2);
-        Peer down = discovery;
+        ScriptedServer down = discovery;
         down.close();
-        await("down", () -> program.counter("discovery_failures") >= 2);
+        await("down", () -> balancer.counter("discovery_failures") >= 2);
         discovery = numbered((number, r) -> {
             if (number == 1) {
                 crossed.await();
@@ -189,10 +190,10 @@
             return silence();
         });
         Files.writeString(
-                program.config, Files.readString(program.config).replace(down.address(), discovery.address()));
-        program.signal("HUP");
+                balancer.config, Files.readString(balancer.config).replace(down.address(), discovery.address()));
+        balancer.signal("HUP");
         told();
         assertTrue(discovery.requests.get(0).firstLine().contains("since=2&"));
-        assertTrue("the second is let go", Program.ended(discovery.connections.get(1)));
+        assertTrue("the second is let go", BalancerProcess.awaitEnd(discovery.connections.get(1)));
     }
 }
--- a/balancer/src/test/java/calicochute/process/Ports.java
+++ b/balancer/src/test/java/calicochute/process/Ports.java
@@ -14,59 +14,64 @@
 import java.util.List;
 
 /**
- * Ports for programs that bind them later. Guards against one that was free when asked for and is taken when the
- * program binds it: by a connection, which the system gives any port of its own range, or by another test run on this
- * machine.
+ * Reserves TCP ports that a child process binds later. A port that is free when it is chosen could be taken before the
+ * process binds it: by an outgoing connection, which gets any port of the ephemeral range, or by another test run on
+ * the same machine.
  */
 final class Ports {
-    private static final int LOWEST = 10_240;
-    /** Where the system's own range is told, and where it begins otherwise. */
-    private static final Path RANGE = Path.of("/proc/sys/net/ipv4/ip_local_port_range");
+    /** First port that is given out. */
+    private static final int FIRST_PORT = 10_240;
+    /** Contains the ephemeral port range on Linux. */
+    private static final Path EPHEMERAL_RANGE_FILE = Path.of("/proc/sys/net/ipv4/ip_local_port_range");
 
-    private static final int USUAL = 32_768;
-    private static final int FEW = 1000;
-    /** Test runs look here first: each holds the datagram port of the same number for as long as it lives. */
-    private static final List<DatagramSocket> HELD = new ArrayList<>();
+    /** Default start of the ephemeral range on Linux. */
+    private static final int DEFAULT_EPHEMERAL_START = 32_768;
+    /** An ephemeral range that leaves fewer ports than this below it is ignored. */
+    private static final int MIN_PORT_COUNT = 1000;
+    /**
+     * A port is reserved against other test runs by binding the UDP port of the same number until this process exits.
+     */
+    private static final List<DatagramSocket> RESERVATIONS = new ArrayList<>();
 
-    private static int next;
+    private static int nextOffset;
 
     private Ports() {}
 
     static synchronized int free() throws IOException {
-        int count = end() - LOWEST;
-        if (next == 0) {
-            // Runs that begin beside each other begin apart.
-            next = (int) (ProcessHandle.current().pid() * 101 % count);
+        int count = ephemeralStart() - FIRST_PORT;
+        if (nextOffset == 0) {
+            // Concurrent test runs start at different offsets.
+            nextOffset = (int) (ProcessHandle.current().pid() * 101 % count);
         }
-        for (int tried = 0; tried < count; tried++) {
-            int port = LOWEST + next++ % count;
-            if (nobodyListens(port) && held(port)) {
+        for (int attempt = 0; attempt < count; attempt++) {
+            int port = FIRST_PORT + nextOffset++ % count;
+            if (hasNoListener(port) && reserve(port)) {
                 return port;
             }
         }
-        throw new IOException("no free port from " + LOWEST + " on, of " + count);
+        throw new IOException("no free port among the " + count + " ports from " + FIRST_PORT);
     }
 
     /**
-     * The first port that the system may give a connection; the usual one where it is not told, or leaves hardly any
+     * Returns the first port of the ephemeral range, or its default if the range is unknown or leaves too few ports
      * below it.
      */
-    private static int end() throws IOException {
-        if (!Files.exists(RANGE)) {
-            return USUAL;
+    private static int ephemeralStart() throws IOException {
+        if (!Files.exists(EPHEMERAL_RANGE_FILE)) {
+            return DEFAULT_EPHEMERAL_START;
         }
-        try (InputStream in = Files.newInputStream(RANGE)) {
-            // At one go: read byte by byte such a file ends behind the first.
+        try (InputStream input = Files.newInputStream(EPHEMERAL_RANGE_FILE)) {
+            // One read for the whole file: this file ends after the first byte if it is read byte by byte.
             byte[] text = new byte[100];
-            int length = Math.max(0, in.read(text));
-            int told = Integer.parseInt(new String(text, 0, length, StandardCharsets.US_ASCII)
+            int length = Math.max(0, input.read(text));
+            int start = Integer.parseInt(new String(text, 0, length, StandardCharsets.US_ASCII)
                     .trim()
                     .split("\\s+")[0]);
-            return told < LOWEST + FEW ? USUAL : told;
+            return start < FIRST_PORT + MIN_PORT_COUNT ? DEFAULT_EPHEMERAL_START : start;
         }
     }
 
-    private static boolean nobodyListens(int port) throws IOException {
+    private static boolean hasNoListener(int port) throws IOException {
         try (ServerSocket probe = new ServerSocket()) {
             probe.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1);
             return true;
@@ -75,9 +80,9 @@
         }
     }
 
-    private static boolean held(int port) throws IOException {
+    private static boolean reserve(int port) throws IOException {
         try {
-            HELD.add(new DatagramSocket(port, InetAddress.getLoopbackAddress()));
+            RESERVATIONS.add(new DatagramSocket(port, InetAddress.getLoopbackAddress()));
             return true;
         } catch (BindException e) {
             return false;
--- a/balancer/src/test/java/calicochute/process/ReadyTable.java
+++ b/balancer/src/test/java/calicochute/process/ReadyTable.java
@@ -18,21 +18,21 @@
 import java.util.regex.Pattern;
 
 /**
- * Prints the second table of docs/measurements/cold-fleet-processes.md: how long processes of the program take to be
- * ready that are started together on few cores. Started from the root of the repository, as built: {@code ReadyTable
- * PROCESSES CORES}, such as {@code 24 2,3}.
+ * Prints a table of the time that balancer processes take to become ready when many start at once on few cores; it is
+ * the second table of docs/measurements/cold-fleet-processes.md. Run from the root of the repository after a build:
+ * {@code ReadyTable PROCESSES CORES}, for example {@code 24 2,3}.
  */
 final class ReadyTable {
-    private static final long WITHIN_MS = 10_000;
-    private static final long LATEST_MS = 40_000;
-    private static final long AFTERWARDS_MS = 3000;
-    private static final Pattern RUN = Pattern.compile("(?m)^run = \"(.*)\"$");
+    private static final long READY_LIMIT_MS = 10_000;
+    private static final long READY_TIMEOUT_MS = 40_000;
+    private static final long EXTRA_LOAD_MS = 3000;
+    private static final Pattern RUN_COMMAND = Pattern.compile("(?m)^run = \"(.*)\"$");
     private final int processes;
     private final String cores;
     private final String run;
 
-    /** What becomes of calls to discovery. */
-    private enum Calls {
+    /** How the discovery service responds. */
+    private enum DiscoveryBehavior {
         ANSWERED,
         REFUSED,
         SILENT,
@@ -42,9 +42,9 @@
     private ReadyTable(int processes, String cores) throws IOException {
         this.processes = processes;
         this.cores = cores;
-        Matcher line = RUN.matcher(Files.readString(Path.of("deploy/balancer.toml")));
+        Matcher line = RUN_COMMAND.matcher(Files.readString(Path.of("deploy/balancer.toml")));
         if (!line.find()) {
-            throw new IOException("no run in deploy/balancer.toml");
+            throw new IOException("no run command in deploy/balancer.toml");
         }
         run = line.group(1);
     }
@@ -57,194 +57,210 @@
                         + "| to the first answer, s: median, last | answered 200, denied, else, broken | load of the machine before |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
         for (boolean known : new boolean[] {true, false}) {
-            for (Calls calls : Calls.values()) {
-                // Without a list nobody is ready before discovery has told one: the limit would only pass.
-                if (known || calls == Calls.ANSWERED || calls == Calls.SLOW) {
-                    table.row(known, calls);
+            for (DiscoveryBehavior behavior : DiscoveryBehavior.values()) {
+                // Without a known list no process becomes ready before discovery reports one, so these rows would
+                // only time out.
+                if (known || behavior == DiscoveryBehavior.ANSWERED || behavior == DiscoveryBehavior.SLOW) {
+                    table.row(known, behavior);
                 }
             }
         }
     }
 
-    private void row(boolean known, Calls calls) throws Exception {
-        String load = Files.readString(Path.of("/proc/loadavg")).split(" ")[0];
+    private void row(boolean known, DiscoveryBehavior behavior) throws Exception {
+        String loadAverage = Files.readString(Path.of("/proc/loadavg")).split(" ")[0];
         CountDownLatch release = new CountDownLatch(1);
-        List<Started> all = new ArrayList<>();
-        try (Peer server = new Peer(r -> Http.answer(200, "", "a map"));
-                Peer discovery = discovery(calls, server, release);
-                Socket none = new Socket()) {
-            // Bound and not listening: whoever calls is refused, and nobody else gets the port.
-            none.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            String address = calls == Calls.REFUSED ? "127.0.0.1:" + none.getLocalPort() : discovery.address();
+        List<Instance> instances = new ArrayList<>();
+        try (ScriptedServer server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
+                ScriptedServer discovery = discovery(behavior, server, release);
+                Socket refusing = new Socket()) {
+            // Bound but not listening: connections are refused, and no other socket gets the port.
+            refusing.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            String discoveryAddress = behavior == DiscoveryBehavior.REFUSED
+                    ? "127.0.0.1:" + refusing.getLocalPort()
+                    : discovery.address();
             for (int i = 0; i < processes; i++) {
-                all.add(new Started(i, known, discovery, address, server));
+                instances.add(new Instance(i, known, discovery, discoveryAddress, server));
             }
-            for (Started one : all) {
-                one.start();
+            for (Instance instance : instances) {
+                instance.start();
             }
-            for (Started one : all) {
-                one.ready.join();
+            for (Instance instance : instances) {
+                instance.readinessProbe.join();
             }
-            Thread.sleep(AFTERWARDS_MS);
-            for (Started one : all) {
-                one.over = true;
-                one.client.join();
+            Thread.sleep(EXTRA_LOAD_MS);
+            for (Instance instance : instances) {
+                instance.stopping = true;
+                instance.client.join();
             }
-            all.forEach(one -> one.process.destroy());
-            for (Started one : all) {
-                one.ended();
+            instances.forEach(instance -> instance.process.destroy());
+            for (Instance instance : instances) {
+                instance.awaitExit();
             }
         } finally {
             release.countDown();
-            all.forEach(one -> one.process.destroyForcibly());
+            instances.forEach(instance -> instance.process.destroyForcibly());
         }
-        long within = all.stream()
-                .filter(one -> one.readyMs >= 0 && one.readyMs <= WITHIN_MS)
+        long readyInTime = instances.stream()
+                .filter(instance -> instance.readyMs >= 0 && instance.readyMs <= READY_LIMIT_MS)
                 .count();
         System.out.printf(
                 Locale.ROOT,
                 "| %s | %s | %d of %d | %s, %s, %s | %s, %s | %s, %s | %d, %d, %d, %d | %s |%n",
                 known ? "yes" : "no",
-                calls.name().toLowerCase(Locale.ROOT),
-                within,
+                behavior.name().toLowerCase(Locale.ROOT),
+                readyInTime,
                 processes,
-                at(all, 0.5, 'r'),
-                at(all, 0.9, 'r'),
-                at(all, 1, 'r'),
-                at(all, 0.5, 'l'),
-                at(all, 1, 'l'),
-                at(all, 0.5, 'a'),
-                at(all, 1, 'a'),
-                sum(all, 0),
-                sum(all, 1),
-                sum(all, 2),
-                sum(all, 3),
-                load);
+                quantileSeconds(instances, 0.5, 'r'),
+                quantileSeconds(instances, 0.9, 'r'),
+                quantileSeconds(instances, 1, 'r'),
+                quantileSeconds(instances, 0.5, 'l'),
+                quantileSeconds(instances, 1, 'l'),
+                quantileSeconds(instances, 0.5, 'a'),
+                quantileSeconds(instances, 1, 'a'),
+                sum(instances, 0),
+                sum(instances, 1),
+                sum(instances, 2),
+                sum(instances, 3),
+                loadAverage);
     }
 
-    private static Peer discovery(Calls calls, Peer server, CountDownLatch release) throws IOException {
-        return calls == Calls.SILENT
-                ? Peer.silent(release)
-                : new Peer(r -> {
-                    Thread.sleep(calls == Calls.SLOW ? 2000 : 0);
+    private static ScriptedServer discovery(DiscoveryBehavior behavior, ScriptedServer server, CountDownLatch release)
+            throws IOException {
+        return behavior == DiscoveryBehavior.SILENT
+                ? ScriptedServer.silent(release)
+                : new ScriptedServer(r -> {
+                    Thread.sleep(behavior == DiscoveryBehavior.SLOW ? 2000 : 0);
                     Matcher watch = Pattern.compile("since=2&timeout_ms=(\\d+)").matcher(r.firstLine());
                     if (watch.find()) {
-                        // With nothing newer to tell it holds a watch for as long as it is asked to.
+                        // Without changes to report, a watch is held for the requested time.
                         release.await(Long.parseLong(watch.group(1)), TimeUnit.MILLISECONDS);
-                        return Http.answer(200, "", "{\"generation\":2,\"reset\":false,\"instances\":[]}");
+                        return HttpMessage.response(200, "", "{\"generation\":2,\"reset\":false,\"instances\":[]}");
                     }
-                    return Http.answer(
-                            200, "", Program.list(1, "Ready", server).replace("\"generation\":1", "\"generation\":2"));
+                    return HttpMessage.response(
+                            200,
+                            "",
+                            BalancerProcess.discoveryList(1, "Ready", server)
+                                    .replace("\"generation\":1", "\"generation\":2"));
                 });
     }
 
-    private static long sum(List<Started> all, int what) {
-        return all.stream().mapToInt(one -> one.ends[what].get()).sum();
+    private static long sum(List<Instance> instances, int outcome) {
+        return instances.stream()
+                .mapToInt(instance -> instance.outcomes[outcome].get())
+                .sum();
     }
 
-    /** The smallest time that this part of the processes kept to, in seconds; a dash where fewer got there. */
-    private static String at(List<Started> all, double part, char what) {
-        long[] times = all.stream()
-                .mapToLong(one -> what == 'r' ? one.readyMs : what == 'l' ? one.listensMs : one.answeredMs)
+    /**
+     * Returns the time in seconds within which this share of the processes reached the moment ('r' ready, 'l'
+     * listening, 'a' first answer), or a dash if fewer did.
+     */
+    private static String quantileSeconds(List<Instance> instances, double share, char moment) {
+        long[] times = instances.stream()
+                .mapToLong(instance ->
+                        moment == 'r' ? instance.readyMs : moment == 'l' ? instance.listensMs : instance.answeredMs)
                 .map(t -> t < 0 ? Long.MAX_VALUE : t)
                 .sorted()
                 .toArray();
-        long time = times[(int) Math.ceil(part * times.length) - 1];
-        return time == Long.MAX_VALUE ? "-" : String.format(Locale.ROOT, "%.2f", time / 1e3);
+        long timeMs = times[(int) Math.ceil(share * times.length) - 1];
+        return timeMs == Long.MAX_VALUE ? "-" : String.format(Locale.ROOT, "%.2f", timeMs / 1e3);
     }
 
-    /** One process, who asks whether it is ready, and a client that is there before it. */
-    private final class Started {
+    /** One balancer process with a readiness probe and a client, both of which start before it listens. */
+    private final class Instance {
         /**
-         * An address that no connection comes from: else one could take the port before the process has it, or meet
-         * itself there.
+         * A loopback address that no connection is made from. Otherwise a connection could get the port before the
+         * process binds it, or connect to itself.
          */
-        final InetAddress host;
+        final InetAddress address;
 
         final int port;
         final Path config = Files.createTempFile("calicochute", ".json");
         final Path log = Files.createTempFile("calicochute", ".log");
-        final Thread ready = new Thread(this::awaitReady);
-        final Thread client = new Thread(this::ask);
-        /** Answered 200, denied, any other answer, broken. */
-        final AtomicInteger[] ends = {new AtomicInteger(), new AtomicInteger(), new AtomicInteger(), new AtomicInteger()
+        final Thread readinessProbe = new Thread(this::awaitReady);
+        final Thread client = new Thread(this::sendSessions);
+        /** Counts by outcome: status 200, status 503, any other status, connection failed. */
+        final AtomicInteger[] outcomes = {
+            new AtomicInteger(), new AtomicInteger(), new AtomicInteger(), new AtomicInteger()
         };
 
         Process process;
-        volatile boolean over;
+        volatile boolean stopping;
         volatile long readyMs = -1;
         volatile long listensMs = -1;
         volatile long answeredMs = -1;
-        private long from;
+        private long startNanos;
 
-        Started(int number, boolean known, Peer discovery, String address, Peer server) throws IOException {
-            host = InetAddress.getByName("127.0.1." + (1 + number));
-            try (ServerSocket free = new ServerSocket(0, 1, host)) {
+        Instance(int number, boolean known, ScriptedServer discovery, String discoveryAddress, ScriptedServer server)
+                throws IOException {
+            this.address = InetAddress.getByName("127.0.1." + (1 + number));
+            try (ServerSocket free = new ServerSocket(0, 1, this.address)) {
                 port = free.getLocalPort();
             }
-            String text = Program.configuration(port, 0, 1024, discovery, server)
-                    .replace("\"127.0.0.1:" + port + "\"", "\"" + host.getHostAddress() + ":" + port + "\"")
-                    .replace("\"" + discovery.address() + "\"", "\"" + address + "\"");
-            Files.writeString(config, known ? text : text.replaceAll("\"known\":\\{.*?\\]\\},", ""));
+            String configuration = BalancerProcess.configuration(port, 0, 1024, discovery, server)
+                    .replace("\"127.0.0.1:" + port + "\"", "\"" + this.address.getHostAddress() + ":" + port + "\"")
+                    .replace("\"" + discovery.address() + "\"", "\"" + discoveryAddress + "\"");
+            Files.writeString(config, known ? configuration : configuration.replaceAll("\"known\":\\{.*?\\]\\},", ""));
         }
 
         void start() throws IOException {
             ProcessBuilder builder = new ProcessBuilder("taskset", "-c", cores, "/bin/sh", "-c", run);
             builder.environment().put("PROXY_CONFIG", config.toString());
-            from = System.nanoTime();
+            startNanos = System.nanoTime();
             process = builder.redirectErrorStream(true)
                     .redirectOutput(log.toFile())
                     .start();
-            ready.start();
+            readinessProbe.start();
             client.start();
         }
 
-        private long since() {
-            return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
+        private long elapsedMs() {
+            return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
         }
 
-        private Http send(String head, boolean first) throws IOException {
-            try (Socket socket = new Socket(host, port)) {
+        private HttpMessage send(String head, boolean firstConnection) throws IOException {
+            try (Socket socket = new Socket(address, port)) {
                 socket.setSoTimeout(30_000);
-                if (first && listensMs < 0) {
-                    listensMs = since();
+                if (firstConnection && listensMs < 0) {
+                    listensMs = elapsedMs();
                 }
                 try {
-                    socket.getOutputStream().write(Http.message(head, new byte[0]));
-                    Http answer = Http.read(socket.getInputStream());
-                    if (answer == null) {
+                    socket.getOutputStream().write(HttpMessage.encode(head, new byte[0]));
+                    HttpMessage response = HttpMessage.read(socket.getInputStream());
+                    if (response == null) {
                         throw new EOFException("no answer");
                     }
-                    return answer;
+                    return response;
                 } catch (IOException e) {
-                    ends[3].incrementAndGet();
+                    outcomes[3].incrementAndGet();
                     return null;
                 }
             }
         }
 
         private void awaitReady() {
-            while (since() < LATEST_MS) {
+            while (elapsedMs() < READY_TIMEOUT_MS) {
                 try {
-                    Http answer = send("GET /ready HTTP/1.1\r\nHost: a\r\n", false);
-                    if (answer != null && answer.status() == 200) {
-                        readyMs = since();
+                    HttpMessage response = send("GET /ready HTTP/1.1\r\nHost: a\r\n", false);
+                    if (response != null && response.status() == 200) {
+                        readyMs = elapsedMs();
                         return;
                     }
                 } catch (IOException e) {
-                    // Does not listen yet.
+                    // The process does not listen yet.
                 }
                 pause(25);
             }
         }
 
-        private void ask() {
-            for (int n = 0; !over; n++) {
+        private void sendSessions() {
+            for (int sent = 0; !stopping; sent++) {
                 try {
-                    Http answer = send(Program.session(String.format("%08x%08x", port, n), "view"), true);
-                    if (answer != null) {
-                        ends[answer.status() == 200 ? 0 : answer.status() == 503 ? 1 : 2].incrementAndGet();
-                        answeredMs = answeredMs < 0 && answer.status() == 200 ? since() : answeredMs;
+                    HttpMessage response =
+                            send(BalancerProcess.session(String.format("%08x%08x", port, sent), "view"), true);
+                    if (response != null) {
+                        outcomes[response.status() == 200 ? 0 : response.status() == 503 ? 1 : 2].incrementAndGet();
+                        answeredMs = answeredMs < 0 && response.status() == 200 ? elapsedMs() : answeredMs;
                         pause(200);
                     }
                 } catch (IOException e) {
@@ -253,17 +269,17 @@
             }
         }
 
-        private void pause(long ms) {
+        private void pause(long millis) {
             try {
-                Thread.sleep(ms);
+                Thread.sleep(millis);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
 
-        void ended() throws Exception {
+        void awaitExit() throws Exception {
             if (!process.waitFor(60, TimeUnit.SECONDS) || process.exitValue() != 0) {
-                throw new IOException("did not end as planned; its log: " + Files.readString(log));
+                throw new IOException("did not exit with status 0; its log: " + Files.readString(log));
             }
             Files.delete(config);
             Files.delete(log);
--- a/balancer/src/test/java/calicochute/process/ReadyTest.java
+++ b/balancer/src/test/java/calicochute/process/ReadyTest.java
@@ -1,8 +1,8 @@
 package calicochute.process;
 
-import static calicochute.process.Program.await;
-import static calicochute.process.Program.list;
-import static calicochute.process.Program.session;
+import static calicochute.process.BalancerProcess.await;
+import static calicochute.process.BalancerProcess.discoveryList;
+import static calicochute.process.BalancerProcess.session;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
@@ -27,16 +27,16 @@
     private final CountDownLatch release = new CountDownLatch(1);
     private final CountDownLatch over = new CountDownLatch(1);
     /** The answer to a session that a client tries to send from before the process starts. */
-    private final CompletableFuture<Http> early = new CompletableFuture<>();
+    private final CompletableFuture<HttpMessage> early = new CompletableFuture<>();
 
-    private Program program;
+    private BalancerProcess balancer;
 
     @After
     public void letGo() {
         release.countDown();
         over.countDown();
-        if (program != null) {
-            program.process.destroyForcibly();
+        if (balancer != null) {
+            balancer.process.destroyForcibly();
         }
     }
 
@@ -50,8 +50,8 @@
                         new Socket(InetAddress.getLoopbackAddress(), port, InetAddress.getByName("127.0.0.2"), 0)) {
                     socket.setSoTimeout(30_000);
                     try {
-                        socket.getOutputStream().write(Http.message(session(ID, "view"), new byte[0]));
-                        early.complete(Http.read(socket.getInputStream()));
+                        socket.getOutputStream().write(HttpMessage.encode(session(ID, "view"), new byte[0]));
+                        early.complete(HttpMessage.read(socket.getInputStream()));
                     } catch (IOException e) {
                         early.completeExceptionally(e);
                     }
@@ -70,73 +70,73 @@
         assertEquals(200, early.get(30, TimeUnit.SECONDS).status());
     }
 
-    private static Peer server() throws IOException {
-        return new Peer(r -> Http.answer(200, "", "a map"));
+    private static ScriptedServer server() throws IOException {
+        return new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
     }
 
     @Test
     public void readyDoesNotWaitForADiscoveryThatRefuses() throws Exception {
-        try (Peer server = server();
-                Peer none = Peer.silent(release);
+        try (ScriptedServer server = server();
+                ScriptedServer none = ScriptedServer.silent(release);
                 Socket bound = new Socket()) {
-            // Bound and not listening: whoever calls is refused, and nobody else gets the port.
+            // Bound but not listening: connections are refused, and no other socket gets the port.
             bound.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             UnaryOperator<String> refused = c -> c.replace(none.address(), "127.0.0.1:" + bound.getLocalPort());
-            program = Program.edited(c -> withAnEarlyClient(refused.apply(c)), none, server);
+            balancer = BalancerProcess.withEditedConfig(c -> withAnEarlyClient(refused.apply(c)), none, server);
             answeredAtOnce();
-            await("refused", () -> program.counter("discovery_failures") > 0);
+            await("refused", () -> balancer.counter("discovery_failures") > 0);
             assertTrue(none.connections.isEmpty());
-            program.stop();
+            balancer.stop();
         }
     }
 
     @Test
     public void readyDoesNotWaitForASilentDiscovery() throws Exception {
-        try (Peer server = server();
-                Peer discovery = Peer.silent(release)) {
-            program = Program.edited(this::withAnEarlyClient, discovery, server);
+        try (ScriptedServer server = server();
+                ScriptedServer discovery = ScriptedServer.silent(release)) {
+            balancer = BalancerProcess.withEditedConfig(this::withAnEarlyClient, discovery, server);
             answeredAtOnce();
             await("asked", () -> !discovery.requests.isEmpty());
-            program.stop();
+            balancer.stop();
         }
     }
 
     /** The first answer is on its way until after the yes, and then counts. */
     @Test
     public void readyDoesNotWaitForASlowDiscovery() throws Exception {
-        try (Peer server = server();
-                Peer discovery = new Peer(r -> {
+        try (ScriptedServer server = server();
+                ScriptedServer discovery = new ScriptedServer(r -> {
                     release.await();
                     if (r.firstLine().contains("since=9&")) {
                         over.await();
                     }
-                    return Http.answer(200, "", list(9, "Terminating", server));
+                    return HttpMessage.response(200, "", discoveryList(9, "Terminating", server));
                 })) {
-            program = Program.edited(this::withAnEarlyClient, discovery, server);
+            balancer = BalancerProcess.withEditedConfig(this::withAnEarlyClient, discovery, server);
             answeredAtOnce();
-            assertFalse(program.log().contains("generation=9"));
+            assertFalse(balancer.log().contains("generation=9"));
             release.countDown();
-            await("told", () -> program.log().contains("generation=9"));
+            await("told", () -> balancer.log().contains("generation=9"));
             over.countDown();
-            program.stop();
+            balancer.stop();
         }
     }
 
     /** Without a list from before there is nobody to send to: only here the yes comes with discovery's first list. */
     @Test
     public void withoutAListReadyComesWithTheFirst() throws Exception {
-        try (Peer server = server();
-                Peer discovery = new Peer(r -> {
+        try (ScriptedServer server = server();
+                ScriptedServer discovery = new ScriptedServer(r -> {
                     release.await();
                     if (!r.firstLine().contains("since=0&")) {
                         over.await();
                     }
-                    return Http.answer(200, "", list(1, "Ready", server));
+                    return HttpMessage.response(200, "", discoveryList(1, "Ready", server));
                 })) {
             CompletableFuture<Integer> port = new CompletableFuture<>();
-            CompletableFuture<Program> starting = CompletableFuture.supplyAsync(() -> {
+            CompletableFuture<BalancerProcess> starting = CompletableFuture.supplyAsync(() -> {
                 try {
-                    return Program.edited(
+                    return BalancerProcess.withEditedConfig(
                             c -> {
                                 port.complete(Integer.parseInt(
                                         c.replaceAll("(?s).*\"listen\":\"127.0.0.1:(\\d+)\".*", "$1")));
@@ -154,18 +154,18 @@
             assertEquals(503, status(at, session(ID, "view").replace(": 8000", ": 300")));
             assertFalse(starting.isDone());
             release.countDown();
-            program = starting.get(30, TimeUnit.SECONDS);
-            assertEquals(200, program.send(session("9b1f03aa5c7e2d42", "view")).status());
+            balancer = starting.get(30, TimeUnit.SECONDS);
+            assertEquals(200, balancer.send(session("9b1f03aa5c7e2d42", "view")).status());
             over.countDown();
-            program.stop();
+            balancer.stop();
         }
     }
 
     private static int status(int port, String head) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(30_000);
-            socket.getOutputStream().write(Http.message(head, new byte[0]));
-            return Http.read(socket.getInputStream()).status();
+            socket.getOutputStream().write(HttpMessage.encode(head, new byte[0]));
+            return HttpMessage.read(socket.getInputStream()).status();
         }
     }
 }
--- a/balancer/src/test/java/calicochute/process/RestartTest.java
+++ b/balancer/src/test/java/calicochute/process/RestartTest.java
@@ -1,7 +1,7 @@
 package calicochute.process;
 
-import static calicochute.process.Program.await;
-import static calicochute.process.Program.session;
+import static calicochute.process.BalancerProcess.await;
+import static calicochute.process.BalancerProcess.session;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
@@ -17,7 +17,7 @@
 import org.junit.Test;
 
 /** A planned restart under clients that send on every connection for as long as it stays open. */
-public class RestartTest extends OneServer {
+public class RestartTest extends SingleServerFixture {
     private static final int CLIENTS = 12;
     /** At a planned restart new connections keep coming for 0.4 s at most. */
     private static final long NEW_NANOS = 400_000_000L;
@@ -35,7 +35,7 @@
     private void client() {
         try {
             while (endingSince == 0 || System.nanoTime() - endingSince < NEW_NANOS) {
-                try (Socket socket = program.connect()) {
+                try (Socket socket = balancer.connect()) {
                     onOne(socket);
                 }
             }
@@ -47,12 +47,12 @@
     private void onOne(Socket socket) throws Exception {
         while (true) {
             byte[] request =
-                    Http.message(session(String.format("%016x", names.incrementAndGet()), "view"), new byte[0]);
-            Http answer = null;
+                    HttpMessage.encode(session(String.format("%016x", names.incrementAndGet()), "view"), new byte[0]);
+            HttpMessage answer = null;
             try {
                 socket.getOutputStream().write(request);
                 // Null at an end before the answer's; a head without its whole body fails the length below.
-                answer = Http.read(socket.getInputStream());
+                answer = HttpMessage.read(socket.getInputStream());
             } catch (IOException e) {
                 // Reset: the request crossed the connection's end, and is sent once more.
             }
@@ -66,7 +66,7 @@
             answers.incrementAndGet();
             if ("close".equals(answer.header("Connection"))) {
                 lastAnswers.incrementAndGet();
-                assertEquals("said to be the last, and is", null, Http.read(socket.getInputStream()));
+                assertEquals("said to be the last, and is", null, HttpMessage.read(socket.getInputStream()));
                 return;
             }
         }
@@ -80,23 +80,23 @@
     public void aStopGoesByTheDeadlinesInForce() throws Exception {
         server.script = r -> {
             release.await();
-            return Http.answer(200, "", "too late");
+            return HttpMessage.response(200, "", "too late");
         };
         Files.writeString(
-                program.config,
-                Files.readString(program.config).replace("\"deadline\":9000000", "\"deadline\":1000000"));
-        program.signal("HUP");
-        await("taken", () -> program.counter("reloads") == 1);
-        try (Socket socket = program.connect()) {
+                balancer.config,
+                Files.readString(balancer.config).replace("\"deadline\":9000000", "\"deadline\":1000000"));
+        balancer.signal("HUP");
+        await("taken", () -> balancer.counter("reloads") == 1);
+        try (Socket socket = balancer.connect()) {
             socket.getOutputStream()
-                    .write(Http.message(
+                    .write(HttpMessage.encode(
                             session(String.format("%016x", 1), "order").replace(": 8000", ": 2600"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
-            program.process.destroy();
-            assertEquals(502, Http.read(socket.getInputStream()).status());
+            balancer.process.destroy();
+            assertEquals(502, HttpMessage.read(socket.getInputStream()).status());
         }
-        assertTrue(program.process.waitFor(30, TimeUnit.SECONDS));
-        assertTrue(program.log(), program.log().contains("sessions_ended_by_stop 1"));
+        assertTrue(balancer.process.waitFor(30, TimeUnit.SECONDS));
+        assertTrue(balancer.log(), balancer.log().contains("sessions_ended_by_stop 1"));
     }
 
     /**
@@ -107,23 +107,23 @@
     public void aStopGoesByDeadlinesThatCameAfterIt() throws Exception {
         server.script = r -> {
             release.await();
-            return Http.answer(200, "", "too late");
+            return HttpMessage.response(200, "", "too late");
         };
         Files.writeString(
-                program.config,
-                Files.readString(program.config).replace("\"deadline\":9000000", "\"deadline\":1000000"));
-        try (Socket socket = program.connect()) {
+                balancer.config,
+                Files.readString(balancer.config).replace("\"deadline\":9000000", "\"deadline\":1000000"));
+        try (Socket socket = balancer.connect()) {
             socket.getOutputStream()
-                    .write(Http.message(
+                    .write(HttpMessage.encode(
                             session(String.format("%016x", 1), "order").replace(": 8000", ": 2600"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
-            program.process.destroy();
-            await("draining", () -> program.log().contains("INFO draining unanswered=1"));
-            program.signal("HUP");
-            assertEquals(502, Http.read(socket.getInputStream()).status());
+            balancer.process.destroy();
+            await("draining", () -> balancer.log().contains("INFO draining unanswered=1"));
+            balancer.signal("HUP");
+            assertEquals(502, HttpMessage.read(socket.getInputStream()).status());
         }
-        assertTrue(program.process.waitFor(30, TimeUnit.SECONDS));
-        assertTrue(program.log(), program.log().contains("sessions_ended_by_stop 1"));
+        assertTrue(balancer.process.waitFor(30, TimeUnit.SECONDS));
+        assertTrue(balancer.log(), balancer.log().contains("sessions_ended_by_stop 1"));
     }
 
     /**
@@ -134,7 +134,7 @@
     public void sendingOnToTheEndLosesNothing() throws Exception {
         server.script = r -> {
             Thread.sleep(ThreadLocalRandom.current().nextInt(20));
-            return Http.answer(200, "", "a map");
+            return HttpMessage.response(200, "", "a map");
         };
         List<CompletableFuture<Void>> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
@@ -144,14 +144,14 @@
         assertEquals(0, crossed.get());
         assertEquals(0, lastAnswers.get());
         endingSince = System.nanoTime();
-        program.process.destroy();
-        assertTrue(program.process.waitFor(30, TimeUnit.SECONDS));
+        balancer.process.destroy();
+        assertTrue(balancer.process.waitFor(30, TimeUnit.SECONDS));
         for (CompletableFuture<Void> client : clients) {
             client.get(30, TimeUnit.SECONDS);
         }
         assertEquals("requests on accepted connections that met an end", 0, crossed.get());
         assertTrue(lastAnswers.get() >= CLIENTS);
-        assertTrue(program.log(), program.log().contains("drained unanswered=0"));
-        assertTrue(program.log(), program.log().contains("sessions_taken " + answers.get() + ","));
+        assertTrue(balancer.log(), balancer.log().contains("drained unanswered=0"));
+        assertTrue(balancer.log(), balancer.log().contains("sessions_taken " + answers.get() + ","));
     }
 }
--- a/balancer/src/test/java/calicochute/process/ServeTest.java
+++ b/balancer/src/test/java/calicochute/process/ServeTest.java
@@ -1,8 +1,8 @@
 package calicochute.process;
 
-import static calicochute.process.Program.await;
-import static calicochute.process.Program.list;
-import static calicochute.process.Program.session;
+import static calicochute.process.BalancerProcess.await;
+import static calicochute.process.BalancerProcess.discoveryList;
+import static calicochute.process.BalancerProcess.session;
 import static org.junit.Assert.assertArrayEquals;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -17,22 +17,22 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 
-/** The program as its client, its backend servers and discovery meet it. */
-public class ServeTest extends OneServer {
+/** The balancer as its client, its backend servers and discovery meet it. */
+public class ServeTest extends SingleServerFixture {
     /** So long after SIGTERM requests are still taken in ({@code Presence}). */
     private static final long TAKEN_IN_NANOS = 550_000_000;
 
-    private Http send(String lane) throws Exception {
-        return program.send(session(ID, lane), lane.equals("view") ? new byte[0] : new byte[] {1, 2, 3});
+    private HttpMessage send(String lane) throws Exception {
+        return balancer.send(session(ID, lane), lane.equals("view") ? new byte[0] : new byte[] {1, 2, 3});
     }
 
     @Test
     public void whatPassesIsUnchanged() throws Exception {
         byte[] body = new byte[1 << 16];
         new Random(7).nextBytes(body);
-        server.script = r -> Http.message("HTTP/1.1 200 OK\r\n", r.body());
-        Http answer = program.send(session(ID, "scan"), body);
-        Http seen = server.requests.get(0);
+        server.script = r -> HttpMessage.encode("HTTP/1.1 200 OK\r\n", r.body());
+        HttpMessage answer = balancer.send(session(ID, "scan"), body);
+        HttpMessage seen = server.requests.get(0);
         assertEquals("POST /api?q=1 HTTP/1.1", seen.firstLine());
         assertEquals(ID, seen.header("X-Txn"));
         assertEquals("k1", seen.header("Idempotency-Key"));
@@ -44,7 +44,7 @@
 
     @Test
     public void aDenySaysWhenToComeBack() throws Exception {
-        Http answer = program.send(session(ID, "view").replace(": 8000", ": 0"));
+        HttpMessage answer = balancer.send(session(ID, "view").replace(": 8000", ": 0"));
         assertEquals(503, answer.status());
         assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
         assertEquals(0, server.requests.size());
@@ -53,26 +53,26 @@
     /** A server that turned the session away has not run it: it may be sent again, and be denied in the end. */
     @Test
     public void turnedAwayIsTriedAgain() throws Exception {
-        server.script = r -> Http.answer(503, "X-Turned-Away: 1\r\n", "");
+        server.script = r -> HttpMessage.response(503, "X-Turned-Away: 1\r\n", "");
         assertEquals(503, send("order").status());
-        assertTrue(program.counter("dispatches_full") >= 1);
+        assertTrue(balancer.counter("dispatches_full") >= 1);
         server.script = r -> server.requests.size() % 2 == 0
-                ? Http.answer(200, "", "ok")
-                : Http.answer(504, "X-Turned-Away: 1\r\n", "");
+                ? HttpMessage.response(200, "", "ok")
+                : HttpMessage.response(504, "X-Turned-Away: 1\r\n", "");
         assertEquals(200, send("order").status());
     }
 
     /** After a dispatch that may have run, a session that must not run twice fails: no deny, no second copy. */
     @Test
     public void whatMayHaveRunIsNotRepeated() throws Exception {
-        server.script = r -> Http.answer(500, "", "broken");
+        server.script = r -> HttpMessage.response(500, "", "broken");
         assertEquals(502, send("order").status());
-        server.script = r -> Http.answer(503, "", "its own words");
+        server.script = r -> HttpMessage.response(503, "", "its own words");
         assertEquals(502, send("order").status());
-        assertEquals(2, program.counter("dispatches_error"));
+        assertEquals(2, balancer.counter("dispatches_error"));
         server.script = r -> null;
         assertEquals(502, send("order").status());
-        assertEquals(1, program.counter("dispatches_reset"));
+        assertEquals(1, balancer.counter("dispatches_reset"));
         assertEquals(3, server.requests.size());
     }
 
@@ -80,14 +80,14 @@
     public void silenceTimesOutBeforeTheDeadline() throws Exception {
         server.script = r -> {
             release.await();
-            return Http.answer(200, "", "too late");
+            return HttpMessage.response(200, "", "too late");
         };
-        Http answer = program.send(session(ID, "order").replace(": 8000", ": 900"), new byte[1]);
+        HttpMessage answer = balancer.send(session(ID, "order").replace(": 8000", ": 900"), new byte[1]);
         assertEquals(504, answer.status());
-        assertEquals(1, program.counter("dispatches_timed_out"));
+        assertEquals(1, balancer.counter("dispatches_timed_out"));
         assertEquals(1, server.requests.size());
         release.countDown();
-        await("its late answer meets a closed connection", () -> server.ended.size() == 1);
+        await("its late answer meets a closed connection", () -> server.endedConnections.size() == 1);
     }
 
     /** A server that is not there has run nothing: the client hears that trying again is harmless. */
@@ -95,7 +95,7 @@
     public void noConnectionIsADeny() throws Exception {
         server.close();
         assertEquals(503, send("order").status());
-        assertTrue(program.counter("dispatches_connect_failed") >= 1);
+        assertTrue(balancer.counter("dispatches_connect_failed") >= 1);
     }
 
     /** The server closed an idle connection: nothing was written to it, so another one is used. */
@@ -112,16 +112,16 @@
     /** The next call for changes names the version just heard, not the one it was asked with. */
     @Test
     public void theWatchGoesOnFromWhatItHasHeard() throws Exception {
-        program.stop();
+        balancer.stop();
         discovery.requests.clear();
         discovery.script = r -> {
             if (r.firstLine().contains("since=1&")) {
-                return Http.answer(200, "", list(7, "Ready", server));
+                return HttpMessage.response(200, "", discoveryList(7, "Ready", server));
             }
             release.await();
             return null;
         };
-        program = program();
+        balancer = startBalancer();
         await("heard", () -> discovery.requests.size() >= 2);
         assertTrue(
                 discovery.requests.get(1).firstLine(),
@@ -133,14 +133,14 @@
      */
     @Test
     public void halfAHeadIsNoIdleConnection() throws Exception {
-        byte[] view = Http.message(session(ID, "view"), new byte[0]);
-        try (Socket half = program.connect();
-                Socket silent = program.connect()) {
+        byte[] view = HttpMessage.encode(session(ID, "view"), new byte[0]);
+        try (Socket half = balancer.connect();
+                Socket silent = balancer.connect()) {
             half.getOutputStream().write(view, 0, 50);
-            program.signal("TERM");
-            assertTrue(Program.ended(silent));
+            balancer.signal("TERM");
+            assertTrue(BalancerProcess.awaitEnd(silent));
             half.getOutputStream().write(view, 50, view.length - 50);
-            assertEquals(200, Http.read(half.getInputStream()).status());
+            assertEquals(200, HttpMessage.read(half.getInputStream()).status());
         }
     }
 
@@ -150,30 +150,30 @@
      */
     @Test
     public void anAnsweredSessionIsLetGo() throws Exception {
-        program.stop();
-        program = Program.withHeap("24m", discovery, server);
+        balancer.stop();
+        balancer = BalancerProcess.withMaxHeap("24m", discovery, server);
         for (int i = 0; i < 800; i++) {
             assertEquals(
                     200,
-                    program.send(
+                    balancer.send(
                                     session(String.format("%016x", i), "scan").replace(": 8000", ": 3600000"),
                                     new byte[60_000])
                             .status());
         }
-        assertFalse(program.log(), program.log().contains("OutOfMemory"));
+        assertFalse(balancer.log(), balancer.log().contains("OutOfMemory"));
     }
 
     /** One for the sessions; beside it a spare may be opened, if one met the connection before it had rested. */
     @Test
     public void connectionsAreKept() throws Exception {
-        try (Socket socket = program.connect()) {
+        try (Socket socket = balancer.connect()) {
             for (int i = 0; i < 3; i++) {
-                socket.getOutputStream().write(Http.message(session(ID, "view"), new byte[0]));
-                assertEquals(200, Http.read(socket.getInputStream()).status());
+                socket.getOutputStream().write(HttpMessage.encode(session(ID, "view"), new byte[0]));
+                assertEquals(200, HttpMessage.read(socket.getInputStream()).status());
             }
         }
-        assertEquals(2, program.counter("connections_reused"));
-        assertTrue(server.connections.size() <= 1 + program.counter("spares_opened"));
+        assertEquals(2, balancer.counter("connections_reused"));
+        assertTrue(server.connections.size() <= 1 + balancer.counter("spares_opened"));
     }
 
     /** While a session is open, another of the same name would be a second copy of it. */
@@ -181,9 +181,9 @@
     public void aNameInUseIsNotForwardedTwice() throws Exception {
         server.script = r -> {
             release.await();
-            return Http.answer(200, "", "late");
+            return HttpMessage.response(200, "", "late");
         };
-        CompletableFuture<Http> first = CompletableFuture.supplyAsync(() -> {
+        CompletableFuture<HttpMessage> first = CompletableFuture.supplyAsync(() -> {
             try {
                 return send("order");
             } catch (Exception e) {
@@ -204,12 +204,12 @@
             release.await();
             return null;
         };
-        try (Socket socket = program.connect()) {
-            socket.getOutputStream().write(Http.message(session(ID, "view"), new byte[0]));
+        try (Socket socket = balancer.connect()) {
+            socket.getOutputStream().write(HttpMessage.encode(session(ID, "view"), new byte[0]));
             await("dispatched", () -> server.requests.size() == 1);
         }
-        await("cancelled", () -> program.counter("dispatches_cancelled") == 1);
-        assertEquals(1, program.counter("sessions_client_gone"));
+        await("cancelled", () -> balancer.counter("dispatches_cancelled") == 1);
+        assertEquals(1, balancer.counter("sessions_client_gone"));
     }
 
     @Test
@@ -219,15 +219,15 @@
             if (r.firstLine().contains("since=2")) {
                 release.await();
             }
-            return Http.answer(200, "", list(2, "Terminating", server));
+            return HttpMessage.response(200, "", discoveryList(2, "Terminating", server));
         };
         for (Socket socket : discovery.connections) {
             socket.close();
         }
-        await("told", () -> program.log().contains("generation=2"));
+        await("told", () -> balancer.log().contains("generation=2"));
         assertEquals(
                 503,
-                program.send(session(ID, "view").replace(": 8000", ": 500")).status());
+                balancer.send(session(ID, "view").replace(": 8000", ": 500")).status());
         assertEquals(1, server.requests.size());
         assertTrue(discovery.requests.get(0).firstLine().contains("since=1"));
     }
@@ -235,11 +235,11 @@
     /** Discovery that talks nonsense is asked again; the list stays as it was. */
     @Test
     public void malformedListsAreCountedOnly() throws Exception {
-        discovery.script = r -> Http.answer(200, "", "{\"generation\":\"x\",\"instances\":[{}]}");
+        discovery.script = r -> HttpMessage.response(200, "", "{\"generation\":\"x\",\"instances\":[{}]}");
         for (Socket socket : discovery.connections) {
             socket.close();
         }
-        await("counted", () -> program.counter("discovery_malformed") >= 1);
+        await("counted", () -> balancer.counter("discovery_malformed") >= 1);
         assertEquals(200, send("view").status());
     }
 
@@ -247,17 +247,18 @@
     public void badInputIsRefusedAndNotForwarded() throws Exception {
         String view = session(ID, "view");
         String scan = session(ID, "scan");
-        assertEquals(400, program.send(view.replace(ID, "9b1f")).status());
-        assertEquals(400, program.send(view.replace("X-Txn", "X-Other")).status());
-        assertEquals(400, program.send(view + "X-Txn: " + ID + "\r\n").status());
-        assertEquals(400, program.send(view.replace("Lane: view", "Lane: none")).status());
-        assertEquals(400, program.send(view.replace("library", "nobody")).status());
-        assertEquals(400, program.send(view.replace(": 8000", ": soon")).status());
-        assertEquals(400, program.send(view.replace(": 8000", ": -1")).status());
+        assertEquals(400, balancer.send(view.replace(ID, "9b1f")).status());
+        assertEquals(400, balancer.send(view.replace("X-Txn", "X-Other")).status());
+        assertEquals(400, balancer.send(view + "X-Txn: " + ID + "\r\n").status());
         assertEquals(
-                400, program.send(scan.replace("Idempotency-Key: k1\r\n", "")).status());
-        assertEquals(405, program.send(view.replace("GET", "POST")).status());
-        assertEquals(400, program.send("no request at all\r\n").status());
+                400, balancer.send(view.replace("Lane: view", "Lane: none")).status());
+        assertEquals(400, balancer.send(view.replace("library", "nobody")).status());
+        assertEquals(400, balancer.send(view.replace(": 8000", ": soon")).status());
+        assertEquals(400, balancer.send(view.replace(": 8000", ": -1")).status());
+        assertEquals(
+                400, balancer.send(scan.replace("Idempotency-Key: k1\r\n", "")).status());
+        assertEquals(405, balancer.send(view.replace("GET", "POST")).status());
+        assertEquals(400, balancer.send("no request at all\r\n").status());
         assertEquals(0, server.requests.size());
         assertEquals(200, send("view").status());
     }
@@ -267,43 +268,44 @@
     public void aPlannedStopAnswersEverything() throws Exception {
         server.script = r -> {
             release.await();
-            return Http.answer(200, "", "late");
+            return HttpMessage.response(200, "", "late");
         };
-        try (Socket taken = program.connect();
-                Socket idle = program.connect()) {
-            idle.getOutputStream().write(Http.message("GET /ready HTTP/1.1\r\nHost: a\r\n", new byte[0]));
-            assertEquals(200, Http.read(idle.getInputStream()).status());
-            taken.getOutputStream().write(Http.message(session(ID, "order"), new byte[1]));
+        try (Socket taken = balancer.connect();
+                Socket idle = balancer.connect()) {
+            idle.getOutputStream().write(HttpMessage.encode("GET /ready HTTP/1.1\r\nHost: a\r\n", new byte[0]));
+            assertEquals(200, HttpMessage.read(idle.getInputStream()).status());
+            taken.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
             // Only now: a connection has its first request within 2.4 s, which the first dispatch of a process may take
             // on a loaded machine.
-            try (Socket later = program.connect()) {
+            try (Socket later = balancer.connect()) {
                 long told = System.nanoTime();
-                program.process.destroy();
-                await("draining", () -> program.log().contains("draining"));
-                later.getOutputStream().write(Http.message(session("0" + ID.substring(1), "order"), new byte[1]));
-                // Silent until then: past that time the program may have ended it, which only a test that runs late can
+                balancer.process.destroy();
+                await("draining", () -> balancer.log().contains("draining"));
+                later.getOutputStream().write(HttpMessage.encode(session("0" + ID.substring(1), "order"), new byte[1]));
+                // Silent until then: past that time the balancer may have ended it, which only a test that runs late
+                // can
                 // meet.
                 boolean inTime = System.nanoTime() - told < TAKEN_IN_NANOS;
                 if (inTime) {
                     await("accepted while draining", () -> server.requests.size() == 2);
                 }
                 // What is idle is closed while the others are still owed their answers.
-                assertNull(Http.read(idle.getInputStream()));
+                assertNull(HttpMessage.read(idle.getInputStream()));
                 release.countDown();
-                Http answer = Http.read(taken.getInputStream());
+                HttpMessage answer = HttpMessage.read(taken.getInputStream());
                 assertEquals(200, answer.status());
                 assertEquals("close", answer.header("Connection"));
                 if (inTime || server.requests.size() == 2) {
-                    assertEquals(200, Http.read(later.getInputStream()).status());
+                    assertEquals(200, HttpMessage.read(later.getInputStream()).status());
                 } else {
-                    assertTrue(Program.ended(later));
+                    assertTrue(BalancerProcess.awaitEnd(later));
                 }
-                assertNull(Http.read(taken.getInputStream()));
+                assertNull(HttpMessage.read(taken.getInputStream()));
             }
         }
-        assertTrue(program.process.waitFor(30, TimeUnit.SECONDS));
-        assertEquals(0, program.process.exitValue());
+        assertTrue(balancer.process.waitFor(30, TimeUnit.SECONDS));
+        assertEquals(0, balancer.process.exitValue());
     }
 
     /** What a stop finds under way is answered before the platform ends the process, though its own time is longer. */
@@ -311,25 +313,25 @@
     public void aPlannedStopLeavesNothingToTheKill() throws Exception {
         server.script = r -> {
             release.await();
-            return Http.answer(200, "", "too late");
+            return HttpMessage.response(200, "", "too late");
         };
-        try (Socket before = program.connect()) {
+        try (Socket before = balancer.connect()) {
             before.getOutputStream()
-                    .write(Http.message(session(ID, "order").replace(": 8000", ": 60000"), new byte[1]));
+                    .write(HttpMessage.encode(session(ID, "order").replace(": 8000", ": 60000"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
             // Only now: silent for longer than a first dispatch takes on a loaded machine, it would be ended.
-            try (Socket after = program.connect()) {
-                program.process.destroy();
-                await("draining", () -> program.log().contains("draining"));
+            try (Socket after = balancer.connect()) {
+                balancer.process.destroy();
+                await("draining", () -> balancer.log().contains("draining"));
                 after.getOutputStream()
-                        .write(Http.message(
+                        .write(HttpMessage.encode(
                                 session("0" + ID.substring(1), "view").replace(": 8000", ": 60000"), new byte[0]));
-                assertEquals(502, Http.read(before.getInputStream()).status());
-                assertEquals(502, Http.read(after.getInputStream()).status());
+                assertEquals(502, HttpMessage.read(before.getInputStream()).status());
+                assertEquals(502, HttpMessage.read(after.getInputStream()).status());
             }
         }
-        assertTrue(program.process.waitFor(30, TimeUnit.SECONDS));
-        assertTrue(program.log(), program.log().contains("sessions_ended_by_stop 2"));
+        assertTrue(balancer.process.waitFor(30, TimeUnit.SECONDS));
+        assertTrue(balancer.log(), balancer.log().contains("sessions_ended_by_stop 2"));
     }
 
     /** SIGHUP moves the watch to discovery's new address and disturbs nothing else; a bad file changes nothing. */
@@ -337,26 +339,26 @@
     public void aHangupMovesDiscoveryOnly() throws Exception {
         server.script = r -> {
             release.await();
-            return Http.answer(200, "", "across the reload");
+            return HttpMessage.response(200, "", "across the reload");
         };
-        try (Peer moved = new Peer(discovery.script);
-                Socket taken = program.connect()) {
-            taken.getOutputStream().write(Http.message(session(ID, "order"), new byte[1]));
+        try (ScriptedServer moved = new ScriptedServer(discovery.script);
+                Socket taken = balancer.connect()) {
+            taken.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
             await("watching", () -> discovery.requests.size() == 1);
-            String good = Files.readString(program.config);
-            Files.writeString(program.config, good.substring(0, good.length() / 2));
-            program.signal("HUP");
-            await("refused", () -> program.counter("reloads_failed") == 1);
-            assertEquals(0, discovery.ended.size());
-            Files.writeString(program.config, good.replace(discovery.address(), moved.address()));
-            program.signal("HUP");
+            String good = Files.readString(balancer.config);
+            Files.writeString(balancer.config, good.substring(0, good.length() / 2));
+            balancer.signal("HUP");
+            await("refused", () -> balancer.counter("reloads_failed") == 1);
+            assertEquals(0, discovery.endedConnections.size());
+            Files.writeString(balancer.config, good.replace(discovery.address(), moved.address()));
+            balancer.signal("HUP");
             await("asked at the new address", () -> moved.requests.size() == 1);
             assertTrue(moved.requests.get(0).firstLine().contains("since=1"));
-            assertTrue("left the old address", Program.ended(discovery.connections.get(0)));
+            assertTrue("left the old address", BalancerProcess.awaitEnd(discovery.connections.get(0)));
             release.countDown();
-            assertEquals(200, Http.read(taken.getInputStream()).status());
-            assertEquals(1, program.counter("reloads"));
+            assertEquals(200, HttpMessage.read(taken.getInputStream()).status());
+            assertEquals(1, balancer.counter("reloads"));
         }
     }
 
@@ -367,12 +369,12 @@
     public void newSettingsCountFromTheHangupOn() throws Exception {
         server.script = r -> {
             release.await();
-            return Http.answer(500, "", "");
+            return HttpMessage.response(500, "", "");
         };
-        try (Socket taken = program.connect()) {
-            taken.getOutputStream().write(Http.message(session(ID, "order"), new byte[1]));
+        try (Socket taken = balancer.connect()) {
+            taken.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
-            String good = Files.readString(program.config);
+            String good = Files.readString(balancer.config);
             String order = "\"effect\":\"once\",\"key_scope\":\"all\",\"name\":\"order\"";
             assertTrue(good.contains(order));
             String changed = good.replace(order, order.replace("once", "repeatable"))
@@ -385,43 +387,45 @@
                 changed.replace("\"layer\":0", "\"layer\":1"),
                 changed.replace("\"max_attempts\":3", "\"max_attempts\":0")
             }) {
-                Files.writeString(program.config, text);
-                program.signal("HUP");
+                Files.writeString(balancer.config, text);
+                balancer.signal("HUP");
                 int expected = ++bad;
-                await("turned down", () -> program.counter("reloads_failed") == expected);
+                await("turned down", () -> balancer.counter("reloads_failed") == expected);
             }
             assertEquals(
                     405,
-                    program.send(session(ID.replace('9', '8'), "order").replace("POST", "GET"))
+                    balancer.send(session(ID.replace('9', '8'), "order").replace("POST", "GET"))
                             .status());
-            Files.writeString(program.config, changed);
-            program.signal("HUP");
-            await("taken", () -> program.counter("reloads") == 1);
+            Files.writeString(balancer.config, changed);
+            balancer.signal("HUP");
+            await("taken", () -> balancer.counter("reloads") == 1);
             release.countDown();
             assertEquals(
-                    "as it began: once", 502, Http.read(taken.getInputStream()).status());
+                    "as it began: once",
+                    502,
+                    HttpMessage.read(taken.getInputStream()).status());
             assertEquals(1, server.requests.size());
-            server.script = r -> Http.answer(server.requests.size() == 2 ? 500 : 200, "", "");
+            server.script = r -> HttpMessage.response(server.requests.size() == 2 ? 500 : 200, "", "");
             assertEquals(
                     "as it is now: repeatable",
                     200,
-                    program.send(session(ID, "order").replace("POST", "GET")).status());
+                    balancer.send(session(ID, "order").replace("POST", "GET")).status());
             assertEquals(3, server.requests.size());
             assertEquals(
                     200,
-                    program.send(session(ID, "scan").replace("X-Lane: scan", "X-Lane: sheet"))
+                    balancer.send(session(ID, "scan").replace("X-Lane: scan", "X-Lane: sheet"))
                             .status());
             assertEquals(
                     "dropped, but callers may not know yet",
                     200,
-                    program.send(session(ID, "scan")).status());
+                    balancer.send(session(ID, "scan")).status());
         }
     }
 
     /** Logs of many machines are read together. */
     @Test
     public void theLogIsInUtcWhateverTheMachinesZone() throws Exception {
-        Program away = new Program("export TZ=Asia/Tokyo; ", 1024, discovery, server);
+        BalancerProcess away = new BalancerProcess("export TZ=Asia/Tokyo; ", 1024, discovery, server);
         try {
             String serving = away.log()
                     .lines()
@@ -442,8 +446,8 @@
      */
     @Test
     public void aStartWithSighupIgnoredIsTold() throws Exception {
-        assertFalse(program.log().contains("hangup-ignored"));
-        Program deaf = new Program("trap '' HUP; ", 1024, discovery, server);
+        assertFalse(balancer.log().contains("hangup-ignored"));
+        BalancerProcess deaf = new BalancerProcess("trap '' HUP; ", 1024, discovery, server);
         try {
             assertTrue(deaf.log().contains("hangup-ignored"));
         } finally {
@@ -457,22 +461,22 @@
      */
     @Test
     public void aDenyOverTheBoundSaysWhenToComeBack() throws Exception {
-        String text = Files.readString(program.config).replace("\"max_open\":20000", "\"max_open\":0");
-        Files.writeString(program.config, text);
-        program.signal("HUP");
-        await("taken", () -> program.counter("reloads") == 1);
+        String text = Files.readString(balancer.config).replace("\"max_open\":20000", "\"max_open\":0");
+        Files.writeString(balancer.config, text);
+        balancer.signal("HUP");
+        await("taken", () -> balancer.counter("reloads") == 1);
         assertEquals("3.000", send("view").header("Retry-After"));
-        Files.writeString(program.config, text.replace("\"retry_after\":true", "\"retry_after\":false"));
-        program.signal("HUP");
-        await("taken", () -> program.counter("reloads") == 2);
-        Http denied = send("view");
+        Files.writeString(balancer.config, text.replace("\"retry_after\":true", "\"retry_after\":false"));
+        balancer.signal("HUP");
+        await("taken", () -> balancer.counter("reloads") == 2);
+        HttpMessage denied = send("view");
         assertEquals(503, denied.status());
         assertEquals(null, denied.header("Retry-After"));
-        Files.writeString(program.config, text.replace("\"max_retry_after\":3000000", "\"max_retry_after\":400"));
-        program.signal("HUP");
-        await("taken", () -> program.counter("reloads") == 3);
+        Files.writeString(balancer.config, text.replace("\"max_retry_after\":3000000", "\"max_retry_after\":400"));
+        balancer.signal("HUP");
+        await("taken", () -> balancer.counter("reloads") == 3);
         assertEquals("not rounded to at once", "0.001", send("view").header("Retry-After"));
-        assertEquals(3, program.counter("sessions_over_limit"));
+        assertEquals(3, balancer.counter("sessions_over_limit"));
     }
 
     @Test
@@ -481,7 +485,7 @@
         for (String text : new String[] {"", "{}", "[1]", "{\"settings\":{},\"seed\":\"q\"}"}) {
             Files.writeString(config, text);
             Path log = Files.createTempFile("calicochute", ".log");
-            Process process = Program.start(log, "serve", "--config", config.toString());
+            Process process = BalancerProcess.start(log, "serve", "--config", config.toString());
             assertTrue(process.waitFor(30, TimeUnit.SECONDS));
             assertEquals(1, process.exitValue());
             assertTrue(Files.readString(log), Files.readString(log).startsWith("calicochute: "));
@@ -494,7 +498,7 @@
     @Test
     public void anAddressInUseEndsTheStart() throws Exception {
         Path log = Files.createTempFile("calicochute", ".log");
-        Process second = Program.start(log, "serve", "--config", program.config.toString());
+        Process second = BalancerProcess.start(log, "serve", "--config", balancer.config.toString());
         assertTrue(second.waitFor(30, TimeUnit.SECONDS));
         assertEquals(Files.readString(log), 1, second.exitValue());
         assertTrue(Files.readString(log).contains("cannot listen at"));
--- a/balancer/src/test/java/calicochute/process/SilentWatchTest.java
+++ b/balancer/src/test/java/calicochute/process/SilentWatchTest.java
@@ -1,8 +1,8 @@
 package calicochute.process;
 
-import static calicochute.process.Program.await;
-import static calicochute.process.Program.list;
-import static calicochute.process.Program.session;
+import static calicochute.process.BalancerProcess.await;
+import static calicochute.process.BalancerProcess.discoveryList;
+import static calicochute.process.BalancerProcess.session;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
@@ -30,12 +30,12 @@
 
     private final CountDownLatch release = new CountDownLatch(1);
 
-    /** One program, whose first connection to discovery falls silent in its own way. */
+    /** One balancer, whose first connection to discovery falls silent in its own way. */
     private final class Silent {
         final String point;
-        final Peer server = new Peer(r -> Http.answer(200, "", "a map"));
-        final Peer discovery;
-        final Program program;
+        final ScriptedServer server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
+        final ScriptedServer discovery;
+        final BalancerProcess balancer;
 
         /**
          * @param answers before the one that falls silent
@@ -43,15 +43,15 @@
          */
         Silent(String point, int answers, int bytes) throws Exception {
             this.point = point;
-            Peer[] self = new Peer[1];
-            discovery = self[0] = new Peer(r -> {
-                Peer me = self[0];
+            ScriptedServer[] self = new ScriptedServer[1];
+            discovery = self[0] = new ScriptedServer(r -> {
+                ScriptedServer me = self[0];
                 boolean first = me.connections.size() == 1;
                 int told = me.requests.size();
                 if (first && told <= answers) {
-                    return Http.answer(200, "", list(1 + told, "Ready", server));
+                    return HttpMessage.response(200, "", discoveryList(1 + told, "Ready", server));
                 }
-                byte[] change = Http.answer(200, "", indented(list(9, "Terminating", server)));
+                byte[] change = HttpMessage.response(200, "", indented(discoveryList(9, "Terminating", server)));
                 if (first && bytes > 0) {
                     return Arrays.copyOf(change, Math.min(bytes, change.length - 1));
                 }
@@ -63,33 +63,34 @@
                     // brings late would be a
                     // silence of its own, counted with the one that is looked at here.
                     release.await(HELD_MS, TimeUnit.MILLISECONDS);
-                    return Http.answer(200, "", "{\"generation\":9,\"reset\":false,\"instances\":[]}");
+                    return HttpMessage.response(200, "", "{\"generation\":9,\"reset\":false,\"instances\":[]}");
                 }
                 return change;
             });
-            program = new Program(discovery, server);
+            balancer = new BalancerProcess(discovery, server);
         }
 
         /**
          * The change that was made meanwhile is in force, on another connection, without a failure told to the module.
          */
         void check() throws Exception {
-            await(point + ": told", () -> program.log().contains("generation=9"));
+            await(point + ": told", () -> balancer.log().contains("generation=9"));
             assertEquals(point, 2, discovery.connections.size());
             Socket first = discovery.connections.get(0);
-            assertTrue(point, first.isClosed() || Program.ended(first));
-            assertEquals(point, 1, program.counter("discovery_reopened"));
-            assertEquals(point, 1, program.counter("discovery_failures"));
+            assertTrue(point, first.isClosed() || BalancerProcess.awaitEnd(first));
+            assertEquals(point, 1, balancer.counter("discovery_reopened"));
+            assertEquals(point, 1, balancer.counter("discovery_failures"));
             int before = server.requests.size();
             assertEquals(
                     point,
                     503,
-                    program.send(session(ID, "view").replace(": 8000", ": 300")).status());
+                    balancer.send(session(ID, "view").replace(": 8000", ": 300"))
+                            .status());
             assertEquals(point, before, server.requests.size());
         }
 
         void stop() throws Exception {
-            program.stop();
+            balancer.stop();
             server.close();
             discovery.close();
         }
@@ -132,10 +133,10 @@
     @Test
     public void aConnectionThatNeverComesUpIsTriedAgain() throws Exception {
         List<Socket> crowd = new ArrayList<>();
-        try (Peer discovery = Peer.silent(release);
-                Peer server = new Peer(r -> Http.answer(200, "", "a map"));
+        try (ScriptedServer discovery = ScriptedServer.silent(release);
+                ScriptedServer server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
                 ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Program program = new Program(discovery, server);
+            BalancerProcess balancer = new BalancerProcess(discovery, server);
             for (boolean more = true; more; ) {
                 Socket one = new Socket();
                 crowd.add(one);
@@ -146,20 +147,20 @@
                 }
             }
             Files.writeString(
-                    program.config,
-                    Files.readString(program.config).replace(discovery.address(), "127.0.0.1:" + full.getLocalPort()));
-            program.signal("HUP");
-            await("given up twice", () -> program.counter("discovery_failures") >= 2);
-            assertEquals(0, program.counter("discovery_reopened"));
-            assertEquals(200, program.send(session(ID, "view")).status());
+                    balancer.config,
+                    Files.readString(balancer.config).replace(discovery.address(), "127.0.0.1:" + full.getLocalPort()));
+            balancer.signal("HUP");
+            await("given up twice", () -> balancer.counter("discovery_failures") >= 2);
+            assertEquals(0, balancer.counter("discovery_reopened"));
+            assertEquals(200, balancer.send(session(ID, "view")).status());
             Files.writeString(
-                    program.config,
-                    Files.readString(program.config).replace("127.0.0.1:" + full.getLocalPort(), discovery.address()));
+                    balancer.config,
+                    Files.readString(balancer.config).replace("127.0.0.1:" + full.getLocalPort(), discovery.address()));
             int before = discovery.requests.size();
-            program.signal("HUP");
+            balancer.signal("HUP");
             await("back", () -> discovery.requests.size() > before);
             release.countDown();
-            program.stop();
+            balancer.stop();
         } finally {
             for (Socket one : crowd) {
                 one.close();
@@ -170,37 +171,37 @@
     /** Where lists are pushed they come on a watch too, and what it has to tell counts from the first moment. */
     @Test
     public void pushedListsAreWatchedFromTheStart() throws Exception {
-        try (Peer server = new Peer(r -> Http.answer(200, "", "a map"));
-                Peer discovery = new Peer(r -> {
+        try (ScriptedServer server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
+                ScriptedServer discovery = new ScriptedServer(r -> {
                     if (r.firstLine().contains("since=2&")) {
                         release.await();
                     }
-                    return Http.answer(200, "", list(2, "Terminating", server));
+                    return HttpMessage.response(200, "", discoveryList(2, "Terminating", server));
                 })) {
-            Program program = Program.edited(
+            BalancerProcess balancer = BalancerProcess.withEditedConfig(
                     c -> c.replace("on_request", "pushed").replace("\"ask_every\":1000000,", ""), discovery, server);
-            await("told", () -> program.log().contains("generation=2"));
+            await("told", () -> balancer.log().contains("generation=2"));
             await("still watched", () -> discovery.requests.size() == 2);
             for (Socket socket : discovery.connections) {
                 socket.close();
             }
             await("watched again", () -> discovery.requests.size() == 3);
             release.countDown();
-            program.stop();
+            balancer.stop();
         }
     }
 
     /** A discovery that answers at once with nothing, time and again, is not called without an end. */
     @Test
     public void answersThatDoNotWaitMakeNoStorm() throws Exception {
-        try (Peer server = new Peer(r -> Http.answer(200, "", "a map"));
-                Peer discovery =
-                        new Peer(r -> Http.answer(200, "", "{\"generation\":1,\"reset\":false,\"instances\":[]}"))) {
-            Program program = new Program(discovery, server);
+        try (ScriptedServer server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
+                ScriptedServer discovery = new ScriptedServer(
+                        r -> HttpMessage.response(200, "", "{\"generation\":1,\"reset\":false,\"instances\":[]}"))) {
+            BalancerProcess balancer = new BalancerProcess(discovery, server);
             long begun = System.nanoTime();
             await("called again and again", () -> discovery.requests.size() >= 12);
             assertTrue("each a tenth of a second after the last", System.nanoTime() - begun > 500_000_000L);
-            program.stop();
+            balancer.stop();
         }
     }
 }
--- /dev/null
+++ b/balancer/src/test/java/calicochute/process/SingleServerFixture.java
@@ -0,0 +1,35 @@
+package calicochute.process;
+
+import java.util.concurrent.CountDownLatch;
+import org.junit.After;
+import org.junit.Before;
+
+/** Base of tests with one balancer, one backend server and a discovery service without changes to report. */
+abstract class SingleServerFixture {
+    static final String ID = "9b1f03aa5c7e2d41";
+    /** Releases the scripts that hold back a response; counted down at the end of each test at the latest. */
+    final CountDownLatch release = new CountDownLatch(1);
+
+    ScriptedServer discovery;
+    ScriptedServer server;
+    BalancerProcess balancer;
+
+    @Before
+    public void start() throws Exception {
+        discovery = ScriptedServer.silent(release);
+        server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
+        balancer = startBalancer();
+    }
+
+    BalancerProcess startBalancer() throws Exception {
+        return new BalancerProcess(discovery, server);
+    }
+
+    @After
+    public void stop() throws Exception {
+        release.countDown();
+        balancer.stop();
+        server.close();
+        discovery.close();
+    }
+}
--- a/balancer/src/test/java/calicochute/process/SmallLimitsTest.java
+++ b/balancer/src/test/java/calicochute/process/SmallLimitsTest.java
@@ -1,6 +1,6 @@
 package calicochute.process;
 
-import static calicochute.process.Program.session;
+import static calicochute.process.BalancerProcess.session;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
@@ -15,9 +15,9 @@
 
 /**
  * Another customer's limits: few descriptors, a small memory and short deadlines, under the very flags that the deploy
- * file starts the program with.
+ * file starts the balancer with.
  */
-public class SmallLimitsTest extends OneServer {
+public class SmallLimitsTest extends SingleServerFixture {
     private static final int DESCRIPTORS = 256;
     private static final int CLIENTS = 60;
 
@@ -32,8 +32,8 @@
     }
 
     @Override
-    Program program() throws Exception {
-        return new Program(
+    BalancerProcess startBalancer() throws Exception {
+        return new BalancerProcess(
                 "ulimit -n " + DESCRIPTORS + "; export JAVA_TOOL_OPTIONS='" + flags() + "'; ",
                 DESCRIPTORS,
                 discovery,
@@ -49,12 +49,12 @@
                 if (i < CLIENTS) {
                     // Only now: a connection has its first request within 2.4 s, which those before it may take on a
                     // loaded machine.
-                    clients.add(program.connect());
+                    clients.add(balancer.connect());
                 }
                 clients.get(i % CLIENTS)
                         .getOutputStream()
-                        .write(Http.message(session(String.format("%016x", i + 1), "scan"), new byte[1000]));
-                Http answer = Http.read(clients.get(i % CLIENTS).getInputStream());
+                        .write(HttpMessage.encode(session(String.format("%016x", i + 1), "scan"), new byte[1000]));
+                HttpMessage answer = HttpMessage.read(clients.get(i % CLIENTS).getInputStream());
                 assertEquals(200, answer.status());
                 assertEquals("a map", new String(answer.body()));
             }
@@ -64,7 +64,7 @@
             }
         }
         assertEquals(2 * CLIENTS, server.requests.size());
-        assertEquals(0, program.counter("acceptor_waits"));
-        assertEquals(0, program.counter("clients_closed_for_room"));
+        assertEquals(0, balancer.counter("acceptor_waits"));
+        assertEquals(0, balancer.counter("clients_closed_for_room"));
     }
 }
--- a/balancer/src/test/java/calicochute/process/SpareTest.java
+++ b/balancer/src/test/java/calicochute/process/SpareConnectionTest.java
@@ -1,14 +1,14 @@
 package calicochute.process;
 
-import static calicochute.process.Program.await;
-import static calicochute.process.Program.session;
+import static calicochute.process.BalancerProcess.await;
+import static calicochute.process.BalancerProcess.session;
 import static org.junit.Assert.assertEquals;
 
 import java.net.Socket;
 import org.junit.Test;
 
 /** Connections opened ahead, as backend servers meet them. */
-public class SpareTest extends OneServer {
+public class SpareConnectionTest extends SingleServerFixture {
     /** A connection rests for 5 ms after an answer; and the pause after a spare that failed is 20 s. */
     private static final long RESTED_MS = 10;
 
@@ -23,30 +23,30 @@
         await("a dispatch that waits", () -> {
             // Not sooner: whatever came before has rested by then, so that the first of the two does not wait.
             Thread.sleep(RESTED_MS);
-            try (Socket client = program.connect()) {
+            try (Socket client = balancer.connect()) {
                 serve(client);
                 serve(client);
             }
-            return program.counter("connections_waited_for") > 0;
+            return balancer.counter("connections_waited_for") > 0;
         });
-        assertEquals(1, program.counter("spares_opened"));
+        assertEquals(1, balancer.counter("spares_opened"));
     }
 
     private void serve(Socket client) throws Exception {
-        client.getOutputStream().write(Http.message(session(String.format("%016x", ++ids), "view"), new byte[0]));
-        assertEquals(200, Http.read(client.getInputStream()).status());
+        client.getOutputStream().write(HttpMessage.encode(session(String.format("%016x", ++ids), "view"), new byte[0]));
+        assertEquals(200, HttpMessage.read(client.getInputStream()).status());
     }
 
     @Test
     public void aWaitOpensASpareThatLaterSessionsUse() throws Exception {
         sessionsUntilOneWaits();
         await("a spare", () -> server.connections.size() >= 2);
-        try (Socket client = program.connect()) {
+        try (Socket client = balancer.connect()) {
             for (int i = 0; i < 20; i++) {
                 serve(client);
             }
         }
-        assertEquals(0, program.counter("spares_failed"));
+        assertEquals(0, balancer.counter("spares_failed"));
         // Nothing was sent twice: a request for each session.
         assertEquals(
                 ids,
@@ -62,18 +62,18 @@
      */
     @Test
     public void aServerThatRefusesSparesIsServedOverWhatItTakes() throws Exception {
-        server.mostConnections = 1;
+        server.maxConnections = 1;
         sessionsUntilOneWaits();
         long since = System.nanoTime();
-        await("a failed spare", () -> program.counter("spares_failed") == 1);
+        await("a failed spare", () -> balancer.counter("spares_failed") == 1);
         for (int i = 0; i < 30 && System.nanoTime() - since < WITHIN_PAUSE_MS * 1_000_000; i++) {
             assertEquals(
                     200,
-                    program.send(session(String.format("%016x", ++ids), "order"))
+                    balancer.send(session(String.format("%016x", ++ids), "order"))
                             .status());
         }
-        assertEquals(1, program.counter("spares_opened"));
-        assertEquals(0, program.counter("connections_ended_early"));
+        assertEquals(1, balancer.counter("spares_opened"));
+        assertEquals(0, balancer.counter("connections_ended_early"));
         assertEquals(
                 ids,
                 server.requests.stream()
--- a/balancer/src/test/java/calicochute/process/PiecesTest.java
+++ b/balancer/src/test/java/calicochute/process/StreamedBodiesTest.java
@@ -1,7 +1,7 @@
 package calicochute.process;
 
-import static calicochute.process.Program.await;
-import static calicochute.process.Program.session;
+import static calicochute.process.BalancerProcess.await;
+import static calicochute.process.BalancerProcess.session;
 import static org.junit.Assert.assertArrayEquals;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
@@ -25,12 +25,12 @@
 import org.junit.Test;
 
 /** Messages longer than what is kept whole, and messages cut at any point. */
-public class PiecesTest extends OneServer {
+public class StreamedBodiesTest extends SingleServerFixture {
     private static final int LONG = 3_000_000;
 
     @Override
-    Program program() throws Exception {
-        return Program.withAdmin(discovery, server);
+    BalancerProcess startBalancer() throws Exception {
+        return BalancerProcess.withAdmin(discovery, server);
     }
 
     private static byte[] random(int length) {
@@ -55,38 +55,38 @@
     @Test
     public void longMessagesPassUnchanged() throws Exception {
         byte[] body = random(LONG);
-        server.script = r -> Http.message("HTTP/1.1 200 OK\r\n", r.body());
-        Http answer = program.send(session(ID, "scan"), body);
+        server.script = r -> HttpMessage.encode("HTTP/1.1 200 OK\r\n", r.body());
+        HttpMessage answer = balancer.send(session(ID, "scan"), body);
         assertEquals(200, answer.status());
         assertArrayEquals(body, answer.body());
         assertArrayEquals(body, server.requests.get(0).body());
         server.script = r -> chunked("HTTP/1.1 200 OK\r\n", r.body(), 7001);
-        try (Socket socket = program.connect()) {
+        try (Socket socket = balancer.connect()) {
             socket.getOutputStream().write(chunked(session(ID, "order"), body, 5003));
-            assertArrayEquals(body, Http.read(socket.getInputStream()).body());
-            socket.getOutputStream().write(Http.message(session(ID, "order"), new byte[3]));
+            assertArrayEquals(body, HttpMessage.read(socket.getInputStream()).body());
+            socket.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[3]));
             assertEquals(
                     "the connection goes on",
                     3,
-                    Http.read(socket.getInputStream()).body().length);
+                    HttpMessage.read(socket.getInputStream()).body().length);
         }
-        await("counted at the last byte", () -> program.figure("completed.order") == 2);
-        assertEquals(0, program.figure("pending"));
-        assertEquals(3, program.figure("upstream_requests"));
+        await("counted at the last byte", () -> balancer.stat("completed.order") == 2);
+        assertEquals(0, balancer.stat("pending"));
+        assertEquals(3, balancer.stat("upstream_requests"));
     }
 
     /** Cut at every byte, with chunks, extensions, a trailer and empty lines ahead: the same session. */
     @Test
     public void aRequestCutAtEveryByteIsTheSame() throws Exception {
         byte[] body = random(40);
-        try (Socket socket = program.connect()) {
+        try (Socket socket = balancer.connect()) {
             socket.setTcpNoDelay(true);
             for (byte b : ("\r\n" + new String(chunked(session(ID, "order"), body, 9), StandardCharsets.ISO_8859_1))
                     .getBytes(StandardCharsets.ISO_8859_1)) {
                 socket.getOutputStream().write(b);
                 socket.getOutputStream().flush();
             }
-            assertEquals(200, Http.read(socket.getInputStream()).status());
+            assertEquals(200, HttpMessage.read(socket.getInputStream()).status());
         }
         assertArrayEquals(body, server.requests.get(0).body());
     }
@@ -99,10 +99,10 @@
     public void aResetIsNoEndOfAnAnswerWithoutALength() throws Exception {
         BlockingQueue<Socket> called = new LinkedBlockingQueue<>();
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            // Which of its connections the program calls on is its own affair.
+            // Which of its connections the balancer calls on is its own affair.
             CompletableFuture.runAsync(() -> acceptAll(listener, called), task -> new Thread(task).start());
-            program.stop();
-            program = Program.before(discovery, "127.0.0.1:" + listener.getLocalPort());
+            balancer.stop();
+            balancer = BalancerProcess.withAdminAndBackend(discovery, "127.0.0.1:" + listener.getLocalPort());
             for (int bytes : new int[] {1000, 100_000}) {
                 for (boolean reset : new boolean[] {false, true}) {
                     checkUntoldLength(called, bytes, reset, false);
@@ -119,11 +119,11 @@
                 CompletableFuture.runAsync(
                         () -> {
                             try {
-                                if (Http.read(socket.getInputStream()) != null) {
+                                if (HttpMessage.read(socket.getInputStream()) != null) {
                                     called.add(socket);
                                 }
                             } catch (IOException e) {
-                                // The program ended it.
+                                // The balancer ended it.
                             }
                         },
                         task -> new Thread(task).start());
@@ -135,8 +135,8 @@
 
     private void checkUntoldLength(BlockingQueue<Socket> called, int bytes, boolean reset, boolean together)
             throws Exception {
-        try (Socket client = program.connect()) {
-            client.getOutputStream().write(Http.message(session(ID, "order"), new byte[1]));
+        try (Socket client = balancer.connect()) {
+            client.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
             Socket socket = called.poll(30, TimeUnit.SECONDS);
             byte[] answer = Arrays.copyOf("HTTP/1.1 200 OK\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1), 19 + bytes);
             socket.getOutputStream().write(answer, 0, answer.length - 1);
@@ -155,7 +155,7 @@
                 assertEquals(what, !reset, wholeFrom(client.getInputStream(), bytes));
             }
         }
-        await("over", () -> program.figure("pending") == 0);
+        await("over", () -> balancer.stat("pending") == 0);
     }
 
     private static int head(InputStream in) throws IOException {
@@ -163,12 +163,12 @@
         while (!head.toString().endsWith("\r\n\r\n")) {
             head.append((char) in.read());
         }
-        return new Http(head.toString(), null).status();
+        return new HttpMessage(head.toString(), null).status();
     }
 
     private static boolean wholeFrom(InputStream in, int bytes) {
         try {
-            Http answer = Http.read(in);
+            HttpMessage answer = HttpMessage.read(in);
             return answer != null && answer.status() == 200 && answer.body().length == bytes;
         } catch (IOException e) {
             return false;
@@ -182,7 +182,7 @@
             Socket client = restartBefore(listener);
             try (client;
                     Socket socket = listener.accept()) {
-                Http.read(socket.getInputStream());
+                HttpMessage.read(socket.getInputStream());
                 socket.getOutputStream()
                         .write(("HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n")
                                 .getBytes(StandardCharsets.ISO_8859_1));
@@ -190,7 +190,7 @@
                 InputStream in = client.getInputStream();
                 byte[] first = in.readNBytes(1000);
                 assertEquals(1000, first.length);
-                assertEquals("not ended before its last byte", 1, program.figure("pending"));
+                assertEquals("not ended before its last byte", 1, balancer.stat("pending"));
                 // What there is is passed on, and the end can be seen to be none.
                 socket.getOutputStream().write(new byte[5000]);
                 socket.getOutputStream().flush();
@@ -199,8 +199,8 @@
                 assertTrue("rest " + rest, rest > 4500 && rest < LONG - 1000);
             }
         }
-        await("it has failed", () -> program.figure("failed.view") == 1);
-        assertEquals(0, program.figure("pending"));
+        await("it has failed", () -> balancer.stat("failed.view") == 1);
+        assertEquals(0, balancer.stat("pending"));
     }
 
     /**
@@ -213,22 +213,22 @@
             Socket client = restartBefore(listener);
             try (client;
                     Socket socket = listener.accept()) {
-                Http.read(socket.getInputStream());
+                HttpMessage.read(socket.getInputStream());
                 socket.getOutputStream()
                         .write(("HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n")
                                 .getBytes(StandardCharsets.ISO_8859_1));
                 socket.getOutputStream().write(new byte[1000]);
                 assertEquals(1000, client.getInputStream().readNBytes(1000).length);
-                program.process.destroy();
+                balancer.process.destroy();
                 assertTrue(client.getInputStream().readAllBytes().length < LONG);
             }
         }
-        assertTrue(program.process.waitFor(30, TimeUnit.SECONDS));
+        assertTrue(balancer.process.waitFor(30, TimeUnit.SECONDS));
         assertTrue(
-                program.log(),
-                program.log().contains("sessions_ended_by_stop 1")
-                        && program.log().contains("answers_cut 0"));
-        assertTrue(program.log(), program.log().contains("drained unanswered=0"));
+                balancer.log(),
+                balancer.log().contains("sessions_ended_by_stop 1")
+                        && balancer.log().contains("answers_cut 0"));
+        assertTrue(balancer.log(), balancer.log().contains("drained unanswered=0"));
     }
 
     /**
@@ -242,53 +242,54 @@
                 ? ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(body.length) + "\r\n"
                                 + new String(body, StandardCharsets.ISO_8859_1) + "\r\n0\r\n\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1)
-                : Http.message("HTTP/1.1 200 OK\r\n", body);
-        try (Socket slow = program.connect();
-                Socket untold = program.connect()) {
-            slow.getOutputStream().write(Http.message(session(ID, "view"), new byte[0]));
+                : HttpMessage.encode("HTTP/1.1 200 OK\r\n", body);
+        try (Socket slow = balancer.connect();
+                Socket untold = balancer.connect()) {
+            slow.getOutputStream().write(HttpMessage.encode(session(ID, "view"), new byte[0]));
             untold.getOutputStream()
-                    .write(Http.message(session(ID.replace('9', '7'), "view").replace("/api", "/untold"), new byte[0]));
-            await("both have begun", () -> program.counter("answers_in_pieces") == 2);
-            program.process.destroy();
-            await("drains", () -> program.log().contains("draining"));
+                    .write(HttpMessage.encode(
+                            session(ID.replace('9', '7'), "view").replace("/api", "/untold"), new byte[0]));
+            await("both have begun", () -> balancer.counter("answers_in_pieces") == 2);
+            balancer.process.destroy();
+            await("drains", () -> balancer.log().contains("draining"));
             // Slowly: a byte now and then, until there is an end to the process.
-            while (!program.process.waitFor(20, TimeUnit.MILLISECONDS)) {
+            while (!balancer.process.waitFor(20, TimeUnit.MILLISECONDS)) {
                 assertTrue(slow.getInputStream().read() >= 0);
             }
-            assertTrue(program.log(), program.log().contains("drained unanswered=0"));
+            assertTrue(balancer.log(), balancer.log().contains("drained unanswered=0"));
             assertTrue(
-                    program.log(),
-                    program.log().contains("sessions_ended_by_stop 2")
-                            && program.log().contains("sessions_failed 2"));
-            assertEquals(0, program.process.exitValue());
+                    balancer.log(),
+                    balancer.log().contains("sessions_ended_by_stop 2")
+                            && balancer.log().contains("sessions_failed 2"));
+            assertEquals(0, balancer.process.exitValue());
             assertTrue("cut where the client can tell", slow.getInputStream().readAllBytes().length < body.length);
             String got = new String(untold.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertTrue("cut where the client can tell", got.length() < body.length && !got.endsWith("\r\n0\r\n\r\n"));
         }
     }
 
-    /** A program whose one server listens there; a session of it is on its way when this returns. */
+    /** A balancer whose one server listens there; a session of it is on its way when this returns. */
     private Socket restartBefore(ServerSocket listener) throws Exception {
-        program.stop();
-        program = Program.before(discovery, "127.0.0.1:" + listener.getLocalPort());
-        Socket client = program.connect();
-        client.getOutputStream().write(Http.message(session(ID, "view"), new byte[0]));
+        balancer.stop();
+        balancer = BalancerProcess.withAdminAndBackend(discovery, "127.0.0.1:" + listener.getLocalPort());
+        Socket client = balancer.connect();
+        client.getOutputStream().write(HttpMessage.encode(session(ID, "view"), new byte[0]));
         return client;
     }
 
     /** A client that goes away in the middle of its body has run nothing: the server never gets the last byte. */
     @Test
     public void aClientThatGoesAwayHasRunNothing() throws Exception {
-        try (Socket socket = program.connect()) {
+        try (Socket socket = balancer.connect()) {
             socket.getOutputStream()
                     .write((session(ID, "order") + "Content-Length: " + LONG + "\r\n\r\n")
                             .getBytes(StandardCharsets.ISO_8859_1));
             socket.getOutputStream().write(new byte[LONG - 1]);
         }
-        await("the dispatch has ended", () -> program.counter("dispatches_cancelled") == 1);
-        await("nothing is pending", () -> program.figure("pending") == 0);
+        await("the dispatch has ended", () -> balancer.counter("dispatches_cancelled") == 1);
+        await("nothing is pending", () -> balancer.stat("pending") == 0);
         assertEquals(0, server.requests.size());
-        assertEquals(0, program.figure("upstream_requests"));
+        assertEquals(0, balancer.stat("upstream_requests"));
     }
 
     /**
@@ -301,8 +302,8 @@
             Socket first = restartBefore(listener);
             try (first;
                     Socket socket = listener.accept();
-                    Socket client = program.connect()) {
-                Http.read(socket.getInputStream());
+                    Socket client = balancer.connect()) {
+                HttpMessage.read(socket.getInputStream());
                 client.getOutputStream()
                         .write((session(ID.replace('9', '7'), "order") + "Content-Length: " + LONG + "\r\n\r\n")
                                 .getBytes(StandardCharsets.ISO_8859_1));
@@ -311,9 +312,9 @@
                 assertTrue(upload.getInputStream().readNBytes(100_000).length == 100_000);
                 upload.setSoLinger(true, 0);
                 upload.close();
-                await("denied at once", () -> program.figure("rejected.order") == 1);
+                await("denied at once", () -> balancer.stat("rejected.order") == 1);
                 client.getOutputStream().write(new byte[LONG - 200_000]);
-                Http answer = Http.read(client.getInputStream());
+                HttpMessage answer = HttpMessage.read(client.getInputStream());
                 assertEquals(503, answer.status());
                 assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
             }
@@ -323,23 +324,23 @@
     /** Long answers that nobody reads, many times the heap together: they wait at their servers, and all come whole. */
     @Test
     public void memoryIsBounded() throws Exception {
-        program.stop();
-        program = Program.withHeap("40m", discovery, server);
+        balancer.stop();
+        balancer = BalancerProcess.withMaxHeap("40m", discovery, server);
         byte[] body = random(16_000_000);
-        server.script = r -> Http.message("HTTP/1.1 200 OK\r\n", body);
+        server.script = r -> HttpMessage.encode("HTTP/1.1 200 OK\r\n", body);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            Socket client = program.connect();
-            client.getOutputStream().write(Http.message(session(String.format("%016x", i), "view"), new byte[0]));
+            Socket client = balancer.connect();
+            client.getOutputStream().write(HttpMessage.encode(session(String.format("%016x", i), "view"), new byte[0]));
             clients.add(client);
         }
-        await("all have begun", () -> program.counter("answers_in_pieces") == clients.size());
+        await("all have begun", () -> balancer.counter("answers_in_pieces") == clients.size());
         List<CompletableFuture<Boolean>> whole = new ArrayList<>();
         for (Socket client : clients) {
             whole.add(CompletableFuture.supplyAsync(() -> {
                 try (client) {
                     return Arrays.equals(
-                            body, Http.read(client.getInputStream()).body());
+                            body, HttpMessage.read(client.getInputStream()).body());
                 } catch (IOException e) {
                     return false;
                 }
@@ -348,21 +349,21 @@
         for (CompletableFuture<Boolean> one : whole) {
             assertTrue(one.get(60, TimeUnit.SECONDS));
         }
-        assertTrue(program.log(), !program.log().contains("OutOfMemory"));
+        assertTrue(balancer.log(), !balancer.log().contains("OutOfMemory"));
     }
 
     /** A client that stops in the middle of its body is not waited for, and what it had begun is taken back. */
     @Test
     public void aBodyThatStandsStillIsEnded() throws Exception {
-        try (Socket socket = program.connect()) {
+        try (Socket socket = balancer.connect()) {
             OutputStream out = socket.getOutputStream();
             out.write((session(ID, "order") + "Content-Length: " + LONG + "\r\n\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1));
             out.write(new byte[200_000]);
-            assertTrue(Program.ended(socket));
+            assertTrue(BalancerProcess.awaitEnd(socket));
         }
-        await("the dispatch has ended", () -> program.counter("dispatches_cancelled") == 1);
+        await("the dispatch has ended", () -> balancer.counter("dispatches_cancelled") == 1);
         assertEquals(0, server.requests.size());
-        assertEquals(1, program.counter("clients_closed_slow"));
+        assertEquals(1, balancer.counter("clients_closed_slow"));
     }
 }
--- a/balancer/src/test/java/calicochute/process/Platform.java
+++ b/balancer/src/test/java/calicochute/process/Supervisor.java
@@ -13,11 +13,11 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A platform that holds the clients' listening socket and starts versions of the program beside each other, with one
- * folder between them. Perl holds the socket, since Java can't pass one on as descriptor 0.
+ * A process supervisor that holds the listening socket and starts balancer processes that share it, together with one
+ * folder. The socket is held by a Perl script, because Java cannot pass a socket to a child as descriptor 0.
  */
-final class Platform {
-    private static final String HOLD = """
+final class Supervisor {
+    private static final String PERL_SCRIPT = """
         use Socket; my ($dir, @command) = @ARGV;
         socket(my $s, PF_INET, SOCK_STREAM, 0) or die; bind($s, sockaddr_in(0, INADDR_LOOPBACK)) or die;
         listen($s, 128) or die; open(STDIN, "<&", $s) or die;
@@ -42,60 +42,64 @@
         }
         """;
     private final Path folder;
-    private final Process holder;
+    private final Process perl;
     final int port;
-    private int started;
+    private int startedCount;
     private final List<Long> pids = new ArrayList<>();
 
-    Platform() throws Exception {
+    Supervisor() throws Exception {
         folder = Files.createTempDirectory("calicochute-platform");
         Files.createDirectory(folder.resolve("tmp"));
-        List<String> command = new ArrayList<>(List.of("perl", "-e", HOLD, folder.toString()));
-        command.addAll(Program.command("serve", "--config"));
-        holder = new ProcessBuilder(command)
+        List<String> command = new ArrayList<>(List.of("perl", "-e", PERL_SCRIPT, folder.toString()));
+        command.addAll(BalancerProcess.command("serve", "--config"));
+        perl = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(folder.resolve("holder").toFile())
                 .start();
-        Program.await("the socket is held", () -> Files.exists(folder.resolve("port")));
+        BalancerProcess.await("the listening socket", () -> Files.exists(folder.resolve("port")));
         port = Integer.parseInt(Files.readString(folder.resolve("port")));
     }
 
-    Path shared() {
+    /** The folder that the processes share. */
+    Path sharedFolder() {
         return folder.resolve("tmp");
     }
 
-    /** Starts one more; it serves when this returns. */
-    int start(int admin, Peer discovery, Peer... servers) throws Exception {
-        return start(UnaryOperator.identity(), admin, discovery, servers);
+    /** Starts one more process and waits until it is healthy; returns its index. */
+    int start(int adminPort, ScriptedServer discovery, ScriptedServer... servers) throws Exception {
+        return start(UnaryOperator.identity(), adminPort, discovery, servers);
     }
 
-    /** With a configuration changed before. */
-    int start(UnaryOperator<String> edit, int admin, Peer discovery, Peer... servers) throws Exception {
-        int n = started++;
+    /** As above, with an edited configuration. */
+    int start(UnaryOperator<String> edit, int adminPort, ScriptedServer discovery, ScriptedServer... servers)
+            throws Exception {
+        int instance = startedCount++;
         Files.writeString(
-                folder.resolve("config" + n), edit.apply(Program.configuration(port, admin, 1024, discovery, servers)));
-        Files.createFile(folder.resolve("start" + n));
-        Program.await("it runs", () -> Files.exists(folder.resolve("pid" + n)));
-        pids.add(Long.parseLong(Files.readString(folder.resolve("pid" + n))));
-        Program.await(
-                "it can serve", () -> Program.admin(admin, "GET health", "").status() == 200);
-        return n;
+                folder.resolve("config" + instance),
+                edit.apply(BalancerProcess.configuration(port, adminPort, 1024, discovery, servers)));
+        Files.createFile(folder.resolve("start" + instance));
+        BalancerProcess.await("the process has started", () -> Files.exists(folder.resolve("pid" + instance)));
+        pids.add(Long.parseLong(Files.readString(folder.resolve("pid" + instance))));
+        BalancerProcess.await(
+                "the process is healthy",
+                () -> BalancerProcess.callAdmin(adminPort, "GET health", "").status() == 200);
+        return instance;
     }
 
-    void signal(int n, String name) throws Exception {
+    void signal(int instance, String name) throws Exception {
         assertEquals(
                 0,
-                new ProcessBuilder("kill", "-" + name, pids.get(n).toString())
+                new ProcessBuilder("kill", "-" + name, pids.get(instance).toString())
                         .start()
                         .waitFor());
     }
 
-    boolean ended(int n) {
-        return Files.exists(folder.resolve("status" + pids.get(n)));
+    boolean hasExited(int instance) {
+        return Files.exists(folder.resolve("status" + pids.get(instance)));
     }
 
-    String log(int n) throws IOException {
-        return Files.readString(folder.resolve("log" + n));
+    String log(int instance) throws IOException {
+        return Files.readString(folder.resolve("log" + instance));
     }
 
     Socket connect() throws IOException {
@@ -104,20 +108,20 @@
         return socket;
     }
 
-    Http send(String head) throws IOException {
+    HttpMessage send(String head) throws IOException {
         try (Socket socket = connect()) {
-            socket.getOutputStream().write(Http.message(head, new byte[0]));
-            return Http.read(socket.getInputStream());
+            socket.getOutputStream().write(HttpMessage.encode(head, new byte[0]));
+            return HttpMessage.read(socket.getInputStream());
         }
     }
 
     void close() throws Exception {
-        for (int n = 0; n < started; n++) {
-            if (!ended(n)) {
-                signal(n, "KILL");
+        for (int i = 0; i < startedCount; i++) {
+            if (!hasExited(i)) {
+                signal(i, "KILL");
             }
         }
         Files.createFile(folder.resolve("end"));
-        holder.waitFor(30, TimeUnit.SECONDS);
+        perl.waitFor(30, TimeUnit.SECONDS);
     }
 }
--- a/balancer/src/test/java/calicochute/process/UpgradeTest.java
+++ b/balancer/src/test/java/calicochute/process/UpgradeTest.java
@@ -1,9 +1,9 @@
 package calicochute.process;
 
-import static calicochute.process.Program.await;
-import static calicochute.process.Program.freePort;
-import static calicochute.process.Program.host;
-import static calicochute.process.Program.session;
+import static calicochute.process.BalancerProcess.await;
+import static calicochute.process.BalancerProcess.freePort;
+import static calicochute.process.BalancerProcess.hostBody;
+import static calicochute.process.BalancerProcess.session;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
@@ -16,25 +16,25 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** A new version beside the old one, on a listening socket that the platform holds. */
+/** A new version beside the old one, on a listening socket that the supervisor holds. */
 public class UpgradeTest {
     private final CountDownLatch release = new CountDownLatch(1);
-    private Peer discovery;
-    private Peer server;
-    private Platform platform;
+    private ScriptedServer discovery;
+    private ScriptedServer server;
+    private Supervisor supervisor;
     private int sent;
 
     @Before
     public void start() throws Exception {
-        discovery = Peer.silent(release);
-        server = new Peer(r -> Http.answer(200, "", "a map"));
-        platform = new Platform();
+        discovery = ScriptedServer.silent(release);
+        server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
+        supervisor = new Supervisor();
     }
 
     @After
     public void stop() throws Exception {
         release.countDown();
-        platform.close();
+        supervisor.close();
         server.close();
         discovery.close();
     }
@@ -48,41 +48,41 @@
      */
     @Test
     public void nothingIsLostWhenTheNewOneTakesOver() throws Exception {
-        int old = platform.start(freePort(), discovery, server);
+        int old = supervisor.start(freePort(), discovery, server);
         CountDownLatch answer = new CountDownLatch(1);
-        try (Socket kept = platform.connect();
-                Socket idle = platform.connect();
-                Socket open = platform.connect()) {
+        try (Socket kept = supervisor.connect();
+                Socket idle = supervisor.connect();
+                Socket open = supervisor.connect()) {
             for (Socket socket : new Socket[] {kept, idle}) {
-                socket.getOutputStream().write(Http.message(view(), new byte[0]));
-                assertEquals(200, Http.read(socket.getInputStream()).status());
+                socket.getOutputStream().write(HttpMessage.encode(view(), new byte[0]));
+                assertEquals(200, HttpMessage.read(socket.getInputStream()).status());
             }
             server.script = r -> {
                 answer.await();
-                return Http.answer(200, "", "late");
+                return HttpMessage.response(200, "", "late");
             };
-            open.getOutputStream().write(Http.message(view(), new byte[0]));
+            open.getOutputStream().write(HttpMessage.encode(view(), new byte[0]));
             await("it is with the server", () -> server.requests.size() == 3);
-            int next = platform.start(freePort(), discovery, server);
-            platform.signal(old, "TERM");
-            await("the old one leaves", () -> platform.log(old).contains("draining"));
-            assertTrue(platform.log(old), platform.log(old).contains("accompanied=true"));
-            server.script = r -> Http.answer(200, "", "a map");
-            kept.getOutputStream().write(Http.message(view(), new byte[0]));
-            Http last = Http.read(kept.getInputStream());
+            int next = supervisor.start(freePort(), discovery, server);
+            supervisor.signal(old, "TERM");
+            await("the old one leaves", () -> supervisor.log(old).contains("draining"));
+            assertTrue(supervisor.log(old), supervisor.log(old).contains("accompanied=true"));
+            server.script = r -> HttpMessage.response(200, "", "a map");
+            kept.getOutputStream().write(HttpMessage.encode(view(), new byte[0]));
+            HttpMessage last = HttpMessage.read(kept.getInputStream());
             assertEquals(200, last.status());
             assertEquals("close", last.header("Connection"));
             for (int i = 0; i < 20; i++) {
-                assertEquals(200, platform.send(view()).status());
+                assertEquals(200, supervisor.send(view()).status());
             }
-            assertTrue(Program.ended(idle));
-            assertFalse(platform.ended(old));
+            assertTrue(BalancerProcess.awaitEnd(idle));
+            assertFalse(supervisor.hasExited(old));
             answer.countDown();
-            assertEquals(200, Http.read(open.getInputStream()).status());
-            await("the old one ends", () -> platform.ended(old));
-            assertTrue(platform.log(old), platform.log(old).contains("drained unanswered=0"));
-            assertEquals(200, platform.send(view()).status());
-            assertFalse(platform.ended(next));
+            assertEquals(200, HttpMessage.read(open.getInputStream()).status());
+            await("the old one ends", () -> supervisor.hasExited(old));
+            assertTrue(supervisor.log(old), supervisor.log(old).contains("drained unanswered=0"));
+            assertEquals(200, supervisor.send(view()).status());
+            assertFalse(supervisor.hasExited(next));
         }
     }
 
@@ -93,17 +93,23 @@
     public void aBanHoldsAcrossAnUpgrade() throws Exception {
         int oldAdmin = freePort();
         int newAdmin = freePort();
-        int old = platform.start(oldAdmin, discovery, server);
-        assertEquals(200, Program.admin(oldAdmin, "POST cordon", host(server)).status());
-        platform.start(newAdmin, discovery, server);
-        platform.signal(old, "KILL");
-        await("the old one is gone", () -> platform.ended(old));
-        assertEquals(503, platform.send(view().replace(": 8000", ": 300")).status());
+        int old = supervisor.start(oldAdmin, discovery, server);
+        assertEquals(
+                200,
+                BalancerProcess.callAdmin(oldAdmin, "POST cordon", hostBody(server))
+                        .status());
+        supervisor.start(newAdmin, discovery, server);
+        supervisor.signal(old, "KILL");
+        await("the old one is gone", () -> supervisor.hasExited(old));
+        assertEquals(503, supervisor.send(view().replace(": 8000", ": 300")).status());
         assertEquals(0, server.requests.size());
-        Files.writeString(platform.shared().resolve("calicochute-n0.out"), "{\"version\":1,\"out\":[{");
-        assertEquals(503, platform.send(view().replace(": 8000", ": 300")).status());
-        assertEquals(200, Program.admin(newAdmin, "POST uncordon", host(server)).status());
-        assertEquals(200, platform.send(view()).status());
+        Files.writeString(supervisor.sharedFolder().resolve("calicochute-n0.out"), "{\"version\":1,\"out\":[{");
+        assertEquals(503, supervisor.send(view().replace(": 8000", ": 300")).status());
+        assertEquals(
+                200,
+                BalancerProcess.callAdmin(newAdmin, "POST uncordon", hostBody(server))
+                        .status());
+        assertEquals(200, supervisor.send(view()).status());
     }
 
     /** While both live each hears of a call to the other. */
@@ -111,33 +117,38 @@
     public void bothProcessesHearACall() throws Exception {
         int one = freePort();
         int two = freePort();
-        platform.start(one, discovery, server);
-        platform.start(two, discovery, server);
-        assertEquals(200, Program.admin(two, "POST cordon", host(server)).status());
+        supervisor.start(one, discovery, server);
+        supervisor.start(two, discovery, server);
+        assertEquals(
+                200,
+                BalancerProcess.callAdmin(two, "POST cordon", hostBody(server)).status());
         await("the first one has heard", () -> unavailable(one) == 1);
-        assertEquals(200, Program.admin(one, "POST uncordon", host(server)).status());
+        assertEquals(
+                200,
+                BalancerProcess.callAdmin(one, "POST uncordon", hostBody(server))
+                        .status());
         await("the second one has heard", () -> unavailable(two) == 0);
     }
 
     /** The newcomer knows what the old one has learnt; what no module can have learnt is not taken. */
     @Test
     public void whatWasLearntGoesOver() throws Exception {
-        platform.start(freePort(), discovery, server);
-        assertEquals(200, platform.send(view()).status());
+        supervisor.start(freePort(), discovery, server);
+        assertEquals(200, supervisor.send(view()).status());
         await(
                 "it has noted an answer",
-                () -> Files.readString(platform.shared().resolve("calicochute-n0.learnt"))
+                () -> Files.readString(supervisor.sharedFolder().resolve("calicochute-n0.learnt"))
                         .contains("\"answers\":1"));
-        int next = platform.start(freePort(), discovery, server);
-        assertTrue(platform.log(next), platform.log(next).contains("recalled"));
-        platform.signal(0, "KILL");
-        platform.signal(next, "KILL");
-        await("both are gone", () -> platform.ended(0) && platform.ended(next));
-        Path file = platform.shared().resolve("calicochute-n0.learnt");
+        int next = supervisor.start(freePort(), discovery, server);
+        assertTrue(supervisor.log(next), supervisor.log(next).contains("recalled"));
+        supervisor.signal(0, "KILL");
+        supervisor.signal(next, "KILL");
+        await("both are gone", () -> supervisor.hasExited(0) && supervisor.hasExited(next));
+        Path file = supervisor.sharedFolder().resolve("calicochute-n0.learnt");
         Files.writeString(file, Files.readString(file).replaceFirst("\"typical\":[^,]*", "\"typical\":-1"));
-        int third = platform.start(freePort(), discovery, server);
-        assertFalse(platform.log(third), platform.log(third).contains("recalled"));
-        assertEquals(200, platform.send(view()).status());
+        int third = supervisor.start(freePort(), discovery, server);
+        assertFalse(supervisor.log(third), supervisor.log(third).contains("recalled"));
+        assertEquals(200, supervisor.send(view()).status());
     }
 
     /**
@@ -146,23 +157,24 @@
      */
     @Test
     public void whatWasLearntUnderOtherEffectsStaysBehind() throws Exception {
-        platform.start(freePort(), discovery, server);
-        await("it has noted", () -> Files.exists(platform.shared().resolve("calicochute-n0.learnt")));
-        int next = platform.start(
+        supervisor.start(freePort(), discovery, server);
+        await("it has noted", () -> Files.exists(supervisor.sharedFolder().resolve("calicochute-n0.learnt")));
+        int next = supervisor.start(
                 text -> text.replace("\"effect\":\"repeatable\"", "\"effect\":\"once\""),
                 freePort(),
                 discovery,
                 server);
-        assertTrue(platform.log(next), platform.log(next).contains("learnt-foreign"));
-        assertFalse(platform.log(next), platform.log(next).contains("recalled"));
+        assertTrue(supervisor.log(next), supervisor.log(next).contains("learnt-foreign"));
+        assertFalse(supervisor.log(next), supervisor.log(next).contains("recalled"));
         // Both accept at the one socket, and the first one still takes the class for what it was.
-        platform.signal(0, "KILL");
-        await("the first is gone", () -> platform.ended(0));
-        assertEquals(200, platform.send(view().replace("GET", "POST")).status());
+        supervisor.signal(0, "KILL");
+        await("the first is gone", () -> supervisor.hasExited(0));
+        assertEquals(200, supervisor.send(view().replace("GET", "POST")).status());
     }
 
-    private static int unavailable(int admin) throws Exception {
-        String text = new String(Program.admin(admin, "GET stats", "").body());
+    private static int unavailable(int adminPort) throws Exception {
+        String text =
+                new String(BalancerProcess.callAdmin(adminPort, "GET stats", "").body());
         return Integer.parseInt(text.replaceAll("(?s).*members_unavailable:(\\d+).*", "$1"));
     }
 }
