--- a/balancer/src/test/java/calicochute/process/AdminTest.java
+++ b/balancer/src/test/java/calicochute/process/AdminTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.Test;
 
-/** The second address, as operators' staff meet it. */
+/** Calls of operators to the admin address. */
 public class AdminTest extends SingleServerFixture {
     private int sent;
 
@@ -31,7 +31,7 @@
     }
 
     @Test
-    public void callsThatAreNotOursAreANo() throws Exception {
+    public void unknownAndMalformedCallsAreRejected() throws Exception {
         assertEquals(200, callAdmin("GET health", ""));
         assertEquals(404, callAdmin("GET elsewhere", ""));
         assertEquals(405, callAdmin("POST health", ""));
@@ -41,7 +41,7 @@
         assertEquals(400, callAdmin("POST cordon", "{\"host\":7}"));
         assertEquals(400, callAdmin("POST uncordon", "[]"));
         assertEquals(
-                "no JSON, though a lenient reader takes it",
+                "not JSON, although a lenient parser accepts it",
                 400,
                 callAdmin("POST cordon", hostBody(server).replace('"', '\'')));
         assertEquals(400, callAdmin("POST cordon", hostBody(server) + "// and more"));
@@ -51,9 +51,9 @@
         assertEquals("close", balancer.callAdmin("GET health", "").header("Connection"));
     }
 
-    /** A call whose head breaks off behind any byte is not carried out. */
+    /** A call whose head is truncated after any byte is not executed. */
     @Test
-    public void aCallCutShortIsNone() throws Exception {
+    public void truncatedCallIsNotExecuted() throws Exception {
         String call = "POST /admin/quiesce HTTP/1.1\r\nHost: a\r\n";
         for (int bytes = 1; bytes <= call.length(); bytes++) {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), balancer.adminPort)) {
@@ -61,16 +61,16 @@
                 socket.shutdownOutput();
                 assertTrue(BalancerProcess.awaitEnd(socket));
             }
-            assertEquals("cut behind byte " + bytes, 0, balancer.counter("admin_calls"));
+            assertEquals("truncated after byte " + bytes, 0, balancer.counter("admin_calls"));
         }
     }
 
     /**
-     * Taken = completed + rejected + failed + pending, and an attempt counts once it is written, not once it is
-     * answered.
+     * Sessions taken = completed + rejected + failed + pending; an attempt is counted when it is written, not when it
+     * is answered.
      */
     @Test
-    public void figuresCountWhatHappened() throws Exception {
+    public void statisticsMatchSessions() throws Exception {
         assertEquals(0, balancer.stat("completed.view"));
         assertEquals(1, balancer.stat("members"));
         assertEquals(0, balancer.stat("members_unavailable"));
@@ -91,7 +91,7 @@
                 throw new IllegalStateException(e);
             }
         });
-        await("the attempt under way counts", () -> balancer.stat("upstream_requests") == before + 1);
+        await("the open attempt is counted", () -> balancer.stat("upstream_requests") == before + 1);
         assertEquals(1, balancer.stat("pending"));
         release.countDown();
         assertEquals(200, open.get().status());
@@ -103,9 +103,9 @@
         assertEquals(balancer.counter("sessions_taken"), 4);
     }
 
-    /** Callers who sit on half a call, more of them than there is room for, keep nobody else waiting. */
+    /** More callers than the connection limit, each with half a request, do not delay other callers. */
     @Test
-    public void callersWithoutAWholeCallCostNothing() throws Exception {
+    public void incompleteCallsDoNotBlockOthers() throws Exception {
         List<Socket> idle = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), balancer.adminPort);
@@ -113,7 +113,7 @@
             idle.add(socket);
         }
         assertEquals(200, callAdmin("GET health", ""));
-        await("the crowd has been noticed", () -> balancer.counter("admin_callers_closed") > 0);
+        await("idle callers are closed", () -> balancer.counter("admin_callers_closed") > 0);
         assertEquals(200, callAdmin("GET stats", ""));
         for (Socket socket : idle) {
             socket.close();
@@ -121,10 +121,11 @@
     }
 
     /**
-     * Once the yes is out nothing new goes there, whatever discovery says; one call back ends any number of calls out.
+     * After the response to a cordon call no new session goes to the server; one uncordon call undoes any number of
+     * cordon calls.
      */
     @Test
-    public void aServerOutByHandGetsNothingUntilItIsCalledBack() throws Exception {
+    public void cordonedServerGetsNothingUntilUncordoned() throws Exception {
         assertEquals(200, session("view").status());
         assertEquals(200, callAdmin("POST cordon", hostBody(server)));
         assertEquals(200, callAdmin("POST cordon", hostBody(server)));
@@ -141,14 +142,17 @@
         assertEquals(200, session("view").status());
     }
 
-    /** A whole list from discovery with the same server on it, started anew, lifts no ban. */
+    /**
+     * A full list from discovery that contains the cordoned server, here to a restarted balancer, does not lift the
+     * cordon.
+     */
     @Test
-    public void discoveryLiftsNoBan() throws Exception {
+    public void fullListKeepsCordon() throws Exception {
         balancer.stop();
-        CompletableFuture<Void> told = new CompletableFuture<>();
+        CompletableFuture<Void> fullList = new CompletableFuture<>();
         discovery.script = r -> {
             if (r.firstLine().contains("since=1&")) {
-                told.get();
+                fullList.get();
                 return HttpMessage.response(
                         200, "", discoveryList(2, "Ready", server).replace("\"reset\":false", "\"reset\":true"));
             }
@@ -157,8 +161,8 @@
         };
         balancer = startBalancer();
         assertEquals(200, callAdmin("POST cordon", hostBody(server)));
-        told.complete(null);
-        await("the whole list is heard", () -> balancer.log().contains("generation=2 whole=true"));
+        fullList.complete(null);
+        await("the full list is applied", () -> balancer.log().contains("generation=2 whole=true"));
         assertEquals(
                 503,
                 balancer.send(BalancerProcess.session(ID, "view").replace(": 8000", ": 300"))
@@ -168,9 +172,12 @@
         assertEquals(200, session("view").status());
     }
 
-    /** Sent away: a no at once, each answer the last, idle connections ended; and back again. */
+    /**
+     * After a quiesce call readiness fails, each response closes its connection and idle connections are closed; a
+     * resume call undoes this.
+     */
     @Test
-    public void clientsAreSentAwayAndTakenBack() throws Exception {
+    public void quiesceClosesConnectionsUntilResume() throws Exception {
         try (Socket kept = balancer.connect();
                 Socket idle = balancer.connect()) {
             for (Socket socket : List.of(kept, idle)) {
@@ -190,7 +197,9 @@
             assertEquals("close", last.header("Connection"));
             assertTrue(BalancerProcess.awaitEnd(idle));
             assertEquals(
-                    "who comes all the same is served", 200, session("view").status());
+                    "a new client is served while quiesced",
+                    200,
+                    session("view").status());
             assertEquals(200, callAdmin("GET health", ""));
         }
         assertEquals(200, callAdmin("POST resume", ""));
--- a/balancer/src/test/java/calicochute/process/BackendConnectionFaultTest.java
+++ b/balancer/src/test/java/calicochute/process/BackendConnectionFaultTest.java
@@ -18,38 +18,39 @@
 import org.junit.Test;
 
 /**
- * Connections to backend servers that go bad in each way, under sessions of each effect, with a good server beside the
- * bad one: one final answer in time, nothing repeated that may have run, the failure charged once, no connection left.
+ * Faults of connections to a backend server, with sessions of each effect and a second, healthy server: each session
+ * has one response in time, no request that may have run is repeated, each failure is counted once and no connection
+ * stays open.
  */
 public class BackendConnectionFaultTest {
     private static final String GOOD = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na map";
     private final AtomicInteger ids = new AtomicInteger(0x100);
-    private final List<Socket> held = new CopyOnWriteArrayList<>();
-    private final Semaphore renewals = new Semaphore(0);
+    private final List<Socket> accepted = new CopyOnWriteArrayList<>();
+    private final Semaphore pendingUpdates = new Semaphore(0);
     private volatile int generation = 1;
     private ScriptedServer discovery;
-    private ScriptedServer good;
-    private Link bad;
+    private ScriptedServer healthy;
+    private FaultyServer faulty;
     private BalancerProcess balancer;
 
-    /** A server by hand: what it does with a connection once a request's head and body have come. */
-    private interface Way {
-        void meet(Socket socket) throws Exception;
+    /** What the faulty server does with a connection after it has read a request. */
+    private interface ConnectionHandler {
+        void handle(Socket socket) throws Exception;
     }
 
-    private final class Link {
+    private final class FaultyServer {
         final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         final AtomicInteger requests = new AtomicInteger();
-        volatile Way way;
-        /** Whether connections are read at all. */
+        volatile ConnectionHandler handler;
+        /** Whether requests are read. */
         volatile boolean reads = true;
 
-        Link() throws Exception {
+        FaultyServer() throws Exception {
             Thread thread = new Thread(() -> {
                 try {
                     while (true) {
                         Socket socket = listener.accept();
-                        held.add(socket);
+                        accepted.add(socket);
                         if (reads) {
                             new Thread(() -> serve(socket)).start();
                         }
@@ -66,16 +67,16 @@
             try {
                 while (HttpMessage.read(socket.getInputStream()) != null) {
                     requests.incrementAndGet();
-                    way.meet(socket);
+                    handler.handle(socket);
                 }
             } catch (Exception e) {
-                // The way ended it.
+                // The handler or the balancer closed the connection.
             }
         }
 
         void close() throws Exception {
             listener.close();
-            for (Socket socket : held) {
+            for (Socket socket : accepted) {
                 socket.close();
             }
         }
@@ -84,27 +85,27 @@
     @Before
     public void start() throws Exception {
         discovery = new ScriptedServer(r -> {
-            renewals.acquire();
+            pendingUpdates.acquire();
             return HttpMessage.response(
                     200,
                     "",
                     BalancerProcess.discoveryList(generation, "Ready", addresses())
                             .replace("startedAtMs\":0", "startedAtMs\":" + generation));
         });
-        good = new ScriptedServer(r -> GOOD.getBytes(StandardCharsets.US_ASCII));
-        bad = new Link();
+        healthy = new ScriptedServer(r -> GOOD.getBytes(StandardCharsets.US_ASCII));
+        faulty = new FaultyServer();
         balancer = BalancerProcess.withBackends(discovery, addresses());
     }
 
     private String[] addresses() {
-        return new String[] {good.address(), "127.0.0.1:" + bad.listener.getLocalPort()};
+        return new String[] {healthy.address(), "127.0.0.1:" + faulty.listener.getLocalPort()};
     }
 
     @After
     public void stop() throws Exception {
         balancer.stop();
-        bad.close();
-        good.close();
+        faulty.close();
+        healthy.close();
         discovery.close();
     }
 
@@ -125,62 +126,62 @@
     }
 
     /**
-     * Both servers have started anew: nothing is known of either, so that the next session goes to one as well as to
-     * the other.
+     * Reports a restart of both servers. The balancer forgets what it has learned of them, so the next session may go
+     * to either.
      */
-    private void renew() throws Exception {
+    private void reportRestart() throws Exception {
         generation++;
-        long told = balancer.counter("discovery_answers");
-        renewals.release();
-        await("started anew", () -> balancer.counter("discovery_answers") > told);
+        long before = balancer.counter("discovery_answers");
+        pendingUpdates.release();
+        await("the restart is reported", () -> balancer.counter("discovery_answers") > before);
     }
 
     /**
-     * What may not run twice makes no first calls while another server is known: so nothing is known before each
-     * session. Its status.
+     * Sends sessions until one reaches the faulty server, and returns its status. A restart is reported before each: a
+     * session that must not run twice is not sent to an unknown server while a known one exists.
      */
-    private int statusOfTheOneThatMetIt(String lane, int waitMs) throws Exception {
+    private int statusAtFaultyServer(String lane, int waitMs) throws Exception {
         for (int i = 0; i < 40; i++) {
-            renew();
-            int before = bad.requests.get();
+            reportRestart();
+            int before = faulty.requests.get();
             int status = send(lane, waitMs).status();
-            if (bad.requests.get() > before) {
-                assertEquals("met once", before + 1, bad.requests.get());
+            if (faulty.requests.get() > before) {
+                assertEquals("one request at the faulty server", before + 1, faulty.requests.get());
                 return status;
             }
             assertEquals(200, status);
         }
-        throw new AssertionError("no session went there");
+        throw new AssertionError("no session reached the faulty server");
     }
 
-    private void checkEach(String outcome, Way way) throws Exception {
-        bad.way = way;
+    private void checkEach(String outcome, ConnectionHandler handler) throws Exception {
+        faulty.handler = handler;
         for (String lane : List.of("order", "view", "scan")) {
             long failed = balancer.counter("dispatches_" + outcome);
-            int served = good.requests.size();
-            int status = statusOfTheOneThatMetIt(lane, 8000);
-            assertEquals("charged once", failed + 1, balancer.counter("dispatches_" + outcome));
-            // What has no effect, or whose key all servers remember, goes to the good one; the order may have run.
+            int served = healthy.requests.size();
+            int status = statusAtFaultyServer(lane, 8000);
+            assertEquals("counted once", failed + 1, balancer.counter("dispatches_" + outcome));
+            // Repeatable and keyed requests are sent to the healthy server; the order may have run.
             assertEquals(outcome + " " + lane, lane.equals("order") ? 502 : 200, status);
-            assertTrue(good.requests.size() > served || lane.equals("order"));
+            assertTrue(healthy.requests.size() > served || lane.equals("order"));
         }
-        checkNoneIsLeft();
+        checkAllConnectionsEnded();
     }
 
-    /** The balancer has ended each connection to the bad server that the server had not ended itself. */
-    private void checkNoneIsLeft() throws Exception {
-        for (Socket socket : held) {
+    /** Checks that the balancer ended each connection that the faulty server did not close itself. */
+    private void checkAllConnectionsEnded() throws Exception {
+        for (Socket socket : accepted) {
             assertTrue(socket.isClosed() || BalancerProcess.awaitEnd(socket));
         }
     }
 
     @Test
-    public void endedAfterTheRequest() throws Exception {
+    public void closedAfterRequest() throws Exception {
         checkEach("reset", socket -> socket.close());
     }
 
     @Test
-    public void resetInTheHead() throws Exception {
+    public void resetInResponseHead() throws Exception {
         checkEach("reset", socket -> {
             write(socket, "HTTP/1.1 200 O");
             reset(socket);
@@ -188,7 +189,7 @@
     }
 
     @Test
-    public void resetInTheBody() throws Exception {
+    public void resetInResponseBody() throws Exception {
         checkEach("reset", socket -> {
             write(socket, GOOD.substring(0, GOOD.length() - 2));
             reset(socket);
@@ -196,7 +197,7 @@
     }
 
     @Test
-    public void halfClosedInTheBody() throws Exception {
+    public void halfClosedInResponseBody() throws Exception {
         checkEach("reset", socket -> {
             write(socket, GOOD.substring(0, GOOD.length() - 2));
             socket.shutdownOutput();
@@ -204,63 +205,63 @@
     }
 
     /**
-     * Silence with little time: one answer before the client gives up, and what may be repeated is not repeated in
-     * vain.
+     * No response and little time: the session ends before its client's deadline, and no retry is sent that would come
+     * too late.
      */
     @Test
-    public void silentAfterTheRequest() throws Exception {
-        bad.way = socket -> Thread.sleep(Long.MAX_VALUE);
+    public void noResponseToRequest() throws Exception {
+        faulty.handler = socket -> Thread.sleep(Long.MAX_VALUE);
         for (String lane : List.of("order", "view", "scan")) {
-            long late = balancer.counter("dispatches_timed_out");
-            // A deny, where its repeat would do no harm; a failure where it may have run.
-            assertEquals(lane, lane.equals("order") ? 504 : 503, statusOfTheOneThatMetIt(lane, 600));
-            assertEquals(late + 1, balancer.counter("dispatches_timed_out"));
+            long timedOut = balancer.counter("dispatches_timed_out");
+            // A deny if a repetition would do no harm, a failure if it may have run.
+            assertEquals(lane, lane.equals("order") ? 504 : 503, statusAtFaultyServer(lane, 600));
+            assertEquals(timedOut + 1, balancer.counter("dispatches_timed_out"));
         }
         assertEquals(0, balancer.counter("sessions_ended_by_deadline"));
     }
 
-    /** Taken by the kernel, never read: the answer comes by the deadline all the same, and nothing is left behind. */
+    /**
+     * Connections that the kernel accepts and the server never reads: the response comes by the deadline, and no
+     * connection stays open.
+     */
     @Test
-    public void neverRead() throws Exception {
-        bad.reads = false;
-        int late = 0;
-        for (int i = 0; i < 60 && late == 0; i++) {
-            renew();
+    public void requestIsNeverRead() throws Exception {
+        faulty.reads = false;
+        int timedOut = 0;
+        for (int i = 0; i < 60 && timedOut == 0; i++) {
+            reportRestart();
             int status = send("order", 600).status();
             assertTrue("" + status, status == 200 || status == 504);
-            late += status == 504 ? 1 : 0;
+            timedOut += status == 504 ? 1 : 0;
         }
-        assertEquals(1, late);
+        assertEquals(1, timedOut);
         assertEquals(1, balancer.counter("dispatches_timed_out"));
-        checkNoneIsLeft();
+        checkAllConnectionsEnded();
     }
 
-    /**
-     * Answers on a connection that keeps its word, with the close right behind the answer: no session pays for the
-     * race.
-     */
+    /** The server closes a persistent connection right after a complete response: no session fails for it. */
     @Test
-    public void closedRightBehindTheAnswer() throws Exception {
-        bad.way = socket -> {
+    public void closedRightAfterResponse() throws Exception {
+        faulty.handler = socket -> {
             write(socket, GOOD);
             socket.close();
         };
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, statusOfTheOneThatMetIt("order", 8000));
+            assertEquals(200, statusAtFaultyServer("order", 8000));
         }
         assertEquals(0, balancer.counter("dispatches_reset"));
     }
 
-    /** Ended in the pool by the far side: the next session finds another connection, and none is failed by it. */
+    /** The server resets an idle connection in the pool: the next session gets another connection and does not fail. */
     @Test
-    public void endedWhileIdle() throws Exception {
-        bad.way = socket -> write(socket, GOOD);
-        assertEquals(200, statusOfTheOneThatMetIt("order", 8000));
-        for (Socket socket : held) {
+    public void resetWhileIdle() throws Exception {
+        faulty.handler = socket -> write(socket, GOOD);
+        assertEquals(200, statusAtFaultyServer("order", 8000));
+        for (Socket socket : accepted) {
             reset(socket);
         }
-        await("noticed", () -> balancer.counter("connections_ended_early") == 1);
-        assertEquals(200, statusOfTheOneThatMetIt("order", 8000));
+        await("the reset is detected", () -> balancer.counter("connections_ended_early") == 1);
+        assertEquals(200, statusAtFaultyServer("order", 8000));
         assertEquals(0, balancer.counter("dispatches_reset") + balancer.counter("dispatches_connect_failed"));
     }
 }
--- a/balancer/src/test/java/calicochute/process/BadClientTest.java
+++ b/balancer/src/test/java/calicochute/process/BadClientTest.java
@@ -15,7 +15,7 @@
 import org.junit.After;
 import org.junit.Test;
 
-/** The balancer as clients meet it that send what they should not, or nothing, or too much. */
+/** Clients that send malformed requests, too much, too slowly or nothing. */
 public class BadClientTest extends SingleServerFixture {
     private static final int DESCRIPTORS = 100;
     private static final String VIEW = session(ID, "view");
@@ -26,29 +26,29 @@
         return new BalancerProcess("", 80, discovery, server);
     }
 
-    /** Whatever came before: nothing of it has reached a server, and the next client is served. */
+    /** Checks after each test that the next client is served and that its request is the only new one at the server. */
     @After
-    public void theNextClientIsServed() throws Exception {
+    public void nextClientIsServed() throws Exception {
         int before = server.requests.size();
         assertEquals(200, balancer.send(session("0" + ID.substring(1), "view")).status());
         assertEquals(before + 1, server.requests.size());
     }
 
-    /** Sends the text as it is and returns the status of the one answer, after which the connection has to end. */
+    /** Sends the text as it is and returns the status of the only response, after which the connection must end. */
     private int raw(String text) throws Exception {
         try (Socket socket = balancer.connect()) {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-            HttpMessage answer = HttpMessage.read(socket.getInputStream());
+            HttpMessage response = HttpMessage.read(socket.getInputStream());
             assertTrue(BalancerProcess.awaitEnd(socket));
-            return answer.status();
+            return response.status();
         }
     }
 
-    /** A body whose end can be read in two ways may hide a request; nothing of it may go on. */
+    /** Request smuggling: a body with an ambiguous end may contain another request, and none of it may be forwarded. */
     @Test
-    public void lengthsThatAreNoneAreRefused() throws Exception {
+    public void ambiguousLengthsAreRejected() throws Exception {
         String hidden = "0\r\n\r\n" + VIEW + "\r\n";
-        for (String lengths : List.of(
+        for (String framing : List.of(
                 "Content-Length: " + hidden.length() + "\r\nTransfer-Encoding: chunked",
                 "Transfer-Encoding: chunked\r\nContent-Length: 5",
                 "Content-Length: 4\r\nContent-Length: 9",
@@ -59,13 +59,13 @@
                 "Transfer-Encoding: gzip",
                 "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
                 "Transfer-Encoding : chunked")) {
-            assertEquals(lengths, 400, raw(SCAN + lengths + "\r\n\r\n" + hidden));
+            assertEquals(framing, 400, raw(SCAN + framing + "\r\n\r\n" + hidden));
         }
         assertEquals(0, server.requests.size());
     }
 
     @Test
-    public void headsThatCannotBeReadAreRefused() throws Exception {
+    public void malformedHeadsAreRejected() throws Exception {
         assertEquals(400, raw(VIEW + "no colon here\r\n\r\n"));
         assertEquals(400, raw(VIEW + "X-Labels: a\u0001b\r\n\r\n"));
         assertEquals(431, raw(VIEW + "X-Pad: " + "p".repeat(9000)));
@@ -74,9 +74,12 @@
         assertEquals(5, balancer.counter("sessions_bad_input"));
     }
 
-    /** A target goes on as it came: nothing of a path is taken for a host, and what is no path is refused. */
+    /**
+     * A request target is forwarded unchanged: no part of a path is taken for a host, and a target that is not a path
+     * is rejected.
+     */
     @Test
-    public void targetsAreNotTakenApart() throws Exception {
+    public void targetsAreForwardedUnchanged() throws Exception {
         for (String path : List.of("//evil/api", "///a/b", "//", "/a:b//c;d", "/%zz%00?x=//y")) {
             assertEquals(
                     path, 200, balancer.send(VIEW.replace("/api?q=1", path)).status());
@@ -89,9 +92,12 @@
         }
     }
 
-    /** Chunks that can't be read, behind a head that can: no answer, but the connection's end and a count. */
+    /**
+     * Malformed chunks after a valid head: the connection is closed without a response, and the session is counted as
+     * bad input.
+     */
     @Test
-    public void chunksThatCannotBeReadAreCounted() throws Exception {
+    public void malformedChunksAreCounted() throws Exception {
         List<String> bodies = List.of(
                 "-5\r\nhello\r\n",
                 "ffffffffffffffff\r\n",
@@ -114,29 +120,35 @@
             socket.setSoLinger(true, 0);
         }
         assertEquals(0, server.requests.size());
-        assertEquals("who goes has not sent bad input", bodies.size(), balancer.counter("sessions_bad_input"));
+        assertEquals(
+                "a client that disconnects is not counted as bad input",
+                bodies.size(),
+                balancer.counter("sessions_bad_input"));
     }
 
-    /** A head that breaks off behind any byte goes nowhere: not with less time than its client has, and not at all. */
+    /**
+     * A head that is truncated after any byte starts no session; in particular a truncated X-Remaining-Ms is not read
+     * as a shorter time.
+     */
     @Test
-    public void aHeadCutShortIsNoSession() throws Exception {
+    public void truncatedHeadStartsNoSession() throws Exception {
         for (int bytes = 1; bytes <= VIEW.length(); bytes++) {
             try (Socket socket = balancer.connect()) {
                 socket.getOutputStream().write(VIEW.substring(0, bytes).getBytes(StandardCharsets.US_ASCII));
                 socket.shutdownOutput();
                 assertTrue(BalancerProcess.awaitEnd(socket));
             }
-            assertEquals("cut behind byte " + bytes, 0, balancer.counter("sessions_taken"));
+            assertEquals("truncated after byte " + bytes, 0, balancer.counter("sessions_taken"));
         }
     }
 
-    /** A body in chunks that breaks off behind any byte goes nowhere; whole, it passes. */
+    /** A chunked body that is truncated after any byte starts no session; the complete body is forwarded. */
     @Test
-    public void aBodyCutShortIsNoSession() throws Exception {
+    public void truncatedBodyStartsNoSession() throws Exception {
         String chunks = "02\r\nhe\r\n003\r\nllo\r\n0\r\n\r\n";
         for (int bytes = 0; bytes <= chunks.length(); bytes++) {
             try (Socket socket = balancer.connect()) {
-                assertEquals("cut behind byte " + bytes, 0, balancer.counter("sessions_taken"));
+                assertEquals("truncated after byte " + bytes, 0, balancer.counter("sessions_taken"));
                 socket.getOutputStream()
                         .write((SCAN + "Transfer-Encoding: chunked\r\n\r\n" + chunks.substring(0, bytes))
                                 .getBytes(StandardCharsets.US_ASCII));
@@ -151,15 +163,18 @@
         assertEquals("hello", new String(server.requests.get(0).body(), StandardCharsets.US_ASCII));
     }
 
-    /** Refused at the head: the client has not sent a byte of its body yet. */
+    /** A body over the limit is rejected by its Content-Length, before the client sends any of it. */
     @Test
-    public void aBodyThatWouldBeTooLongIsRefusedUnread() throws Exception {
+    public void oversizedBodyIsRejectedUnread() throws Exception {
         assertEquals(413, raw(SCAN + "Content-Length: 60000000\r\n\r\n"));
     }
 
-    /** Clients have one request open at a time: what comes before its answer is left, and the connection ends. */
+    /**
+     * Pipelining is not supported: requests that arrive before the response are ignored, and the connection is closed
+     * after it.
+     */
     @Test
-    public void requestsAheadOfAnAnswerAreLeft() throws Exception {
+    public void pipelinedRequestsAreIgnored() throws Exception {
         assertEquals(400, raw((VIEW.replace("view", "none") + "\r\n").repeat(200)));
         server.script = r -> {
             release.await();
@@ -169,37 +184,41 @@
             socket.getOutputStream().write((VIEW + "\r\n").repeat(3).getBytes(StandardCharsets.US_ASCII));
             await("dispatched", () -> server.requests.size() == 1);
             release.countDown();
-            HttpMessage answer = HttpMessage.read(socket.getInputStream());
-            assertEquals(200, answer.status());
-            assertEquals("close", answer.header("Connection"));
+            HttpMessage response = HttpMessage.read(socket.getInputStream());
+            assertEquals(200, response.status());
+            assertEquals("close", response.header("Connection"));
             assertTrue(BalancerProcess.awaitEnd(socket));
         }
         assertEquals(1, server.requests.size());
     }
 
-    /** Who says nothing, or half a request, or a byte now and then, is not waited for; an answer owed still comes. */
+    /**
+     * Clients that send nothing, half a request or single bytes are closed; a client that waits for its response is
+     * not.
+     */
     @Test
-    public void slowClientsAreNotWaitedFor() throws Exception {
+    public void slowClientsAreClosed() throws Exception {
         server.script = r -> {
             release.await();
             return HttpMessage.response(200, "", "late");
         };
-        try (Socket owed = balancer.connect();
+        try (Socket waiting = balancer.connect();
                 Socket silent = balancer.connect();
                 Socket half = balancer.connect();
-                Socket dripping = balancer.connect();
-                Socket body = balancer.connect()) {
-            body.getOutputStream().write((SCAN + "Content-Length: 60000\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-            owed.getOutputStream().write(HttpMessage.encode(VIEW, new byte[0]));
+                Socket slowHead = balancer.connect();
+                Socket slowBody = balancer.connect()) {
+            slowBody.getOutputStream()
+                    .write((SCAN + "Content-Length: 60000\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            waiting.getOutputStream().write(HttpMessage.encode(VIEW, new byte[0]));
             half.getOutputStream().write("GET /api HTT".getBytes(StandardCharsets.US_ASCII));
-            await("those that drip end, in the head and in the body", () -> {
+            await("slow clients are closed, in the head and in the body", () -> {
                 boolean all = true;
-                for (Socket one : List.of(dripping, body)) {
+                for (Socket one : List.of(slowHead, slowBody)) {
                     try {
                         one.getOutputStream().write('G');
                         all = false;
                     } catch (IOException e) {
-                        // This one has ended.
+                        // This connection was closed.
                     }
                 }
                 return all;
@@ -208,58 +227,61 @@
             assertTrue(BalancerProcess.awaitEnd(half));
             assertEquals(4, balancer.counter("clients_closed_slow"));
             release.countDown();
-            assertEquals(200, HttpMessage.read(owed.getInputStream()).status());
+            assertEquals(200, HttpMessage.read(waiting.getInputStream()).status());
         }
     }
 
     /**
-     * With fewer descriptors than promised accepting breaks off; at both addresses it comes back with the descriptors.
+     * With fewer descriptors than configured accepting fails for a time; it resumes on both addresses once descriptors
+     * are free again.
      */
     @Test
-    public void acceptingOutlivesALackOfDescriptors() throws Exception {
+    public void acceptingResumesAfterDescriptorShortage() throws Exception {
         List<Socket> silent = new ArrayList<>();
-        BalancerProcess scarce = BalancerProcess.withTooFewDescriptors(DESCRIPTORS, discovery, server);
+        BalancerProcess limited = BalancerProcess.withTooFewDescriptors(DESCRIPTORS, discovery, server);
         try {
-            assertEquals(200, scarce.callAdmin("GET health", "").status());
-            // All at once: one after another on a loaded machine the first would be ended for their silence before the
-            // last one comes.
+            assertEquals(200, limited.callAdmin("GET health", "").status());
+            // No requests in between: on a loaded machine the first connections would be closed as idle before
+            // the last one is open.
             for (int i = 0; i < DESCRIPTORS; i++) {
-                silent.add(scarce.connect());
+                silent.add(limited.connect());
             }
-            await("out of descriptors", () -> scarce.log().contains("Too many open files"));
+            await("out of descriptors", () -> limited.log().contains("Too many open files"));
             for (int i = 0; i < 20; i++) {
-                silent.add(new Socket(InetAddress.getLoopbackAddress(), scarce.adminPort));
+                silent.add(new Socket(InetAddress.getLoopbackAddress(), limited.adminPort));
             }
             for (Socket socket : silent) {
                 socket.close();
             }
-            await("asked", () -> scarce.callAdmin("GET health", "").status() == 200);
             await(
-                    "served",
-                    () -> scarce.send(session("1" + ID.substring(1), "view")).status() == 200);
-            assertTrue(scarce.counter("acceptor_waits") > 0);
+                    "the admin address responds",
+                    () -> limited.callAdmin("GET health", "").status() == 200);
+            await(
+                    "a session is served",
+                    () -> limited.send(session("1" + ID.substring(1), "view")).status() == 200);
+            assertTrue(limited.counter("acceptor_waits") > 0);
         } finally {
-            scarce.stop();
+            limited.stop();
         }
     }
 
-    /** More connections than there is room for: the silent ones make way, the one that is owed an answer does not. */
+    /** Over the connection limit, idle connections are closed, but not one that waits for its response. */
     @Test
-    public void silentClientsMakeRoom() throws Exception {
+    public void idleClientsAreClosedAtTheLimit() throws Exception {
         server.script = r -> {
             release.await();
             return HttpMessage.response(200, "", "late");
         };
         List<Socket> silent = new ArrayList<>();
-        try (Socket owed = balancer.connect()) {
-            owed.getOutputStream().write(HttpMessage.encode(VIEW, new byte[0]));
+        try (Socket waiting = balancer.connect()) {
+            waiting.getOutputStream().write(HttpMessage.encode(VIEW, new byte[0]));
             await("dispatched", () -> server.requests.size() == 1);
             for (int i = 0; i < 60; i++) {
                 silent.add(balancer.connect());
             }
-            await("made room", () -> balancer.counter("clients_closed_for_room") > 40);
+            await("idle connections are closed", () -> balancer.counter("clients_closed_for_room") > 40);
             release.countDown();
-            assertEquals(200, HttpMessage.read(owed.getInputStream()).status());
+            assertEquals(200, HttpMessage.read(waiting.getInputStream()).status());
         }
         for (Socket socket : silent) {
             socket.close();
@@ -267,15 +289,15 @@
     }
 
     /**
-     * In a crowd that has just connected and says nothing, whoever asks is served: not the newcomer makes way, but the
-     * crowd.
+     * While many clients connect and stay idle, a client that sends a request is served: connections are closed among
+     * the idle ones, not the newest.
      */
     @Test
-    public void whoAsksIsServedInACrowd() throws Exception {
-        List<Socket> crowd = new ArrayList<>();
+    public void requestIsServedAmongIdleClients() throws Exception {
+        List<Socket> idle = new ArrayList<>();
         for (int round = 0; round < 20; round++) {
             for (int i = 0; i < 20; i++) {
-                crowd.add(balancer.connect());
+                idle.add(balancer.connect());
             }
             assertEquals(
                     200,
@@ -283,101 +305,97 @@
                             .status());
         }
         assertEquals(0, balancer.counter("acceptor_waits"));
-        for (Socket socket : crowd) {
+        for (Socket socket : idle) {
             socket.close();
         }
     }
 
-    /** Idle clients by the hundred at both addresses, at the real limit: all else still gets its descriptors. */
+    /**
+     * Hundreds of idle clients at both addresses, with the descriptor limit of the configuration: backend connections,
+     * admin calls and discovery still get their descriptors.
+     */
     @Test
-    public void aCrowdLeavesTheOthersTheirDescriptors() throws Exception {
-        List<Socket> crowd = new ArrayList<>();
+    public void idleClientsLeaveDescriptorsForOthers() throws Exception {
+        List<Socket> idle = new ArrayList<>();
         BalancerProcess limited = BalancerProcess.withDescriptorLimit(160, discovery, server);
         try {
             discovery.script = r -> HttpMessage.response(200, "", BalancerProcess.discoveryList(2, "Ready", server));
             for (int i = 0; i < 600; i++) {
-                crowd.add(
+                idle.add(
                         i % 3 == 0
                                 ? new Socket(InetAddress.getLoopbackAddress(), limited.adminPort)
                                 : limited.connect());
             }
             int calls = discovery.requests.size();
             assertEquals(
-                    "a connection to a backend server",
-                    200,
-                    limited.send(session(ID, "view")).status());
+                    "backend connection", 200, limited.send(session(ID, "view")).status());
             assertEquals(
-                    "the second address",
-                    200,
-                    limited.callAdmin("GET health", "").status());
-            await("discovery is asked", () -> discovery.requests.size() > calls);
+                    "admin address", 200, limited.callAdmin("GET health", "").status());
+            await("discovery is called", () -> discovery.requests.size() > calls);
             assertEquals(limited.log(), 0, limited.counter("acceptor_waits"));
             assertTrue(limited.log(), !limited.log().contains("Too many open files"));
         } finally {
             limited.stop();
         }
-        for (Socket socket : crowd) {
+        for (Socket socket : idle) {
             socket.close();
         }
     }
 
     /**
-     * Idle clients hold the last descriptors, discovery is down: room is made at once for who asks, servers, discovery
-     * and operators.
+     * Idle clients hold the last descriptors while discovery fails: some are closed at once for requests, backend
+     * connections, discovery calls and admin calls.
      */
     @Test
-    public void idleClientsEndWhereDescriptorsLack() throws Exception {
+    public void idleClientsAreClosedWhenDescriptorsRunOut() throws Exception {
         List<Socket> idle = new ArrayList<>();
-        List<Socket> asking = new ArrayList<>();
+        List<Socket> active = new ArrayList<>();
         discovery.script = r -> null;
         release.countDown();
-        BalancerProcess scarce = BalancerProcess.withTooFewDescriptors(100, discovery, server);
+        BalancerProcess limited = BalancerProcess.withTooFewDescriptors(100, discovery, server);
         try {
-            // Started from folders of classes, not from its jar, a class's first use takes a descriptor too: used here
-            // before.
-            assertEquals(200, scarce.callAdmin("GET health", "").status());
-            assertEquals(200, scarce.send(VIEW).status());
+            // Loads the classes that these requests need while descriptors are left.
+            assertEquals(200, limited.callAdmin("GET health", "").status());
+            assertEquals(200, limited.send(VIEW).status());
             await("out of descriptors", () -> {
-                Socket socket = scarce.connect();
+                Socket socket = limited.connect();
                 idle.add(socket);
                 socket.getOutputStream()
                         .write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                return scarce.log().contains("Too many open files");
+                return limited.log().contains("Too many open files");
             });
             int calls = discovery.requests.size();
-            CountDownLatch together = new CountDownLatch(1);
+            CountDownLatch respond = new CountDownLatch(1);
             server.script = r -> {
-                together.await();
+                respond.await();
                 return HttpMessage.response(200, "", "a map");
             };
             int before = server.requests.size();
             for (int i = 0; i < 6; i++) {
-                Socket socket = scarce.connect();
-                asking.add(socket);
+                Socket socket = limited.connect();
+                active.add(socket);
                 socket.getOutputStream()
                         .write(HttpMessage.encode(session(String.format("%016x", i), "view"), new byte[0]));
             }
-            await("connections to a backend server", () -> server.requests.size() == before + asking.size());
+            await("backend connections", () -> server.requests.size() == before + active.size());
             assertEquals(
-                    "the second address",
-                    200,
-                    scarce.callAdmin("GET health", "").status());
-            await("discovery is asked", () -> discovery.requests.size() > calls);
-            together.countDown();
-            for (Socket socket : asking) {
+                    "admin address", 200, limited.callAdmin("GET health", "").status());
+            await("discovery is called", () -> discovery.requests.size() > calls);
+            respond.countDown();
+            for (Socket socket : active) {
                 assertEquals(200, HttpMessage.read(socket.getInputStream()).status());
             }
-            assertTrue(scarce.counter("clients_closed_for_room") > 0);
+            assertTrue(limited.counter("clients_closed_for_room") > 0);
             assertEquals(
-                    "none had to be waited for",
+                    "no idle or slow timeout was needed",
                     0,
-                    scarce.counter("clients_closed_idle") + scarce.counter("clients_closed_slow"));
+                    limited.counter("clients_closed_idle") + limited.counter("clients_closed_slow"));
         } finally {
-            scarce.stop();
+            limited.stop();
             for (Socket socket : idle) {
                 socket.close();
             }
-            for (Socket socket : asking) {
+            for (Socket socket : active) {
                 socket.close();
             }
         }
--- a/balancer/src/test/java/calicochute/process/BadServerTest.java
+++ b/balancer/src/test/java/calicochute/process/BadServerTest.java
@@ -17,66 +17,75 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.Test;
 
-/** The balancer as backend servers meet it whose answers are spoilt, or bring more than belongs to them. */
+/** Backend servers that send malformed, truncated or excess responses, or close connections early. */
 public class BadServerTest extends SingleServerFixture {
-    private static final String GOOD = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na map";
+    private static final String VALID = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na map";
 
-    private HttpMessage order(String answer) throws Exception {
-        server.script = r -> answer.getBytes(StandardCharsets.ISO_8859_1);
+    private HttpMessage order(String response) throws Exception {
+        server.script = r -> response.getBytes(StandardCharsets.ISO_8859_1);
         return balancer.send(session(ID, "order"), new byte[1]);
     }
 
-    /** It may have run and is not repeated; nothing of the answer is served, and its connection is not used again. */
+    /**
+     * After a malformed response the request may have run and is not repeated; none of the response is forwarded, and
+     * the connection is not reused.
+     */
     @Test
-    public void spoiltAnswersAreFailures() throws Exception {
-        List<String> spoilt = List.of(
+    public void malformedResponsesAreFailures() throws Exception {
+        List<String> malformed = List.of(
                 "noise\r\n\r\n",
                 "ICY 200 OK\r\n\r\n",
-                GOOD.replace("200 OK", "2x0"),
-                GOOD.replace("OK\r\n", "OK\r\nno colon\r\n"),
-                GOOD.replace(": 5", ": -1"),
-                GOOD.replace("\r\n\r\n", "\r\nContent-Length: 3\r\n\r\n"),
-                GOOD.replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n"),
-                GOOD.replace("Content-Length: 5", "Transfer-Encoding: chunked").replace("a map", "1\r\na\r\nzz\r\n"),
-                GOOD.replace(": 5", ": 3000000000"),
+                VALID.replace("200 OK", "2x0"),
+                VALID.replace("OK\r\n", "OK\r\nno colon\r\n"),
+                VALID.replace(": 5", ": -1"),
+                VALID.replace("\r\n\r\n", "\r\nContent-Length: 3\r\n\r\n"),
+                VALID.replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n"),
+                VALID.replace("Content-Length: 5", "Transfer-Encoding: chunked").replace("a map", "1\r\na\r\nzz\r\n"),
+                VALID.replace(": 5", ": 3000000000"),
                 "HTTP/1.1 200 OK\r\n" + "X-Pad: p\r\n".repeat(1000),
                 "HTTP/1.1 102 Processing\r\n\r\n".repeat(100));
-        for (String answer : spoilt) {
-            assertEquals(answer, 502, order(answer).status());
+        for (String response : malformed) {
+            assertEquals(response, 502, order(response).status());
         }
-        await("closed", () -> server.endedConnections.size() == spoilt.size());
-        assertEquals(spoilt.size(), server.requests.size());
+        await("closed", () -> server.endedConnections.size() == malformed.size());
+        assertEquals(malformed.size(), server.requests.size());
     }
 
-    /** What comes ahead of a good answer or in its report does no harm, and what comes behind is nobody's answer. */
+    /**
+     * Informational responses before a valid response and malformed load reports in it are harmless; bytes after it are
+     * not taken for another response.
+     */
     @Test
-    public void goodAnswersStayGood() throws Exception {
-        String report = GOOD.replace("\r\n\r\n", "\r\nX-Pressure: inflight=NaN,qps=-1\r\n\r\n");
-        for (String answer : List.of(
-                "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + GOOD,
+    public void validResponsesWithExtrasAreServed() throws Exception {
+        String report = VALID.replace("\r\n\r\n", "\r\nX-Pressure: inflight=NaN,qps=-1\r\n\r\n");
+        for (String response : List.of(
+                "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + VALID,
                 report,
-                GOOD + GOOD,
-                GOOD + "noise without an end")) {
-            int open = server.endedConnections.size();
-            HttpMessage served = order(answer);
+                VALID + VALID,
+                VALID + "noise without an end")) {
+            int ended = server.endedConnections.size();
+            HttpMessage served = order(response);
             assertEquals(200, served.status());
             assertEquals("a map", new String(served.body(), StandardCharsets.US_ASCII));
-            if (answer.length() > GOOD.length() && answer.startsWith(GOOD)) {
-                await("closed", () -> server.endedConnections.size() == open + 1);
+            if (response.length() > VALID.length() && response.startsWith(VALID)) {
+                await("closed", () -> server.endedConnections.size() == ended + 1);
             }
             assertEquals(
                     "next",
                     new String(
-                            order(GOOD.replace("a map", "next").replace(": 5", ": 4"))
+                            order(VALID.replace("a map", "next").replace(": 5", ": 4"))
                                     .body(),
                             StandardCharsets.US_ASCII));
         }
         assertEquals("the balancer ended them, not the server", 0, balancer.counter("connections_ended_early"));
     }
 
-    /** A 4xx is the client's, passed on and not repeated; but a deny may not follow what may have run. */
+    /**
+     * A 4xx status is the client's fault: it is forwarded and not retried. A 429 that may follow an execution becomes a
+     * failure, not a deny.
+     */
     @Test
-    public void aRequestAtFaultIsNotTheServersFault() throws Exception {
+    public void clientErrorsAreNotRetried() throws Exception {
         assertEquals(
                 400,
                 order("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").status());
@@ -86,43 +95,40 @@
         assertEquals(1, balancer.counter("dispatches_rejected"));
     }
 
-    /**
-     * A server ends each connection that is kept for it: every session is served, each over a connection of its own,
-     * and none is sent twice.
-     */
+    /** A server closes each idle connection: every session is served over a new connection, and none is sent twice. */
     @Test
-    public void aServerThatEndsConnectionsIsServedOverNewOnes() throws Exception {
+    public void closedIdleConnectionsAreReplaced() throws Exception {
         for (int i = 0; i < 5; i++) {
-            int ends = i + 1;
-            assertEquals(200, order(GOOD).status());
+            int count = i + 1;
+            assertEquals(200, order(VALID).status());
             server.connections.get(i).close();
-            await("noticed", () -> balancer.counter("connections_ended_early") == ends);
-            assertEquals(ends, server.connections.size());
+            await("the close is detected", () -> balancer.counter("connections_ended_early") == count);
+            assertEquals(count, server.connections.size());
         }
         assertEquals(5, server.requests.size());
     }
 
     /**
-     * Ends each connection as it comes up; one that is ended on this side only is read to its end, which shows all that
-     * was sent.
+     * Resets or half-closes each connection on accept; a half-closed one is read to its end, which shows all requests
+     * that were sent.
      */
-    private static final class Ending implements AutoCloseable {
+    private static final class ImmediatelyClosingServer implements AutoCloseable {
         final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         final List<HttpMessage> requests = new CopyOnWriteArrayList<>();
-        final AtomicInteger begun = new AtomicInteger();
-        final AtomicInteger over = new AtomicInteger();
+        final AtomicInteger accepted = new AtomicInteger();
+        final AtomicInteger finished = new AtomicInteger();
 
-        Ending(boolean resets) throws IOException {
+        ImmediatelyClosingServer(boolean resets) throws IOException {
             Thread thread = new Thread(() -> {
                 try {
                     while (true) {
                         Socket socket = listener.accept();
-                        begun.incrementAndGet();
+                        accepted.incrementAndGet();
                         end(socket, resets);
-                        over.incrementAndGet();
+                        finished.incrementAndGet();
                     }
                 } catch (IOException e) {
-                    // The test is over.
+                    // The test is finished.
                 }
             });
             thread.setDaemon(true);
@@ -143,7 +149,7 @@
                     requests.add(request);
                 }
             } catch (IOException e) {
-                // The balancer ended it with a reset; what it had sent before that has been read.
+                // The balancer reset the connection; everything sent before has been read.
             }
         }
 
@@ -154,14 +160,15 @@
     }
 
     /**
-     * A server that ends each connection as it comes up. Where the balancer heard of it before it sent the request the
-     * server has run nothing, and the session is denied; where not it may have run, and the session has failed. Which
-     * of the two is the machine's choice at each; ImmediateCloseTest has both orders by hand.
+     * Checks sessions at a server that closes each connection on accept. If the balancer detects the close before it
+     * sends the request, the server has run nothing and the session is denied; otherwise the request may have run and
+     * the session fails. Which of the two happens depends on timing; ImmediateCloseTest covers both orders
+     * deterministically.
      */
-    private void checkEndedAtOnce(boolean resets) throws Exception {
+    private void checkClosedOnAccept(boolean resets) throws Exception {
         balancer.stop();
-        try (Ending ending = new Ending(resets)) {
-            balancer = BalancerProcess.withBackends(discovery, "127.0.0.1:" + ending.listener.getLocalPort());
+        try (ImmediatelyClosingServer closing = new ImmediatelyClosingServer(resets)) {
+            balancer = BalancerProcess.withBackends(discovery, "127.0.0.1:" + closing.listener.getLocalPort());
             List<Integer> statuses = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
                 long reset = balancer.counter("dispatches_reset");
@@ -177,15 +184,15 @@
                         "each dispatch is accounted for", balancer.counter("dispatches_sent") - sent, reset + refused);
                 statuses.add(status);
             }
-            assertTrue("some were dispatched", ending.begun.get() > 0);
+            assertTrue("some were dispatched", closing.accepted.get() > 0);
             if (!resets) {
-                await("read to the end", () -> ending.begun.get() == ending.over.get());
+                await("all connections are read to the end", () -> closing.accepted.get() == closing.finished.get());
                 for (int i = 0; i < statuses.size(); i++) {
                     String id = String.format("%016x", i);
                     assertEquals(
                             "session " + i,
                             statuses.get(i) == 502 ? 1 : 0,
-                            ending.requests.stream()
+                            closing.requests.stream()
                                     .filter(r -> id.equals(r.header("X-Txn")))
                                     .count());
                 }
@@ -194,19 +201,19 @@
     }
 
     @Test
-    public void aConnectionResetAtOnceIsDeniedUnlessItMayHaveRun() throws Exception {
-        checkEndedAtOnce(true);
+    public void resetOnAcceptIsDeniedUnlessRequestMayHaveRun() throws Exception {
+        checkClosedOnAccept(true);
     }
 
     @Test
-    public void aConnectionClosedAtOnceIsDeniedUnlessItMayHaveRun() throws Exception {
-        checkEndedAtOnce(false);
+    public void closeOnAcceptIsDeniedUnlessRequestMayHaveRun() throws Exception {
+        checkClosedOnAccept(false);
     }
 
-    /** A server that is gone is forgotten, with its connections; another one at its address starts with new ones. */
+    /** The connections of a removed instance are closed; another instance at its address gets new connections. */
     @Test
-    public void aServerThatIsGoneIsForgotten() throws Exception {
-        assertEquals(200, order(GOOD).status());
+    public void connectionsOfRemovedServerAreClosed() throws Exception {
+        assertEquals(200, order(VALID).status());
         discovery.script = r -> {
             if (r.firstLine().contains("since=2")) {
                 release.await();
@@ -226,29 +233,30 @@
         for (Socket socket : discovery.connections) {
             socket.close();
         }
-        await("told", () -> balancer.log().contains("generation=2"));
+        await("the list is applied", () -> balancer.log().contains("generation=2"));
         await("its connection is closed", () -> server.endedConnections.size() == 1);
-        assertEquals(200, order(GOOD).status());
+        assertEquals(200, order(VALID).status());
         assertEquals(2, server.connections.size());
     }
 
-    /** An answer that breaks off behind any of its bytes is never taken for a whole one. */
+    /** A response that is truncated after any byte is never taken for a complete one. */
     @Test
-    public void anAnswerCutShortIsNone() throws Exception {
+    public void truncatedResponseIsAFailure() throws Exception {
         server.closesAfterResponse = true;
-        for (int bytes = 1; bytes < GOOD.length(); bytes++) {
+        for (int bytes = 1; bytes < VALID.length(); bytes++) {
             assertEquals(
-                    "cut behind byte " + bytes,
+                    "truncated after byte " + bytes,
                     502,
-                    order(GOOD.substring(0, bytes)).status());
+                    order(VALID.substring(0, bytes)).status());
         }
-        assertEquals(200, order(GOOD).status());
-        // A size may begin with zeros, and one cut behind them is not the last.
-        String chunked = GOOD.replace("Content-Length: 5", "Transfer-Encoding: chunked")
+        assertEquals(200, order(VALID).status());
+        // A chunk size may have leading zeros; one that is truncated after them must not be taken for the last
+        // chunk.
+        String chunked = VALID.replace("Content-Length: 5", "Transfer-Encoding: chunked")
                 .replace("a map", "02\r\na \r\n003;x=y\r\nmap\r\n0\r\nX-T: y\r\n\r\n");
         for (int bytes = chunked.indexOf("02"); bytes < chunked.length(); bytes++) {
             assertEquals(
-                    "cut behind byte " + bytes,
+                    "truncated after byte " + bytes,
                     502,
                     order(chunked.substring(0, bytes)).status());
         }
--- a/balancer/src/test/java/calicochute/process/ClientEndTest.java
+++ b/balancer/src/test/java/calicochute/process/ClientEndTest.java
@@ -13,35 +13,36 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 
-/** Clients that go while an answer is owed, and connections that end while bytes are on their way. */
+/** Clients that disconnect before the response, and connections that end while bytes are in transit. */
 public class ClientEndTest extends SingleServerFixture {
     private static final String VIEW = session(ID, "view") + "\r\n";
 
-    /** Their answers wait until {@link #release}: what ends before has ended for another reason. */
-    private void holdAnswers() {
+    /** The server responds only after {@link #release}, so a session that ends earlier ends for another reason. */
+    private void holdResponses() {
         server.script = r -> {
             release.await();
             return HttpMessage.response(200, "", "a map");
         };
     }
 
-    private static String named(int i) {
-        return VIEW.replace(ID, String.format("%016x", i + 1));
+    private static String numberedView(int number) {
+        return VIEW.replace(ID, String.format("%016x", number + 1));
     }
 
     /**
-     * Whatever came behind its request: a client's end is noticed while its answer is owed, and its dispatch taken
-     * back.
+     * Bytes after a request do not hide that its client disconnects: the disconnect is detected before the response,
+     * and the dispatch is cancelled.
      */
     @Test
-    public void bytesBehindARequestDontHideTheEnd() throws Exception {
-        holdAnswers();
-        List<String> behind = List.of("", "\r\n", "x", named(100), named(101).repeat(300));
+    public void disconnectIsDetectedAfterExcessBytes() throws Exception {
+        holdResponses();
+        List<String> excessBytes =
+                List.of("", "\r\n", "x", numberedView(100), numberedView(101).repeat(300));
         int gone = 0;
         for (boolean reset : List.of(false, true)) {
-            for (String bytes : behind) {
+            for (String bytes : excessBytes) {
                 Socket socket = balancer.connect();
-                socket.getOutputStream().write(named(gone).getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream().write(numberedView(gone).getBytes(StandardCharsets.US_ASCII));
                 int sent = gone + 1;
                 await("dispatched", () -> server.requests.size() == sent);
                 socket.getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
@@ -49,11 +50,12 @@
                     socket.setSoLinger(true, 0);
                     socket.close();
                 } else {
-                    // Its end in the same moment as its bytes, and one that reads on: it has gone all the same.
+                    // The end arrives together with the bytes. A client that only half-closes counts as disconnected
+                    // too.
                     socket.shutdownOutput();
                 }
                 await(
-                        "gone behind " + bytes.length() + " bytes, reset " + reset,
+                        "disconnect detected after " + bytes.length() + " bytes, reset " + reset,
                         () -> balancer.counter("sessions_client_gone") == sent
                                 && balancer.counter("dispatches_cancelled") == sent);
                 socket.close();
@@ -63,10 +65,10 @@
         assertEquals(gone, server.requests.size());
     }
 
-    /** In a drain as well, and it does not hold the drain up. */
+    /** A disconnect is detected during a drain and does not delay it. */
     @Test
-    public void goneInADrain() throws Exception {
-        holdAnswers();
+    public void disconnectDuringDrain() throws Exception {
+        holdResponses();
         try (Socket socket = balancer.connect()) {
             socket.getOutputStream().write((VIEW + "x").getBytes(StandardCharsets.US_ASCII));
             await("dispatched", () -> server.requests.size() == 1);
@@ -78,50 +80,50 @@
         assertTrue(balancer.log(), balancer.log().contains("sessions_ended_by_stop 0"));
     }
 
-    /** A client that sends on behind its request is not read for ever. */
+    /** A client that keeps sending after its request is closed. */
     @Test
-    public void aFloodBehindARequestIsEnded() throws Exception {
-        holdAnswers();
+    public void floodAfterRequestIsClosed() throws Exception {
+        holdResponses();
         try (Socket socket = balancer.connect()) {
-            OutputStream out = socket.getOutputStream();
-            out.write(VIEW.getBytes(StandardCharsets.US_ASCII));
-            await("ended", () -> {
+            OutputStream output = socket.getOutputStream();
+            output.write(VIEW.getBytes(StandardCharsets.US_ASCII));
+            await("the connection is closed", () -> {
                 try {
-                    out.write(new byte[10_000]);
+                    output.write(new byte[10_000]);
                     return false;
                 } catch (IOException e) {
                     return true;
                 }
             });
         }
-        await("gone", () -> balancer.counter("sessions_client_gone") == 1);
+        await("the disconnect is counted", () -> balancer.counter("sessions_client_gone") == 1);
         assertEquals(1, balancer.counter("clients_closed_flooding"));
     }
 
     /**
-     * Bytes that nobody reads don't reset the connection under its answer: it arrives, and the connection ends behind
-     * it.
+     * Unread bytes must not cause a reset that destroys the response: the response arrives, and the connection is
+     * closed after it.
      */
     @Test
-    public void anAnswerOutlivesBytesBehindItsRequest() throws Exception {
-        holdAnswers();
+    public void responseArrivesDespiteUnreadBytes() throws Exception {
+        holdResponses();
         try (Socket socket = balancer.connect();
                 Socket tooLong = balancer.connect()) {
-            socket.getOutputStream().write((VIEW + named(7).repeat(500)).getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream().write((VIEW + numberedView(7).repeat(500)).getBytes(StandardCharsets.US_ASCII));
             await("dispatched", () -> server.requests.size() == 1);
             release.countDown();
             await("answered", () -> balancer.counter("sessions_served") == 1);
-            socket.getOutputStream().write(named(8).getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream().write(numberedView(8).getBytes(StandardCharsets.US_ASCII));
             assertEquals(200, HttpMessage.read(socket.getInputStream()).status());
-            assertEquals("the end, and no reset", -1, socket.getInputStream().read());
-            // Refused at its head, while the body comes on.
+            assertEquals("closed without a reset", -1, socket.getInputStream().read());
+            // Rejected by its head, while the client sends its body.
             tooLong.getOutputStream()
                     .write((session(ID, "scan") + "Content-Length: 60000000\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
             tooLong.getOutputStream().write(new byte[300_000]);
             assertEquals(413, HttpMessage.read(tooLong.getInputStream()).status());
-            assertEquals("the end, and no reset", -1, tooLong.getInputStream().read());
+            assertEquals("closed without a reset", -1, tooLong.getInputStream().read());
         }
-        assertEquals("none of what came behind is sent on", 1, server.requests.size());
+        assertEquals("no excess bytes are forwarded", 1, server.requests.size());
     }
 }
--- a/balancer/src/test/java/calicochute/process/DiscoveryListTest.java
+++ b/balancer/src/test/java/calicochute/process/DiscoveryListTest.java
@@ -12,19 +12,19 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** Lists that are large, old or say one thing twice: each follows a rule that docs/oncall.md states. */
+/** Lists from discovery that are large, outdated, malformed or contain duplicates. */
 public class DiscoveryListTest {
-    private final BlockingQueue<String> lists = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> responses = new LinkedBlockingQueue<>();
     private ScriptedServer discovery;
     private ScriptedServer server;
     private ScriptedServer other;
     private BalancerProcess balancer;
     private int sessions;
 
-    /** Discovery that tells what the test puts in line; the heap is that of the deployment. */
+    /** Starts a discovery service that responds with the queued lists, and a balancer with the deployed heap size. */
     @Before
     public void start() throws Exception {
-        discovery = new ScriptedServer(r -> HttpMessage.response(200, "", lists.take()));
+        discovery = new ScriptedServer(r -> HttpMessage.response(200, "", responses.take()));
         server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
         other = new ScriptedServer(r -> HttpMessage.response(200, "", "another"));
         balancer = BalancerProcess.withMaxHeap("96m", discovery, server);
@@ -39,129 +39,135 @@
         }
     }
 
-    private void tell(int generation, boolean whole, String... entries) throws Exception {
-        lists.add(whole(generation, whole, entries));
-        await("told", () -> balancer.log().contains("generation=" + generation + " "));
+    private void report(int generation, boolean full, String... entries) throws Exception {
+        responses.add(listText(generation, full, entries));
+        await("the list is applied", () -> balancer.log().contains("generation=" + generation + " "));
     }
 
-    private static String whole(int generation, boolean whole, String... entries) {
-        return "{\"generation\":" + generation + ",\"reset\":" + whole + ",\"instances\":[" + String.join(",", entries)
+    private static String listText(int generation, boolean full, String... entries) {
+        return "{\"generation\":" + generation + ",\"reset\":" + full + ",\"instances\":[" + String.join(",", entries)
                 + "]}";
     }
 
-    private static String entry(String id, ScriptedServer at, String lifecycle) {
-        return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + at.address()
+    private static String entry(String instanceId, ScriptedServer server, String lifecycle) {
+        return "{\"instanceId\":\"" + instanceId + "\",\"hostPort\":\"" + server.address()
                 + "\",\"zone\":\"a\",\"machineType\":\"m\"," + "\"cell\":0,\"lifecycle\":\"" + lifecycle
                 + "\",\"weight\":1.0,\"startedAtMs\":0}";
     }
 
-    /** A session's answer: its status and, if it was served, by whom. */
-    private String served() throws Exception {
-        return session(8000);
+    /** Sends a session and returns its status and body; the body names the server. */
+    private String sendSession() throws Exception {
+        return sendSession(8000);
     }
 
-    private String session(int remainingMs) throws Exception {
-        HttpMessage answer = balancer.send(BalancerProcess.session(String.format("%016x", ++sessions), "view")
+    private String sendSession(int remainingMs) throws Exception {
+        HttpMessage response = balancer.send(BalancerProcess.session(String.format("%016x", ++sessions), "view")
                 .replace(": 8000", ": " + remainingMs));
-        return answer.status() + new String(answer.body());
+        return response.status() + new String(response.body());
     }
 
-    /** Taken in whole within the deployment's heap, and left again; nothing of it is used afterwards. */
+    /**
+     * A list of 10,000 entries is applied within the deployed heap; after its replacement none of its entries is used.
+     */
     @Test
-    public void tenThousandEntries() throws Exception {
-        String[] many = new String[10_000];
-        for (int i = 0; i < many.length; i++) {
-            many[i] = entry("backend-with-a-long-name-" + i, server, "Ready");
+    public void longListFitsTheDeployedHeap() throws Exception {
+        String[] entries = new String[10_000];
+        for (int i = 0; i < entries.length; i++) {
+            entries[i] = entry("backend-with-a-long-name-" + i, server, "Ready");
         }
         for (int generation = 2; generation < 6; generation++) {
-            tell(generation, true, many);
-            assertEquals("200a map", served());
+            report(generation, true, entries);
+            assertEquals("200a map", sendSession());
         }
-        tell(6, true, entry("one", other, "Ready"));
-        assertEquals("200another", served());
+        report(6, true, entry("one", other, "Ready"));
+        assertEquals("200another", sendSession());
     }
 
     /**
-     * Changes older than the list held are refused and counted; a whole list says anew what there is, however it is
-     * numbered.
+     * Changes older than the current list are rejected and counted; a full list replaces it, whatever its generation.
      */
     @Test
-    public void anOlderGeneration() throws Exception {
-        tell(7, true, entry("one", server, "Ready"), entry("two", other, "Terminating"));
-        lists.add(whole(3, false, entry("one", server, "Terminating"), entry("two", other, "Ready")));
+    public void olderChangesAreRejected() throws Exception {
+        report(7, true, entry("one", server, "Ready"), entry("two", other, "Terminating"));
+        responses.add(listText(3, false, entry("one", server, "Terminating"), entry("two", other, "Ready")));
         await("refused", () -> balancer.counter("discovery_older") == 1);
-        assertEquals("200a map", served());
-        int asked = discovery.requests.size();
-        await("asked again", () -> discovery.requests.size() > asked || asked > 2);
+        assertEquals("200a map", sendSession());
+        int requestCount = discovery.requests.size();
+        await("discovery is called again", () -> discovery.requests.size() > requestCount || requestCount > 2);
         assertTrue(discovery
                 .requests
                 .get(discovery.requests.size() - 1)
                 .firstLine()
                 .contains("since=7&"));
-        tell(2, true, entry("two", other, "Ready"));
-        assertEquals("200another", served());
+        report(2, true, entry("two", other, "Ready"));
+        assertEquals("200another", sendSession());
         await(
-                "goes on from there",
+                "the watch continues from generation 2",
                 () -> discovery.requests.stream().anyMatch(r -> r.firstLine().contains("since=2&")));
     }
 
-    /** Nothing is in an older answer without entries: the watch goes on from the newest held. */
+    /** An older response without entries is no failure: the watch continues from the current generation. */
     @Test
-    public void anOlderAnswerThatTellsNothing() throws Exception {
-        tell(7, true, entry("one", server, "Ready"));
-        lists.add(whole(5, false));
-        await("asked again", () -> discovery.requests.size() >= 3);
+    public void olderResponseWithoutEntriesIsIgnored() throws Exception {
+        report(7, true, entry("one", server, "Ready"));
+        responses.add(listText(5, false));
+        await("discovery is called again", () -> discovery.requests.size() >= 3);
         assertTrue(discovery.requests.get(2).firstLine().contains("since=7&"));
         assertEquals(0, balancer.counter("discovery_failures"));
     }
 
-    /** Two names of one machine: each stands for itself, and the one that goes takes nothing from the other. */
+    /** Two instances at one address are independent: removing one does not affect the other. */
     @Test
-    public void twoEntriesAtOneAddress() throws Exception {
-        tell(2, true, entry("one", server, "Ready"), entry("two", server, "Ready"));
-        assertEquals("200a map", served());
-        tell(3, false, entry("one", server, "Terminating"));
-        assertEquals("200a map", served());
-        tell(4, false, entry("two", server, "Gone"));
-        assertEquals("503", session(400));
+    public void instancesAtOneAddressAreIndependent() throws Exception {
+        report(2, true, entry("one", server, "Ready"), entry("two", server, "Ready"));
+        assertEquals("200a map", sendSession());
+        report(3, false, entry("one", server, "Terminating"));
+        assertEquals("200a map", sendSession());
+        report(4, false, entry("two", server, "Gone"));
+        assertEquals("503", sendSession(400));
     }
 
-    /** The last entry of an id counts, in a whole list and among changes: gone and back at once is back. */
+    /**
+     * Of several entries with one id the last counts, in a full list and in changes: an instance that is gone and then
+     * ready is ready.
+     */
     @Test
-    public void twoEntriesWithOneId() throws Exception {
-        tell(2, true, entry("one", server, "Ready"), entry("one", other, "Ready"));
-        assertEquals("200another", served());
-        tell(3, false, entry("one", other, "Gone"), entry("one", server, "Ready"));
-        assertEquals("200a map", served());
-        tell(4, false, entry("one", server, "Ready"), entry("one", server, "Gone"));
-        assertEquals("503", session(400));
+    public void lastEntryOfAnIdCounts() throws Exception {
+        report(2, true, entry("one", server, "Ready"), entry("one", other, "Ready"));
+        assertEquals("200another", sendSession());
+        report(3, false, entry("one", other, "Gone"), entry("one", server, "Ready"));
+        assertEquals("200a map", sendSession());
+        report(4, false, entry("one", server, "Ready"), entry("one", server, "Gone"));
+        assertEquals("503", sendSession(400));
     }
 
-    /**
-     * One without a zone is in none of the named ones, and is used like one abroad; other fields have plain defaults.
-     */
+    /** A server without a zone is used like one in another zone; the other optional fields have defaults. */
     @Test
-    public void anEntryWithoutAZone() throws Exception {
-        tell(2, true, "{\"instanceId\":\"one\",\"hostPort\":\"" + other.address() + "\",\"lifecycle\":\"Ready\"}");
-        assertEquals("200another", served());
-        tell(3, true, entry("one", other, "Ready").replace("\"zone\":\"a\",", ""), entry("two", server, "Terminating"));
-        assertEquals("200another", served());
+    public void serverWithoutZoneIsUsed() throws Exception {
+        report(2, true, "{\"instanceId\":\"one\",\"hostPort\":\"" + other.address() + "\",\"lifecycle\":\"Ready\"}");
+        assertEquals("200another", sendSession());
+        report(
+                3,
+                true,
+                entry("one", other, "Ready").replace("\"zone\":\"a\",", ""),
+                entry("two", server, "Terminating"));
+        assertEquals("200another", sendSession());
     }
 
-    /** What is no list at all is refused whole and counted, between two good ones. */
+    /** A malformed list between two valid ones is rejected as a whole and counted. */
     @Test
-    public void whatIsNoListIsRefused() throws Exception {
-        tell(2, true, entry("one", server, "Ready"));
-        lists.add(whole(
+    public void malformedListsAreRejected() throws Exception {
+        report(2, true, entry("one", server, "Ready"));
+        responses.add(listText(
                 3,
                 true,
                 entry("two", other, "Ready"),
                 entry("three", other, "Ready").replace("\"a\"", "null")));
         await("refused", () -> balancer.counter("discovery_malformed") == 1);
-        assertEquals("200a map", served());
-        lists.add(discoveryList(4, "Terminating", "s1:80"));
+        assertEquals("200a map", sendSession());
+        responses.add(discoveryList(4, "Terminating", "s1:80"));
         await("refused", () -> balancer.counter("discovery_malformed") == 2);
-        tell(5, true, entry("two", other, "Ready"));
-        assertEquals("200another", served());
+        report(5, true, entry("two", other, "Ready"));
+        assertEquals("200another", sendSession());
     }
 }
