--- a/balancer/src/test/java/calicochute/process/ClientGoneTest.java
+++ b/balancer/src/test/java/calicochute/process/ClientGoneTest.java
@@ -12,7 +12,9 @@
 import java.util.function.UnaryOperator;
 import org.junit.Test;
 
-/** Clients that go while their session is on its way, where the site lets nothing be withdrawn. */
+/**
+ * Clients that disconnect during their session, with a configuration that does not allow dispatches to be cancelled.
+ */
 public class ClientGoneTest extends SingleServerFixture {
     @Override
     BalancerProcess startBalancer() throws Exception {
@@ -23,16 +25,16 @@
                 server);
     }
 
-    private interface Work {
+    private interface ThrowingRunnable {
         void run() throws Exception;
     }
 
-    /** With a server to which no connection comes up. */
-    private void unreachable(UnaryOperator<String> edit, Work work) throws Exception {
+    /** Runs a test with a backend server that never accepts a connection. */
+    private void withUnreachableServer(UnaryOperator<String> edit, ThrowingRunnable test) throws Exception {
         balancer.stop();
         List<Socket> queue = new ArrayList<>();
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            // The kernel takes in so many for it and no more: further connections don't come up.
+            // Fills the accept queue, so that the kernel accepts no further connection.
             for (int i = 0; i < 2; i++) {
                 queue.add(new Socket(full.getInetAddress(), full.getLocalPort()));
             }
@@ -44,7 +46,7 @@
                             .replace(server.address(), address),
                     discovery,
                     server);
-            work.run();
+            test.run();
         } finally {
             for (Socket socket : queue) {
                 socket.close();
@@ -52,44 +54,50 @@
         }
     }
 
-    /** What waits for a connection is not sent on: it ends at once and not with the connection's time. */
+    /**
+     * A dispatch that waits for a connection is not sent after its client disconnects: it ends at once, not at the
+     * connect timeout.
+     */
     @Test
-    public void whatWaitsForAConnectionIsNeverSent() throws Exception {
-        unreachable(c -> c, () -> {
+    public void dispatchWaitingForConnectionIsNotSent() throws Exception {
+        withUnreachableServer(c -> c, () -> {
             try (Socket client = balancer.connect()) {
                 client.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
-                await("on its way", () -> balancer.counter("connections_opened") == 1);
+                await("the connection is being opened", () -> balancer.counter("connections_opened") == 1);
             }
-            await("noticed", () -> balancer.counter("sessions_client_gone") == 1);
-            await("held back", () -> balancer.counter("dispatches_held_back") == 1);
+            await("the disconnect is detected", () -> balancer.counter("sessions_client_gone") == 1);
+            await("the dispatch is held back", () -> balancer.counter("dispatches_held_back") == 1);
             assertEquals(1, balancer.counter("dispatches_moot"));
             assertEquals(0, balancer.counter("dispatches_connect_failed"));
         });
     }
 
-    /** Nor is one whose client has sent more than its window before it went, whole or not, with or without a reset. */
+    /**
+     * The same for clients that send more than the receive window before they disconnect, with a complete or truncated
+     * body, closing or resetting.
+     */
     @Test
-    public void theEndBehindALongBodyIsSeen() throws Exception {
-        unreachable(c -> c, () -> {
-            int gone = 0;
+    public void disconnectAfterLongBodyIsDetected() throws Exception {
+        withUnreachableServer(c -> c, () -> {
+            int disconnected = 0;
             for (int sent : List.of(70_000, 150_000, 900_000)) {
                 for (int length : List.of(sent, 2_000_000)) {
                     for (boolean reset : List.of(false, true)) {
-                        String id = String.format("%016x", gone + 1);
+                        String sessionId = String.format("%016x", disconnected + 1);
                         try (Socket client = balancer.connect()) {
                             client.getOutputStream()
-                                    .write((session(id, "order") + "Content-Length: " + length + "\r\n\r\n")
+                                    .write((session(sessionId, "order") + "Content-Length: " + length + "\r\n\r\n")
                                             .getBytes());
                             client.getOutputStream().write(new byte[sent]);
-                            int taken = gone + 1;
-                            await("taken", () -> balancer.counter("sessions_taken") == taken);
+                            int taken = disconnected + 1;
+                            await("the session is taken", () -> balancer.counter("sessions_taken") == taken);
                             client.setSoLinger(reset, 0);
                         }
-                        int ended = ++gone;
+                        int ended = ++disconnected;
                         await(
-                                "noticed " + sent + " of " + length + ", reset " + reset,
+                                "disconnect detected after " + sent + " of " + length + ", reset " + reset,
                                 () -> balancer.counter("sessions_client_gone") == ended);
-                        await("held back", () -> balancer.counter("dispatches_held_back") == ended);
+                        await("the dispatch is held back", () -> balancer.counter("dispatches_held_back") == ended);
                     }
                 }
             }
@@ -97,10 +105,13 @@
         });
     }
 
-    /** Nor where there is no room to read on to its end: its reset is seen, and the others are not disturbed. */
+    /**
+     * The same if there is no memory left to read the body to its end: the reset is detected, and the other clients are
+     * not affected.
+     */
     @Test
-    public void aResetIsSeenThoughNothingIsRead() throws Exception {
-        unreachable(c -> c.replace("\"memory_mb\":128", "\"memory_mb\":1"), () -> {
+    public void resetIsDetectedWithoutReading() throws Exception {
+        withUnreachableServer(c -> c.replace("\"memory_mb\":128", "\"memory_mb\":1"), () -> {
             List<Socket> clients = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
                 Socket client = balancer.connect();
@@ -110,13 +121,13 @@
                                 .getBytes());
                 client.getOutputStream().write(new byte[150_000]);
             }
-            await("taken", () -> balancer.counter("sessions_taken") == clients.size());
+            await("the sessions are taken", () -> balancer.counter("sessions_taken") == clients.size());
             for (int i = 0; i < clients.size(); i += 2) {
                 clients.get(i).setSoLinger(true, 0);
                 clients.get(i).close();
             }
-            await("noticed", () -> balancer.counter("sessions_client_gone") == clients.size() / 2);
-            await("held back", () -> balancer.counter("dispatches_held_back") == clients.size() / 2);
+            await("the disconnect is detected", () -> balancer.counter("sessions_client_gone") == clients.size() / 2);
+            await("the dispatch is held back", () -> balancer.counter("dispatches_held_back") == clients.size() / 2);
             assertEquals(0, balancer.counter("dispatches_connect_failed"));
             assertEquals(0, balancer.counter("sessions_denied") + balancer.counter("sessions_failed"));
             for (Socket client : clients) {
@@ -125,33 +136,36 @@
         });
     }
 
-    /** What a server has been given goes on to its end. */
+    /** A dispatch that was sent continues to its end. */
     @Test
-    public void whatHasBegunIsNotWithdrawn() throws Exception {
+    public void sentDispatchIsNotCancelled() throws Exception {
         server.script = r -> {
             release.await();
             return HttpMessage.response(200, "", "a map");
         };
         try (Socket client = balancer.connect()) {
             client.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
-            await("on its way", () -> server.requests.size() == 1);
+            await("dispatched", () -> server.requests.size() == 1);
         }
-        await("noticed", () -> balancer.counter("sessions_client_gone") == 1);
+        await("the disconnect is detected", () -> balancer.counter("sessions_client_gone") == 1);
         assertEquals(0, balancer.counter("dispatches_cancelled"));
         release.countDown();
-        await("ended by itself", () -> balancer.counter("dispatches_ok") == 1);
+        await("the dispatch ends", () -> balancer.counter("dispatches_ok") == 1);
         assertEquals(1, balancer.counter("sessions_client_gone"));
     }
 
-    /** A body whose last byte can't come any more has begun nothing, and is not kept up for good. */
+    /**
+     * A request whose body was truncated by its client has not run: its dispatch is cancelled even with this
+     * configuration.
+     */
     @Test
-    public void aBodyCutShortIsGivenUp() throws Exception {
+    public void truncatedUploadIsCancelled() throws Exception {
         try (Socket client = balancer.connect()) {
             client.getOutputStream().write((session(ID, "order") + "Content-Length: 30000000\r\n\r\n").getBytes());
-            // More than is read, or fits into the systems' buffers, before its server is given some.
+            // More than the balancer reads ahead and the socket buffers hold, so that part of it goes to the server.
             client.getOutputStream().write(new byte[20_000_000]);
         }
-        await("given up", () -> balancer.counter("dispatches_cancelled") == 1);
+        await("the dispatch is cancelled", () -> balancer.counter("dispatches_cancelled") == 1);
         assertEquals(0, server.requests.size());
     }
 }
--- a/balancer/src/test/java/calicochute/process/CustomerSettingsTest.java
+++ b/balancer/src/test/java/calicochute/process/CustomerSettingsTest.java
@@ -14,19 +14,20 @@
 import org.junit.Test;
 
 /**
- * Settings of customers who are not alike, in the real process: it starts, each session has one answer, and it stops.
+ * Settings of different customers in a balancer process: it starts, gives each session one response, reloads and stops.
  */
 public class CustomerSettingsTest {
     private static final int SESSIONS = 24;
     private final CountDownLatch release = new CountDownLatch(1);
-    private final AtomicInteger ids = new AtomicInteger();
+    private final AtomicInteger sessionNumber = new AtomicInteger();
 
-    private String next(String lane, int remainingMs) {
-        return session(String.format("%016x", ids.incrementAndGet()), lane).replace(": 8000", ": " + remainingMs)
-                + (lane.startsWith("c") ? "Idempotency-Key: k" + ids + "\r\n" : "");
+    private String nextSession(String lane, int remainingMs) {
+        return session(String.format("%016x", sessionNumber.incrementAndGet()), lane)
+                        .replace(": 8000", ": " + remainingMs)
+                + (lane.startsWith("c") ? "Idempotency-Key: k" + sessionNumber + "\r\n" : "");
     }
 
-    private void serves(UnaryOperator<String> settings, int remainingMs, String... lanes) throws Exception {
+    private void checkServes(UnaryOperator<String> settings, int remainingMs, String... lanes) throws Exception {
         AtomicInteger taken = new AtomicInteger();
         try (ScriptedServer discovery = ScriptedServer.silent(release);
                 ScriptedServer server = new ScriptedServer(r -> {
@@ -38,7 +39,7 @@
             BalancerProcess balancer = BalancerProcess.withEditedConfig(settings, discovery, server);
             Set<Integer> statuses = new TreeSet<>();
             for (int i = 0; i < SESSIONS; i++) {
-                statuses.add(balancer.send(next(lanes[i % lanes.length], remainingMs), new byte[0])
+                statuses.add(balancer.send(nextSession(lanes[i % lanes.length], remainingMs), new byte[0])
                         .status());
             }
             assertTrue(statuses.toString(), Set.of(200, 502, 503, 504).containsAll(statuses));
@@ -47,7 +48,7 @@
             assertEquals(0, balancer.counter("module_faults"));
             balancer.signal("HUP");
             await("reloaded", () -> balancer.counter("reloads") == 1);
-            balancer.send(next(lanes[0], remainingMs));
+            balancer.send(nextSession(lanes[0], remainingMs));
             balancer.process.destroy();
             assertTrue(balancer.process.waitFor(30, TimeUnit.SECONDS));
             assertTrue(balancer.log(), balancer.log().contains("drained unanswered=0"));
@@ -56,10 +57,10 @@
         }
     }
 
-    /** One class, no tenants, all times short or none, nothing that may be done twice or withdrawn. */
+    /** One class, no tenants, times that are short or zero, no retries, no cancellation. */
     @Test
-    public void smallAndShort() throws Exception {
-        serves(
+    public void smallestSettings() throws Exception {
+        checkServes(
                 c -> c.replaceAll("\"accounts\":\\[.*?\\],", "")
                         .replaceAll(
                                 "(?s)\"classes\":\\[.*\\],", "\"classes\":[{\"name\":\"order\",\"deadline\":80000}],")
@@ -77,9 +78,9 @@
                 "order");
     }
 
-    /** Thirty classes, twenty tenants, and times that never end. */
+    /** Thirty classes, twenty tenants and practically infinite times. */
     @Test
-    public void manyAndLong() throws Exception {
+    public void largestSettings() throws Exception {
         StringBuilder classes = new StringBuilder();
         StringBuilder tenants = new StringBuilder("{\"name\":\"library\",\"portion\":0.0,\"allowance_per_s\":0.0}");
         for (int i = 0; i < 30; i++) {
@@ -91,7 +92,7 @@
                     .append(",\"points\":0}");
             tenants.append(i < 19 ? ",{\"name\":\"t" + i + "\"}" : "");
         }
-        serves(
+        checkServes(
                 c -> c.replaceAll("\"accounts\":\\[.*?\\],", "\"accounts\":[" + tenants + "],")
                         .replaceAll("(?s)\"classes\":\\[.*\\],", "\"classes\":[" + classes + "],")
                         .replaceAll(
@@ -105,10 +106,10 @@
                 "c29");
     }
 
-    /** 256 descriptors and 32 MB, the smallest that a platform gives. */
+    /** 256 descriptors and 32 MB, the smallest limits of any platform. */
     @Test
     public void fewDescriptorsAndLittleMemory() throws Exception {
-        serves(
+        checkServes(
                 c -> c.replace("\"memory_mb\":128,\"sockets\":1024", "\"memory_mb\":32,\"sockets\":256"),
                 300,
                 "view",
@@ -116,14 +117,17 @@
                 "scan");
     }
 
-    /** Of a client's few milliseconds a quarter is kept for the answer's way, not more than there are. */
+    /**
+     * For a client with only a few milliseconds the margin for the response is a quarter of them, so that some time is
+     * left for the dispatch.
+     */
     @Test
-    public void littleTimeIsNotNone() throws Exception {
+    public void shortRemainingTimeAllowsDispatch() throws Exception {
         try (ScriptedServer discovery = ScriptedServer.silent(release);
                 ScriptedServer server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"))) {
             BalancerProcess balancer = new BalancerProcess(discovery, server);
-            await("one of them is sent on", () -> {
-                balancer.send(next("view", 14));
+            await("a session is dispatched", () -> {
+                balancer.send(nextSession("view", 14));
                 return balancer.counter("dispatches_sent") > 0;
             });
             balancer.stop();
--- a/balancer/src/test/java/calicochute/process/EarlyStopTest.java
+++ b/balancer/src/test/java/calicochute/process/EarlyStopTest.java
@@ -13,24 +13,24 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 
-/** A planned stop that comes as soon as anybody can see the balancer listen. */
+/** SIGTERM as soon as the balancer listens. */
 public class EarlyStopTest {
     private static final int ROUNDS = 12;
 
-    private static Socket connected(int port) {
-        long latest = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+    private static Socket connectWhenListening(int port) {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
         while (true) {
             try {
                 return new Socket(InetAddress.getLoopbackAddress(), port);
             } catch (IOException e) {
-                assertTrue("does not listen", System.nanoTime() < latest);
+                assertTrue("does not listen", System.nanoTime() < deadline);
             }
         }
     }
 
-    /** What it has taken is answered, and it ends as planned. */
+    /** The session on an accepted connection is answered, and the exit status is 0. */
     @Test
-    public void whatIsTakenRightAfterTheStartIsAnswered() throws Exception {
+    public void sessionAcceptedRightAfterStartIsAnswered() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (ScriptedServer discovery = ScriptedServer.silent(release);
                 ScriptedServer server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"))) {
@@ -40,15 +40,15 @@
                 Files.writeString(config, BalancerProcess.configuration(port, 0, 1024, discovery, server));
                 Path log = Files.createTempFile("calicochute", ".log");
                 Process process = BalancerProcess.start(log, "serve", "--config", config.toString());
-                try (Socket socket = connected(port)) {
+                try (Socket socket = connectWhenListening(port)) {
                     process.destroy();
                     socket.setSoTimeout(30_000);
                     socket.getOutputStream()
                             .write(HttpMessage.encode(
                                     BalancerProcess.session(String.format("%016x", round), "view"), new byte[0]));
-                    HttpMessage answer = HttpMessage.read(socket.getInputStream());
-                    assertNotNull("round " + round + ": " + Files.readString(log), answer);
-                    assertEquals(200, answer.status());
+                    HttpMessage response = HttpMessage.read(socket.getInputStream());
+                    assertNotNull("round " + round + ": " + Files.readString(log), response);
+                    assertEquals(200, response.status());
                 }
                 assertTrue(process.waitFor(30, TimeUnit.SECONDS));
                 assertEquals(Files.readString(log), 0, process.exitValue());
--- a/balancer/src/test/java/calicochute/process/OverlappingDiscoveryCallsTest.java
+++ b/balancer/src/test/java/calicochute/process/OverlappingDiscoveryCallsTest.java
@@ -17,12 +17,12 @@
 import org.junit.Test;
 
 /**
- * Calls to discovery that cross each other: {@code WatchScheduleTest} says when each goes out, and here is what becomes
- * of them.
+ * Calls to discovery that overlap: which response is used and which connection is closed. {@code WatchScheduleTest}
+ * covers the times of the calls.
  */
 public class OverlappingDiscoveryCallsTest {
     private final CountDownLatch release = new CountDownLatch(1);
-    private final CountDownLatch crossed = new CountDownLatch(1);
+    private final CountDownLatch nextCall = new CountDownLatch(1);
     private ScriptedServer server;
     private ScriptedServer discovery;
     private BalancerProcess balancer;
@@ -32,138 +32,144 @@
         server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
     }
 
-    private interface Numbered {
-        byte[] answer(int number, HttpMessage request) throws Exception;
+    private interface NumberedScript {
+        byte[] respond(int number, HttpMessage request) throws Exception;
     }
 
-    private void run(Numbered script) throws Exception {
+    private void startWith(NumberedScript script) throws Exception {
         discovery = numbered(script);
         balancer = new BalancerProcess(discovery, server);
     }
 
-    /** Discovery whose calls are numbered from 1, until the news is held: then it has nothing to tell. */
-    private ScriptedServer numbered(Numbered script) throws Exception {
+    /**
+     * Returns a discovery service whose script gets the number of each call, from 1; once the balancer has generation 9
+     * there are no further changes.
+     */
+    private ScriptedServer numbered(NumberedScript script) throws Exception {
         ScriptedServer[] self = new ScriptedServer[1];
         self[0] = new ScriptedServer(
-                r -> r.firstLine().contains("since=9&") ? nothing(r) : script.answer(self[0].requests.size(), r));
+                r -> r.firstLine().contains("since=9&") ? noChanges(r) : script.respond(self[0].requests.size(), r));
         return self[0];
     }
 
-    /** As discovery does with nothing to tell: its answer comes at the end of the wait. */
-    private byte[] nothing(HttpMessage request) throws Exception {
+    /** Responds like discovery without changes: at the end of the requested wait. */
+    private byte[] noChanges(HttpMessage request) throws Exception {
         release.await(
                 Long.parseLong(request.firstLine().replaceAll(".*timeout_ms=(\\d+).*", "$1")), TimeUnit.MILLISECONDS);
         return HttpMessage.response(200, "", "{\"generation\":9,\"reset\":false,\"instances\":[]}");
     }
 
-    private byte[] first() {
+    private byte[] firstList() {
         return HttpMessage.response(200, "", discoveryList(2, "Ready", server));
     }
 
-    private byte[] news() {
+    private byte[] changes() {
         return HttpMessage.response(200, "", discoveryList(9, "Terminating", server));
     }
 
-    private byte[] silence() throws Exception {
+    private byte[] noResponse() throws Exception {
         release.await();
         return null;
     }
 
-    private void told() throws Exception {
-        await("told", () -> balancer.log().contains("INFO list generation=9 whole=false entries=1"));
+    private void awaitChanges() throws Exception {
+        await("the changes are applied", () -> balancer.log().contains("INFO list generation=9 whole=false entries=1"));
     }
 
     @After
     public void stop() throws Exception {
         release.countDown();
-        crossed.countDown();
+        nextCall.countDown();
         balancer.stop();
         server.close();
         discovery.close();
     }
 
     /**
-     * The third call goes out while the second may still have its turn; the first, given up just then, answers too late
-     * and is not missed: the third has asked from the same generation.
+     * Two calls in a row stay unanswered. When the third is sent the first of them is abandoned; its late response is
+     * not needed, since the third call asks from the same generation.
      */
     @Test
-    public void twoSilencesInARowAndAnAnswerThatIsGivenUp() throws Exception {
-        run((number, r) -> {
+    public void twoUnansweredCallsAndAnAbandonedOne() throws Exception {
+        startWith((number, r) -> {
             if (number == 2) {
-                crossed.await();
-                return news();
+                nextCall.await();
+                return changes();
             }
             if (number == 4) {
-                crossed.countDown();
+                nextCall.countDown();
             }
-            return number == 1 ? first() : number == 3 ? silence() : news();
+            return number == 1 ? firstList() : number == 3 ? noResponse() : changes();
         });
-        told();
+        awaitChanges();
         assertEquals(2, balancer.counter("discovery_reopened"));
         assertEquals(2, balancer.counter("discovery_failures"));
         assertEquals(3, discovery.connections.size());
         assertTrue(discovery.requests.get(3).firstLine().contains("since=2&"));
-        assertTrue("the second is let go", BalancerProcess.awaitEnd(discovery.connections.get(1)));
+        assertTrue("the second connection is closed", BalancerProcess.awaitEnd(discovery.connections.get(1)));
     }
 
     /**
-     * A call that counts as silent keeps its turn: its answer is taken, the watch goes on there, and the second call
-     * ends.
+     * An unanswered call stays open: its late response is used, the watch continues on its connection, and the second
+     * call is closed.
      */
     @Test
-    public void aLateAnswerIsTaken() throws Exception {
-        run((number, r) -> {
+    public void lateResponseIsUsed() throws Exception {
+        startWith((number, r) -> {
             if (number == 2) {
-                crossed.await();
-                return news();
+                nextCall.await();
+                return changes();
             }
             if (number == 3) {
-                crossed.countDown();
+                nextCall.countDown();
             }
-            return number == 1 ? first() : silence();
+            return number == 1 ? firstList() : noResponse();
         });
-        told();
-        assertTrue("the second is let go", BalancerProcess.awaitEnd(discovery.connections.get(1)));
-        await("goes on", () -> discovery.requests.size() > 3);
+        awaitChanges();
+        assertTrue("the second connection is closed", BalancerProcess.awaitEnd(discovery.connections.get(1)));
+        await("the watch continues", () -> discovery.requests.size() > 3);
         assertEquals(2, discovery.connections.size());
     }
 
-    /** Connections that end as they come up, while the silent call is out: tried again, and the list comes. */
+    /**
+     * Connections that are closed on accept while an unanswered call is open: the call is retried until the list
+     * arrives.
+     */
     @Test
-    public void aSilenceAndThenResets() throws Exception {
-        run((number, r) -> {
+    public void unansweredCallAndThenClosedConnections() throws Exception {
+        startWith((number, r) -> {
             if (number == 2) {
                 discovery.maxConnections = 1;
-                return silence();
+                return noResponse();
             }
-            return number == 1 ? first() : news();
+            return number == 1 ? firstList() : changes();
         });
-        await("a silence and a reset", () -> balancer.counter("discovery_failures") >= 2);
+        await("an unanswered call and a closed connection", () -> balancer.counter("discovery_failures") >= 2);
         assertFalse(balancer.log().contains("generation=9"));
         discovery.connections.get(0).setSoTimeout(50);
         assertThrows(
-                "the silent one keeps its turn",
+                "the unanswered call stays open",
                 SocketTimeoutException.class,
                 () -> discovery.connections.get(0).getInputStream().read());
         discovery.maxConnections = Integer.MAX_VALUE;
-        told();
-        assertTrue("the silent one is let go", BalancerProcess.awaitEnd(discovery.connections.get(0)));
+        awaitChanges();
+        assertTrue("the unanswered call is closed", BalancerProcess.awaitEnd(discovery.connections.get(0)));
     }
 
     /**
-     * What can't be read, a refusal in words and an older word, one behind the other: the list held stays, and the good
-     * one comes.
+     * Malformed lists, an error status and an older generation in a row: the current list stays until a valid one
+     * arrives.
      */
     @Test
-    public void whatIsNoListAndThenOne() throws Exception {
-        List<byte[]> bad = List.of(
+    public void invalidResponsesAndThenAValidOne() throws Exception {
+        List<byte[]> invalid = List.of(
                 HttpMessage.response(200, "", "{\"generation\":9"),
                 HttpMessage.response(200, "", discoveryList(9, "Later", server)),
                 HttpMessage.response(503, "", ""),
                 HttpMessage.response(
                         200, "", discoveryList(1, "Terminating", server).replace("true", "false")));
-        run((number, r) -> number == 1 ? first() : number <= 5 ? bad.get(number - 2) : news());
-        told();
+        startWith((number, r) -> number == 1 ? firstList() : number <= 5 ? invalid.get(number - 2) : changes());
+        awaitChanges();
         assertEquals(4, balancer.counter("discovery_failures"));
         assertEquals(2, balancer.counter("discovery_malformed"));
         assertEquals(1, balancer.counter("discovery_older"));
@@ -171,29 +177,29 @@
     }
 
     /**
-     * SIGHUP in an outage: asked at the new address from the version held, and a first call that hangs there keeps its
-     * turn.
+     * SIGHUP with a new discovery address during an outage: the new address is asked for changes since the current
+     * generation, and a first call that hangs there stays open.
      */
     @Test
-    public void aMoveInAnOutageAndAFirstCallThatHangs() throws Exception {
-        run((number, r) -> number == 1 ? first() : silence());
-        await("watched", () -> discovery.requests.size() == 2);
+    public void newAddressInAnOutageAndAHangingFirstCall() throws Exception {
+        startWith((number, r) -> number == 1 ? firstList() : noResponse());
+        await("the watch is open", () -> discovery.requests.size() == 2);
         ScriptedServer down = discovery;
         down.close();
-        await("down", () -> balancer.counter("discovery_failures") >= 2);
+        await("discovery is unreachable", () -> balancer.counter("discovery_failures") >= 2);
         discovery = numbered((number, r) -> {
             if (number == 1) {
-                crossed.await();
-                return news();
+                nextCall.await();
+                return changes();
             }
-            crossed.countDown();
-            return silence();
+            nextCall.countDown();
+            return noResponse();
         });
         Files.writeString(
                 balancer.config, Files.readString(balancer.config).replace(down.address(), discovery.address()));
         balancer.signal("HUP");
-        told();
+        awaitChanges();
         assertTrue(discovery.requests.get(0).firstLine().contains("since=2&"));
-        assertTrue("the second is let go", BalancerProcess.awaitEnd(discovery.connections.get(1)));
+        assertTrue("the second connection is closed", BalancerProcess.awaitEnd(discovery.connections.get(1)));
     }
 }
--- a/balancer/src/test/java/calicochute/process/ReadyTest.java
+++ b/balancer/src/test/java/calicochute/process/ReadyTest.java
@@ -19,41 +19,41 @@
 import org.junit.Test;
 
 /**
- * What a process waits for before it is ready, and what comes to it before. How long it takes is measured by
- * {@link ReadyTable}.
+ * What a process waits for before it is ready, and sessions that arrive earlier. {@link ReadyTable} measures the time.
  */
 public class ReadyTest {
     private static final String ID = "9b1f03aa5c7e2d41";
     private final CountDownLatch release = new CountDownLatch(1);
-    private final CountDownLatch over = new CountDownLatch(1);
-    /** The answer to a session that a client tries to send from before the process starts. */
-    private final CompletableFuture<HttpMessage> early = new CompletableFuture<>();
+    private final CountDownLatch finished = new CountDownLatch(1);
+    /** Response to a session that a client tries to send from before the process starts. */
+    private final CompletableFuture<HttpMessage> earlyResponse = new CompletableFuture<>();
 
     private BalancerProcess balancer;
 
     @After
-    public void letGo() {
+    public void releaseAll() {
         release.countDown();
-        over.countDown();
+        finished.countDown();
         if (balancer != null) {
             balancer.process.destroyForcibly();
         }
     }
 
-    /** Has a client try to connect from now on, whose session comes as soon as the process listens. */
-    private String withAnEarlyClient(String configuration) {
+    /** Starts a client that tries to connect until the process listens, and then sends a session. */
+    private String startEarlyClient(String configuration) {
         int port = Integer.parseInt(configuration.replaceAll("(?s).*\"listen\":\"127.0.0.1:(\\d+)\".*", "$1"));
         Thread client = new Thread(() -> {
-            while (over.getCount() > 0) {
-                // From another address: one that tries on could be given the port itself, and meet itself there.
+            while (finished.getCount() > 0) {
+                // From another address: repeated attempts from the same one could get the port as local port and
+                // connect to themselves.
                 try (Socket socket =
                         new Socket(InetAddress.getLoopbackAddress(), port, InetAddress.getByName("127.0.0.2"), 0)) {
                     socket.setSoTimeout(30_000);
                     try {
                         socket.getOutputStream().write(HttpMessage.encode(session(ID, "view"), new byte[0]));
-                        early.complete(HttpMessage.read(socket.getInputStream()));
+                        earlyResponse.complete(HttpMessage.read(socket.getInputStream()));
                     } catch (IOException e) {
-                        early.completeExceptionally(e);
+                        earlyResponse.completeExceptionally(e);
                     }
                     return;
                 } catch (IOException e) {
@@ -66,8 +66,8 @@
         return configuration;
     }
 
-    private void answeredAtOnce() throws Exception {
-        assertEquals(200, early.get(30, TimeUnit.SECONDS).status());
+    private void assertEarlySessionServed() throws Exception {
+        assertEquals(200, earlyResponse.get(30, TimeUnit.SECONDS).status());
     }
 
     private static ScriptedServer server() throws IOException {
@@ -75,61 +75,61 @@
     }
 
     @Test
-    public void readyDoesNotWaitForADiscoveryThatRefuses() throws Exception {
+    public void readyDoesNotWaitForRefusedDiscovery() throws Exception {
         try (ScriptedServer server = server();
-                ScriptedServer none = ScriptedServer.silent(release);
+                ScriptedServer unused = ScriptedServer.silent(release);
                 Socket bound = new Socket()) {
             // Bound but not listening: connections are refused, and no other socket gets the port.
             bound.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            UnaryOperator<String> refused = c -> c.replace(none.address(), "127.0.0.1:" + bound.getLocalPort());
-            balancer = BalancerProcess.withEditedConfig(c -> withAnEarlyClient(refused.apply(c)), none, server);
-            answeredAtOnce();
-            await("refused", () -> balancer.counter("discovery_failures") > 0);
-            assertTrue(none.connections.isEmpty());
+            UnaryOperator<String> refused = c -> c.replace(unused.address(), "127.0.0.1:" + bound.getLocalPort());
+            balancer = BalancerProcess.withEditedConfig(c -> startEarlyClient(refused.apply(c)), unused, server);
+            assertEarlySessionServed();
+            await("the connection to discovery is refused", () -> balancer.counter("discovery_failures") > 0);
+            assertTrue(unused.connections.isEmpty());
             balancer.stop();
         }
     }
 
     @Test
-    public void readyDoesNotWaitForASilentDiscovery() throws Exception {
+    public void readyDoesNotWaitForSilentDiscovery() throws Exception {
         try (ScriptedServer server = server();
                 ScriptedServer discovery = ScriptedServer.silent(release)) {
-            balancer = BalancerProcess.withEditedConfig(this::withAnEarlyClient, discovery, server);
-            answeredAtOnce();
-            await("asked", () -> !discovery.requests.isEmpty());
+            balancer = BalancerProcess.withEditedConfig(this::startEarlyClient, discovery, server);
+            assertEarlySessionServed();
+            await("discovery is called", () -> !discovery.requests.isEmpty());
             balancer.stop();
         }
     }
 
-    /** The first answer is on its way until after the yes, and then counts. */
+    /** The first response of discovery arrives after the process is ready, and is then applied. */
     @Test
-    public void readyDoesNotWaitForASlowDiscovery() throws Exception {
+    public void readyDoesNotWaitForSlowDiscovery() throws Exception {
         try (ScriptedServer server = server();
                 ScriptedServer discovery = new ScriptedServer(r -> {
                     release.await();
                     if (r.firstLine().contains("since=9&")) {
-                        over.await();
+                        finished.await();
                     }
                     return HttpMessage.response(200, "", discoveryList(9, "Terminating", server));
                 })) {
-            balancer = BalancerProcess.withEditedConfig(this::withAnEarlyClient, discovery, server);
-            answeredAtOnce();
+            balancer = BalancerProcess.withEditedConfig(this::startEarlyClient, discovery, server);
+            assertEarlySessionServed();
             assertFalse(balancer.log().contains("generation=9"));
             release.countDown();
-            await("told", () -> balancer.log().contains("generation=9"));
-            over.countDown();
+            await("the list is applied", () -> balancer.log().contains("generation=9"));
+            finished.countDown();
             balancer.stop();
         }
     }
 
-    /** Without a list from before there is nobody to send to: only here the yes comes with discovery's first list. */
+    /** Without a known list there are no backend servers: the process is ready only after discovery's first list. */
     @Test
-    public void withoutAListReadyComesWithTheFirst() throws Exception {
+    public void withoutKnownListReadyWaitsForDiscovery() throws Exception {
         try (ScriptedServer server = server();
                 ScriptedServer discovery = new ScriptedServer(r -> {
                     release.await();
                     if (!r.firstLine().contains("since=0&")) {
-                        over.await();
+                        finished.await();
                     }
                     return HttpMessage.response(200, "", discoveryList(1, "Ready", server));
                 })) {
@@ -148,15 +148,15 @@
                     throw new IllegalStateException(e);
                 }
             });
-            int at = port.get(30, TimeUnit.SECONDS);
-            await("no, and that is said", () -> status(at, "GET /ready HTTP/1.1\r\nHost: a\r\n") == 503);
-            await("asked", () -> !discovery.requests.isEmpty());
-            assertEquals(503, status(at, session(ID, "view").replace(": 8000", ": 300")));
+            int listenPort = port.get(30, TimeUnit.SECONDS);
+            await("not ready", () -> status(listenPort, "GET /ready HTTP/1.1\r\nHost: a\r\n") == 503);
+            await("discovery is called", () -> !discovery.requests.isEmpty());
+            assertEquals(503, status(listenPort, session(ID, "view").replace(": 8000", ": 300")));
             assertFalse(starting.isDone());
             release.countDown();
             balancer = starting.get(30, TimeUnit.SECONDS);
             assertEquals(200, balancer.send(session("9b1f03aa5c7e2d42", "view")).status());
-            over.countDown();
+            finished.countDown();
             balancer.stop();
         }
     }
--- a/balancer/src/test/java/calicochute/process/RestartTest.java
+++ b/balancer/src/test/java/calicochute/process/RestartTest.java
@@ -16,27 +16,29 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.Test;
 
-/** A planned restart under clients that send on every connection for as long as it stays open. */
+/** Planned stops with SIGTERM: deadlines of open sessions, and clients that keep sending. */
 public class RestartTest extends SingleServerFixture {
     private static final int CLIENTS = 12;
-    /** At a planned restart new connections keep coming for 0.4 s at most. */
-    private static final long NEW_NANOS = 400_000_000L;
+    /**
+     * New connections arrive for at most 0.4 s after SIGTERM, until the load balancer in front has removed the process.
+     */
+    private static final long NEW_CONNECTIONS_NANOS = 400_000_000L;
 
-    private final AtomicInteger names = new AtomicInteger();
-    private final AtomicInteger answers = new AtomicInteger();
-    private final AtomicInteger lastAnswers = new AtomicInteger();
-    private final AtomicInteger crossed = new AtomicInteger();
-    private volatile long endingSince;
+    private final AtomicInteger sessionNumber = new AtomicInteger();
+    private final AtomicInteger responseCount = new AtomicInteger();
+    private final AtomicInteger finalResponseCount = new AtomicInteger();
+    private final AtomicInteger unansweredCount = new AtomicInteger();
+    private volatile long stopNanos;
 
     /**
-     * Sends on one connection until it ends; then on a new one, for as long as a front sends any to a process that
-     * ends.
+     * Sends on one connection until it is closed, then on a new one, as long as new connections arrive at a stopping
+     * process.
      */
-    private void client() {
+    private void runClient() {
         try {
-            while (endingSince == 0 || System.nanoTime() - endingSince < NEW_NANOS) {
+            while (stopNanos == 0 || System.nanoTime() - stopNanos < NEW_CONNECTIONS_NANOS) {
                 try (Socket socket = balancer.connect()) {
-                    onOne(socket);
+                    sendUntilClosed(socket);
                 }
             }
         } catch (Exception e) {
@@ -44,40 +46,42 @@
         }
     }
 
-    private void onOne(Socket socket) throws Exception {
+    private void sendUntilClosed(Socket socket) throws Exception {
         while (true) {
-            byte[] request =
-                    HttpMessage.encode(session(String.format("%016x", names.incrementAndGet()), "view"), new byte[0]);
-            HttpMessage answer = null;
+            byte[] request = HttpMessage.encode(
+                    session(String.format("%016x", sessionNumber.incrementAndGet()), "view"), new byte[0]);
+            HttpMessage response = null;
             try {
                 socket.getOutputStream().write(request);
-                // Null at an end before the answer's; a head without its whole body fails the length below.
-                answer = HttpMessage.read(socket.getInputStream());
+                // Null if the connection ends before the end of the head; a truncated body fails the comparison
+                // below.
+                response = HttpMessage.read(socket.getInputStream());
             } catch (IOException e) {
-                // Reset: the request crossed the connection's end, and is sent once more.
+                // The connection was reset while the request was in transit.
             }
-            if (answer == null) {
-                crossed.incrementAndGet();
-                assertTrue("only a planned stop ends connections", endingSince != 0);
+            if (response == null) {
+                unansweredCount.incrementAndGet();
+                assertTrue("connections are closed during a stop only", stopNanos != 0);
                 return;
             }
-            assertEquals(200, answer.status());
-            assertEquals("a map", new String(answer.body()));
-            answers.incrementAndGet();
-            if ("close".equals(answer.header("Connection"))) {
-                lastAnswers.incrementAndGet();
-                assertEquals("said to be the last, and is", null, HttpMessage.read(socket.getInputStream()));
+            assertEquals(200, response.status());
+            assertEquals("a map", new String(response.body()));
+            responseCount.incrementAndGet();
+            if ("close".equals(response.header("Connection"))) {
+                finalResponseCount.incrementAndGet();
+                assertEquals(
+                        "the connection ends after Connection: close", null, HttpMessage.read(socket.getInputStream()));
                 return;
             }
         }
     }
 
     /**
-     * The platform ends a process by the deadlines of its newest settings. Those of the start, longer here, would leave
-     * this session to its own time, past that end.
+     * The platform sends SIGKILL after the longest deadline of the newest settings. With the longer deadlines from the
+     * start this session would still be open at that time.
      */
     @Test
-    public void aStopGoesByTheDeadlinesInForce() throws Exception {
+    public void stopUsesReloadedDeadlines() throws Exception {
         server.script = r -> {
             release.await();
             return HttpMessage.response(200, "", "too late");
@@ -86,7 +90,7 @@
                 balancer.config,
                 Files.readString(balancer.config).replace("\"deadline\":9000000", "\"deadline\":1000000"));
         balancer.signal("HUP");
-        await("taken", () -> balancer.counter("reloads") == 1);
+        await("reloaded", () -> balancer.counter("reloads") == 1);
         try (Socket socket = balancer.connect()) {
             socket.getOutputStream()
                     .write(HttpMessage.encode(
@@ -100,11 +104,11 @@
     }
 
     /**
-     * Shorter deadlines that come with SIGHUP while the process drains: the kill comes by them, and so do answers to
-     * what was open.
+     * Shorter deadlines that are loaded by SIGHUP during a drain set the time of SIGKILL, so open sessions must be
+     * answered by them.
      */
     @Test
-    public void aStopGoesByDeadlinesThatCameAfterIt() throws Exception {
+    public void stopUsesDeadlinesReloadedDuringDrain() throws Exception {
         server.script = r -> {
             release.await();
             return HttpMessage.response(200, "", "too late");
@@ -127,31 +131,31 @@
     }
 
     /**
-     * From SIGTERM to the process's end each request has its whole answer, and each connection in steady use ends
-     * behind an answer that says so: none crosses a request.
+     * From SIGTERM to exit each request has a complete response, and each busy connection is closed after a response
+     * with Connection: close, so that no request is in transit when it closes.
      */
     @Test
-    public void sendingOnToTheEndLosesNothing() throws Exception {
+    public void stopUnderLoadLosesNoRequest() throws Exception {
         server.script = r -> {
             Thread.sleep(ThreadLocalRandom.current().nextInt(20));
             return HttpMessage.response(200, "", "a map");
         };
         List<CompletableFuture<Void>> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(CompletableFuture.runAsync(() -> client(), r -> new Thread(r).start()));
+            clients.add(CompletableFuture.runAsync(() -> runClient(), r -> new Thread(r).start()));
         }
-        await("in full use", () -> answers.get() >= 20 * CLIENTS);
-        assertEquals(0, crossed.get());
-        assertEquals(0, lastAnswers.get());
-        endingSince = System.nanoTime();
+        await("all clients are sending", () -> responseCount.get() >= 20 * CLIENTS);
+        assertEquals(0, unansweredCount.get());
+        assertEquals(0, finalResponseCount.get());
+        stopNanos = System.nanoTime();
         balancer.process.destroy();
         assertTrue(balancer.process.waitFor(30, TimeUnit.SECONDS));
         for (CompletableFuture<Void> client : clients) {
             client.get(30, TimeUnit.SECONDS);
         }
-        assertEquals("requests on accepted connections that met an end", 0, crossed.get());
-        assertTrue(lastAnswers.get() >= CLIENTS);
+        assertEquals("unanswered requests on accepted connections", 0, unansweredCount.get());
+        assertTrue(finalResponseCount.get() >= CLIENTS);
         assertTrue(balancer.log(), balancer.log().contains("drained unanswered=0"));
-        assertTrue(balancer.log(), balancer.log().contains("sessions_taken " + answers.get() + ","));
+        assertTrue(balancer.log(), balancer.log().contains("sessions_taken " + responseCount.get() + ","));
     }
 }
--- a/balancer/src/test/java/calicochute/process/ServeTest.java
+++ b/balancer/src/test/java/calicochute/process/ServeTest.java
@@ -17,42 +17,42 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 
-/** The balancer as its client, its backend servers and discovery meet it. */
+/** Basic behavior of the balancer towards clients, backend servers, discovery and operators' signals. */
 public class ServeTest extends SingleServerFixture {
-    /** So long after SIGTERM requests are still taken in ({@code Presence}). */
-    private static final long TAKEN_IN_NANOS = 550_000_000;
+    /** Requests are still accepted for this long after SIGTERM ({@code Presence}). */
+    private static final long ACCEPT_AFTER_SIGTERM_NANOS = 550_000_000;
 
     private HttpMessage send(String lane) throws Exception {
         return balancer.send(session(ID, lane), lane.equals("view") ? new byte[0] : new byte[] {1, 2, 3});
     }
 
     @Test
-    public void whatPassesIsUnchanged() throws Exception {
+    public void requestsAndResponsesAreForwardedUnchanged() throws Exception {
         byte[] body = new byte[1 << 16];
         new Random(7).nextBytes(body);
         server.script = r -> HttpMessage.encode("HTTP/1.1 200 OK\r\n", r.body());
-        HttpMessage answer = balancer.send(session(ID, "scan"), body);
-        HttpMessage seen = server.requests.get(0);
-        assertEquals("POST /api?q=1 HTTP/1.1", seen.firstLine());
-        assertEquals(ID, seen.header("X-Txn"));
-        assertEquals("k1", seen.header("Idempotency-Key"));
-        assertTrue(Integer.parseInt(seen.header("X-Remaining-Ms")) <= 8000);
-        assertArrayEquals(body, seen.body());
-        assertEquals(200, answer.status());
-        assertArrayEquals(body, answer.body());
+        HttpMessage response = balancer.send(session(ID, "scan"), body);
+        HttpMessage forwarded = server.requests.get(0);
+        assertEquals("POST /api?q=1 HTTP/1.1", forwarded.firstLine());
+        assertEquals(ID, forwarded.header("X-Txn"));
+        assertEquals("k1", forwarded.header("Idempotency-Key"));
+        assertTrue(Integer.parseInt(forwarded.header("X-Remaining-Ms")) <= 8000);
+        assertArrayEquals(body, forwarded.body());
+        assertEquals(200, response.status());
+        assertArrayEquals(body, response.body());
     }
 
     @Test
-    public void aDenySaysWhenToComeBack() throws Exception {
-        HttpMessage answer = balancer.send(session(ID, "view").replace(": 8000", ": 0"));
-        assertEquals(503, answer.status());
-        assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
+    public void denyHasRetryAfter() throws Exception {
+        HttpMessage response = balancer.send(session(ID, "view").replace(": 8000", ": 0"));
+        assertEquals(503, response.status());
+        assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
         assertEquals(0, server.requests.size());
     }
 
-    /** A server that turned the session away has not run it: it may be sent again, and be denied in the end. */
+    /** A request that a server turned away has not run: it may be retried, and the session denied in the end. */
     @Test
-    public void turnedAwayIsTriedAgain() throws Exception {
+    public void turnedAwayRequestIsRetried() throws Exception {
         server.script = r -> HttpMessage.response(503, "X-Turned-Away: 1\r\n", "");
         assertEquals(503, send("order").status());
         assertTrue(balancer.counter("dispatches_full") >= 1);
@@ -62,9 +62,9 @@
         assertEquals(200, send("order").status());
     }
 
-    /** After a dispatch that may have run, a session that must not run twice fails: no deny, no second copy. */
+    /** A session that must not run twice fails after a dispatch that may have run; it is neither denied nor retried. */
     @Test
-    public void whatMayHaveRunIsNotRepeated() throws Exception {
+    public void requestThatMayHaveRunIsNotRetried() throws Exception {
         server.script = r -> HttpMessage.response(500, "", "broken");
         assertEquals(502, send("order").status());
         server.script = r -> HttpMessage.response(503, "", "its own words");
@@ -77,30 +77,33 @@
     }
 
     @Test
-    public void silenceTimesOutBeforeTheDeadline() throws Exception {
+    public void unansweredRequestTimesOutBeforeDeadline() throws Exception {
         server.script = r -> {
             release.await();
             return HttpMessage.response(200, "", "too late");
         };
-        HttpMessage answer = balancer.send(session(ID, "order").replace(": 8000", ": 900"), new byte[1]);
-        assertEquals(504, answer.status());
+        HttpMessage response = balancer.send(session(ID, "order").replace(": 8000", ": 900"), new byte[1]);
+        assertEquals(504, response.status());
         assertEquals(1, balancer.counter("dispatches_timed_out"));
         assertEquals(1, server.requests.size());
         release.countDown();
-        await("its late answer meets a closed connection", () -> server.endedConnections.size() == 1);
+        await("the connection is closed before the late response", () -> server.endedConnections.size() == 1);
     }
 
-    /** A server that is not there has run nothing: the client hears that trying again is harmless. */
+    /**
+     * A server that refuses connections has not run the request: the session is denied, which allows the client to
+     * retry.
+     */
     @Test
-    public void noConnectionIsADeny() throws Exception {
+    public void refusedConnectionIsADeny() throws Exception {
         server.close();
         assertEquals(503, send("order").status());
         assertTrue(balancer.counter("dispatches_connect_failed") >= 1);
     }
 
-    /** The server closed an idle connection: nothing was written to it, so another one is used. */
+    /** The server closed an idle connection: nothing was written to it, so the session uses another one. */
     @Test
-    public void aConnectionClosedWhileIdleCostsNothing() throws Exception {
+    public void connectionClosedWhileIdleIsReplaced() throws Exception {
         assertEquals(200, send("order").status());
         for (Socket socket : server.connections) {
             socket.close();
@@ -109,9 +112,9 @@
         assertEquals(2, server.requests.size());
     }
 
-    /** The next call for changes names the version just heard, not the one it was asked with. */
+    /** The next watch starts from the generation that was received, not from the one that was requested. */
     @Test
-    public void theWatchGoesOnFromWhatItHasHeard() throws Exception {
+    public void watchContinuesFromReceivedGeneration() throws Exception {
         balancer.stop();
         discovery.requests.clear();
         discovery.script = r -> {
@@ -122,17 +125,15 @@
             return null;
         };
         balancer = startBalancer();
-        await("heard", () -> discovery.requests.size() >= 2);
+        await("the watch continues", () -> discovery.requests.size() >= 2);
         assertTrue(
                 discovery.requests.get(1).firstLine(),
                 discovery.requests.get(1).firstLine().contains("since=7&"));
     }
 
-    /**
-     * At SIGTERM silent connections are ended, but not one on which half a head has come: the rest of it is answered.
-     */
+    /** On SIGTERM idle connections are closed, but not one with a partial head: its request is answered. */
     @Test
-    public void halfAHeadIsNoIdleConnection() throws Exception {
+    public void connectionWithPartialHeadIsNotIdle() throws Exception {
         byte[] view = HttpMessage.encode(session(ID, "view"), new byte[0]);
         try (Socket half = balancer.connect();
                 Socket silent = balancer.connect()) {
@@ -145,11 +146,11 @@
     }
 
     /**
-     * What a session held goes with its answer, however long its client would have waited: twice the heap passes
-     * through.
+     * A session's memory is freed with its response, however long its deadline: request bodies of twice the heap size
+     * pass.
      */
     @Test
-    public void anAnsweredSessionIsLetGo() throws Exception {
+    public void answeredSessionIsFreed() throws Exception {
         balancer.stop();
         balancer = BalancerProcess.withMaxHeap("24m", discovery, server);
         for (int i = 0; i < 800; i++) {
@@ -163,9 +164,12 @@
         assertFalse(balancer.log(), balancer.log().contains("OutOfMemory"));
     }
 
-    /** One for the sessions; beside it a spare may be opened, if one met the connection before it had rested. */
+    /**
+     * Consecutive sessions share one connection; a spare may be opened beside it if the connection could not be reused
+     * yet.
+     */
     @Test
-    public void connectionsAreKept() throws Exception {
+    public void backendConnectionsAreReused() throws Exception {
         try (Socket socket = balancer.connect()) {
             for (int i = 0; i < 3; i++) {
                 socket.getOutputStream().write(HttpMessage.encode(session(ID, "view"), new byte[0]));
@@ -176,9 +180,9 @@
         assertTrue(server.connections.size() <= 1 + balancer.counter("spares_opened"));
     }
 
-    /** While a session is open, another of the same name would be a second copy of it. */
+    /** A session with the id of an open one would be a duplicate, so it is rejected. */
     @Test
-    public void aNameInUseIsNotForwardedTwice() throws Exception {
+    public void duplicateSessionIdIsRejected() throws Exception {
         server.script = r -> {
             release.await();
             return HttpMessage.response(200, "", "late");
@@ -197,9 +201,9 @@
         assertEquals(1, server.requests.size());
     }
 
-    /** The client closes: its dispatch is called off by closing the connection to the server. */
+    /** When a client disconnects its dispatch is cancelled by closing the connection to the server. */
     @Test
-    public void aClientThatGoesCancels() throws Exception {
+    public void disconnectCancelsDispatch() throws Exception {
         server.script = r -> {
             release.await();
             return null;
@@ -213,7 +217,7 @@
     }
 
     @Test
-    public void aDrainingServerGetsNothingNew() throws Exception {
+    public void terminatingServerGetsNoNewSessions() throws Exception {
         assertEquals(200, send("view").status());
         discovery.script = r -> {
             if (r.firstLine().contains("since=2")) {
@@ -224,7 +228,7 @@
         for (Socket socket : discovery.connections) {
             socket.close();
         }
-        await("told", () -> balancer.log().contains("generation=2"));
+        await("the list is applied", () -> balancer.log().contains("generation=2"));
         assertEquals(
                 503,
                 balancer.send(session(ID, "view").replace(": 8000", ": 500")).status());
@@ -232,9 +236,9 @@
         assertTrue(discovery.requests.get(0).firstLine().contains("since=1"));
     }
 
-    /** Discovery that talks nonsense is asked again; the list stays as it was. */
+    /** A malformed response of discovery is counted; the current list stays in use. */
     @Test
-    public void malformedListsAreCountedOnly() throws Exception {
+    public void malformedListKeepsCurrentList() throws Exception {
         discovery.script = r -> HttpMessage.response(200, "", "{\"generation\":\"x\",\"instances\":[{}]}");
         for (Socket socket : discovery.connections) {
             socket.close();
@@ -244,7 +248,7 @@
     }
 
     @Test
-    public void badInputIsRefusedAndNotForwarded() throws Exception {
+    public void invalidRequestsAreRejected() throws Exception {
         String view = session(ID, "view");
         String scan = session(ID, "scan");
         assertEquals(400, balancer.send(view.replace(ID, "9b1f")).status());
@@ -263,54 +267,53 @@
         assertEquals(200, send("view").status());
     }
 
-    /** On SIGTERM what is taken is answered, with the connection's end announced, and the status is 0. */
+    /** On SIGTERM accepted sessions are answered with Connection: close, and the exit status is 0. */
     @Test
-    public void aPlannedStopAnswersEverything() throws Exception {
+    public void stopAnswersAcceptedSessions() throws Exception {
         server.script = r -> {
             release.await();
             return HttpMessage.response(200, "", "late");
         };
-        try (Socket taken = balancer.connect();
+        try (Socket accepted = balancer.connect();
                 Socket idle = balancer.connect()) {
             idle.getOutputStream().write(HttpMessage.encode("GET /ready HTTP/1.1\r\nHost: a\r\n", new byte[0]));
             assertEquals(200, HttpMessage.read(idle.getInputStream()).status());
-            taken.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
+            accepted.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
-            // Only now: a connection has its first request within 2.4 s, which the first dispatch of a process may take
-            // on a loaded machine.
+            // Opened just before its first request, which is due within 2.4 s; on a loaded machine the first dispatch
+            // of a process could take longer.
             try (Socket later = balancer.connect()) {
-                long told = System.nanoTime();
+                long signalNanos = System.nanoTime();
                 balancer.process.destroy();
                 await("draining", () -> balancer.log().contains("draining"));
                 later.getOutputStream().write(HttpMessage.encode(session("0" + ID.substring(1), "order"), new byte[1]));
-                // Silent until then: past that time the balancer may have ended it, which only a test that runs late
-                // can
-                // meet.
-                boolean inTime = System.nanoTime() - told < TAKEN_IN_NANOS;
+                // On a slow machine the request may be sent after that time; the balancer may then have closed the idle
+                // connection.
+                boolean inTime = System.nanoTime() - signalNanos < ACCEPT_AFTER_SIGTERM_NANOS;
                 if (inTime) {
                     await("accepted while draining", () -> server.requests.size() == 2);
                 }
-                // What is idle is closed while the others are still owed their answers.
+                // Idle connections are closed while other sessions still wait for their responses.
                 assertNull(HttpMessage.read(idle.getInputStream()));
                 release.countDown();
-                HttpMessage answer = HttpMessage.read(taken.getInputStream());
-                assertEquals(200, answer.status());
-                assertEquals("close", answer.header("Connection"));
+                HttpMessage response = HttpMessage.read(accepted.getInputStream());
+                assertEquals(200, response.status());
+                assertEquals("close", response.header("Connection"));
                 if (inTime || server.requests.size() == 2) {
                     assertEquals(200, HttpMessage.read(later.getInputStream()).status());
                 } else {
                     assertTrue(BalancerProcess.awaitEnd(later));
                 }
-                assertNull(HttpMessage.read(taken.getInputStream()));
+                assertNull(HttpMessage.read(accepted.getInputStream()));
             }
         }
         assertTrue(balancer.process.waitFor(30, TimeUnit.SECONDS));
         assertEquals(0, balancer.process.exitValue());
     }
 
-    /** What a stop finds under way is answered before the platform ends the process, though its own time is longer. */
+    /** On SIGTERM open sessions are answered before the platform sends SIGKILL, even if their deadlines are later. */
     @Test
-    public void aPlannedStopLeavesNothingToTheKill() throws Exception {
+    public void stopAnswersSessionsBeforeSigkill() throws Exception {
         server.script = r -> {
             release.await();
             return HttpMessage.response(200, "", "too late");
@@ -319,7 +322,8 @@
             before.getOutputStream()
                     .write(HttpMessage.encode(session(ID, "order").replace(": 8000", ": 60000"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
-            // Only now: silent for longer than a first dispatch takes on a loaded machine, it would be ended.
+            // Opened just before its first request: on a loaded machine it would be closed as idle during the first
+            // dispatch.
             try (Socket after = balancer.connect()) {
                 balancer.process.destroy();
                 await("draining", () -> balancer.log().contains("draining"));
@@ -334,52 +338,56 @@
         assertTrue(balancer.log(), balancer.log().contains("sessions_ended_by_stop 2"));
     }
 
-    /** SIGHUP moves the watch to discovery's new address and disturbs nothing else; a bad file changes nothing. */
+    /**
+     * SIGHUP moves the watch to the new discovery address without affecting open sessions; an invalid file changes
+     * nothing.
+     */
     @Test
-    public void aHangupMovesDiscoveryOnly() throws Exception {
+    public void sighupMovesDiscoveryOnly() throws Exception {
         server.script = r -> {
             release.await();
             return HttpMessage.response(200, "", "across the reload");
         };
         try (ScriptedServer moved = new ScriptedServer(discovery.script);
-                Socket taken = balancer.connect()) {
-            taken.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
+                Socket accepted = balancer.connect()) {
+            accepted.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
-            await("watching", () -> discovery.requests.size() == 1);
-            String good = Files.readString(balancer.config);
-            Files.writeString(balancer.config, good.substring(0, good.length() / 2));
+            await("the watch is open", () -> discovery.requests.size() == 1);
+            String valid = Files.readString(balancer.config);
+            Files.writeString(balancer.config, valid.substring(0, valid.length() / 2));
             balancer.signal("HUP");
-            await("refused", () -> balancer.counter("reloads_failed") == 1);
+            await("the file is rejected", () -> balancer.counter("reloads_failed") == 1);
             assertEquals(0, discovery.endedConnections.size());
-            Files.writeString(balancer.config, good.replace(discovery.address(), moved.address()));
+            Files.writeString(balancer.config, valid.replace(discovery.address(), moved.address()));
             balancer.signal("HUP");
-            await("asked at the new address", () -> moved.requests.size() == 1);
+            await("the new address is called", () -> moved.requests.size() == 1);
             assertTrue(moved.requests.get(0).firstLine().contains("since=1"));
-            assertTrue("left the old address", BalancerProcess.awaitEnd(discovery.connections.get(0)));
+            assertTrue("the old connection is closed", BalancerProcess.awaitEnd(discovery.connections.get(0)));
             release.countDown();
-            assertEquals(200, HttpMessage.read(taken.getInputStream()).status());
+            assertEquals(200, HttpMessage.read(accepted.getInputStream()).status());
             assertEquals(1, balancer.counter("reloads"));
         }
     }
 
     /**
-     * A class gets another effect and a new one comes; what is open keeps its rules, and a bad file changes nothing.
+     * SIGHUP changes the effect of a class and adds a class; open sessions keep the old settings, and an invalid file
+     * changes nothing.
      */
     @Test
-    public void newSettingsCountFromTheHangupOn() throws Exception {
+    public void newSettingsApplyAfterSighup() throws Exception {
         server.script = r -> {
             release.await();
             return HttpMessage.response(500, "", "");
         };
-        try (Socket taken = balancer.connect()) {
-            taken.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
+        try (Socket accepted = balancer.connect()) {
+            accepted.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
-            String good = Files.readString(balancer.config);
+            String valid = Files.readString(balancer.config);
             String order = "\"effect\":\"once\",\"key_scope\":\"all\",\"name\":\"order\"";
-            assertTrue(good.contains(order));
-            String changed = good.replace(order, order.replace("once", "repeatable"))
+            assertTrue(valid.contains(order));
+            String changed = valid.replace(order, order.replace("once", "repeatable"))
                     .replace("\"name\":\"scan\"", "\"name\":\"sheet\"");
-            int bad = 0;
+            int rejected = 0;
             for (String text : new String[] {
                 "",
                 changed.substring(0, changed.length() - 1),
@@ -389,8 +397,8 @@
             }) {
                 Files.writeString(balancer.config, text);
                 balancer.signal("HUP");
-                int expected = ++bad;
-                await("turned down", () -> balancer.counter("reloads_failed") == expected);
+                int expected = ++rejected;
+                await("the file is rejected", () -> balancer.counter("reloads_failed") == expected);
             }
             assertEquals(
                     405,
@@ -398,16 +406,16 @@
                             .status());
             Files.writeString(balancer.config, changed);
             balancer.signal("HUP");
-            await("taken", () -> balancer.counter("reloads") == 1);
+            await("reloaded", () -> balancer.counter("reloads") == 1);
             release.countDown();
             assertEquals(
-                    "as it began: once",
+                    "old effect: once",
                     502,
-                    HttpMessage.read(taken.getInputStream()).status());
+                    HttpMessage.read(accepted.getInputStream()).status());
             assertEquals(1, server.requests.size());
             server.script = r -> HttpMessage.response(server.requests.size() == 2 ? 500 : 200, "", "");
             assertEquals(
-                    "as it is now: repeatable",
+                    "new effect: repeatable",
                     200,
                     balancer.send(session(ID, "order").replace("POST", "GET")).status());
             assertEquals(3, server.requests.size());
@@ -416,18 +424,18 @@
                     balancer.send(session(ID, "scan").replace("X-Lane: scan", "X-Lane: sheet"))
                             .status());
             assertEquals(
-                    "dropped, but callers may not know yet",
+                    "a removed class is still served, since clients may not know yet",
                     200,
                     balancer.send(session(ID, "scan")).status());
         }
     }
 
-    /** Logs of many machines are read together. */
+    /** The log uses UTC in any time zone, so that logs of several machines can be merged. */
     @Test
-    public void theLogIsInUtcWhateverTheMachinesZone() throws Exception {
-        BalancerProcess away = new BalancerProcess("export TZ=Asia/Tokyo; ", 1024, discovery, server);
+    public void logIsInUtcInAnyTimeZone() throws Exception {
+        BalancerProcess tokyo = new BalancerProcess("export TZ=Asia/Tokyo; ", 1024, discovery, server);
         try {
-            String serving = away.log()
+            String serving = tokyo.log()
                     .lines()
                     .filter(l -> l.contains(" INFO serving "))
                     .findFirst()
@@ -436,51 +444,45 @@
                     serving,
                     serving.matches("\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d\\.\\d{3}Z INFO serving name=.*"));
         } finally {
-            away.stop();
+            tokyo.stop();
         }
     }
 
-    /**
-     * Started under nohup it can't hear SIGHUP: it says so at once, rather than leaving staff with settings that never
-     * come.
-     */
+    /** A balancer started under nohup ignores SIGHUP; it logs this at the start, since reloads will have no effect. */
     @Test
-    public void aStartWithSighupIgnoredIsTold() throws Exception {
+    public void ignoredSighupIsLogged() throws Exception {
         assertFalse(balancer.log().contains("hangup-ignored"));
-        BalancerProcess deaf = new BalancerProcess("trap '' HUP; ", 1024, discovery, server);
+        BalancerProcess ignoring = new BalancerProcess("trap '' HUP; ", 1024, discovery, server);
         try {
-            assertTrue(deaf.log().contains("hangup-ignored"));
+            assertTrue(ignoring.log().contains("hangup-ignored"));
         } finally {
-            deaf.stop();
+            ignoring.stop();
         }
     }
 
-    /**
-     * The node's own denies too: over the bound on open sessions they say when to come back, unless the site has none
-     * of it.
-     */
+    /** Denies over the limit of open sessions have a Retry-After header too, unless the settings disable it. */
     @Test
-    public void aDenyOverTheBoundSaysWhenToComeBack() throws Exception {
+    public void denyOverSessionLimitHasRetryAfter() throws Exception {
         String text = Files.readString(balancer.config).replace("\"max_open\":20000", "\"max_open\":0");
         Files.writeString(balancer.config, text);
         balancer.signal("HUP");
-        await("taken", () -> balancer.counter("reloads") == 1);
+        await("reloaded", () -> balancer.counter("reloads") == 1);
         assertEquals("3.000", send("view").header("Retry-After"));
         Files.writeString(balancer.config, text.replace("\"retry_after\":true", "\"retry_after\":false"));
         balancer.signal("HUP");
-        await("taken", () -> balancer.counter("reloads") == 2);
+        await("reloaded", () -> balancer.counter("reloads") == 2);
         HttpMessage denied = send("view");
         assertEquals(503, denied.status());
         assertEquals(null, denied.header("Retry-After"));
         Files.writeString(balancer.config, text.replace("\"max_retry_after\":3000000", "\"max_retry_after\":400"));
         balancer.signal("HUP");
-        await("taken", () -> balancer.counter("reloads") == 3);
-        assertEquals("not rounded to at once", "0.001", send("view").header("Retry-After"));
+        await("reloaded", () -> balancer.counter("reloads") == 3);
+        assertEquals("not rounded down to 0", "0.001", send("view").header("Retry-After"));
         assertEquals(3, balancer.counter("sessions_over_limit"));
     }
 
     @Test
-    public void aBadConfigurationEndsTheStart() throws Exception {
+    public void invalidConfigurationIsAStartupError() throws Exception {
         Path config = Files.createTempFile("calicochute", ".json");
         for (String text : new String[] {"", "{}", "[1]", "{\"settings\":{},\"seed\":\"q\"}"}) {
             Files.writeString(config, text);
@@ -494,9 +496,9 @@
         }
     }
 
-    /** A start that fails is no planned stop: it has a message and a status of its own. */
+    /** A startup failure is distinct from a planned stop: it has an error message and exit status 1. */
     @Test
-    public void anAddressInUseEndsTheStart() throws Exception {
+    public void addressInUseIsAStartupError() throws Exception {
         Path log = Files.createTempFile("calicochute", ".log");
         Process second = BalancerProcess.start(log, "serve", "--config", balancer.config.toString());
         assertTrue(second.waitFor(30, TimeUnit.SECONDS));
--- a/balancer/src/test/java/calicochute/process/SilentWatchTest.java
+++ b/balancer/src/test/java/calicochute/process/SilentWatchTest.java
@@ -20,36 +20,36 @@
 import org.junit.Test;
 
 /**
- * Watches that fall silent: {@code WatchScheduleTest} says when that is noticed, and here is what follows, at each
- * point.
+ * Watches whose connection goes silent at different points of a response: the watch is opened anew.
+ * {@code WatchScheduleTest} covers the time until then.
  */
 public class SilentWatchTest {
     private static final String ID = "9b1f03aa5c7e2d41";
-    /** Calls on a watch that stands are given 3.1 s at the least. */
-    private static final long HELD_MS = 500;
+    /** How long a call without changes is held; the balancer waits for at least 3.1 s. */
+    private static final long HOLD_MS = 500;
 
     private final CountDownLatch release = new CountDownLatch(1);
 
-    /** One balancer, whose first connection to discovery falls silent in its own way. */
-    private final class Silent {
+    /** A balancer whose first connection to discovery goes silent at a given point. */
+    private final class SilentDiscovery {
         final String point;
         final ScriptedServer server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
         final ScriptedServer discovery;
         final BalancerProcess balancer;
 
         /**
-         * @param answers before the one that falls silent
-         * @param bytes of that one that still come; over a million for all of it but the last
+         * @param responses number of complete responses before the silence
+         * @param bytes number of bytes that are sent of the next response; at most all but the last one
          */
-        Silent(String point, int answers, int bytes) throws Exception {
+        SilentDiscovery(String point, int responses, int bytes) throws Exception {
             this.point = point;
             ScriptedServer[] self = new ScriptedServer[1];
             discovery = self[0] = new ScriptedServer(r -> {
-                ScriptedServer me = self[0];
-                boolean first = me.connections.size() == 1;
-                int told = me.requests.size();
-                if (first && told <= answers) {
-                    return HttpMessage.response(200, "", discoveryList(1 + told, "Ready", server));
+                ScriptedServer current = self[0];
+                boolean first = current.connections.size() == 1;
+                int received = current.requests.size();
+                if (first && received <= responses) {
+                    return HttpMessage.response(200, "", discoveryList(1 + received, "Ready", server));
                 }
                 byte[] change = HttpMessage.response(200, "", indented(discoveryList(9, "Terminating", server)));
                 if (first && bytes > 0) {
@@ -59,10 +59,9 @@
                     release.await();
                 }
                 if (r.firstLine().contains("since=9&")) {
-                    // With nothing to tell. Not held back for as long as was asked: an answer that a loaded machine
-                    // brings late would be a
-                    // silence of its own, counted with the one that is looked at here.
-                    release.await(HELD_MS, TimeUnit.MILLISECONDS);
+                    // No further changes. Held for less than the requested time: a response that is late on a
+                    // loaded machine would count as a second silence.
+                    release.await(HOLD_MS, TimeUnit.MILLISECONDS);
                     return HttpMessage.response(200, "", "{\"generation\":9,\"reset\":false,\"instances\":[]}");
                 }
                 return change;
@@ -70,11 +69,9 @@
             balancer = new BalancerProcess(discovery, server);
         }
 
-        /**
-         * The change that was made meanwhile is in force, on another connection, without a failure told to the module.
-         */
+        /** Checks that the changes arrived on a second connection after one counted failure, and are in force. */
         void check() throws Exception {
-            await(point + ": told", () -> balancer.log().contains("generation=9"));
+            await(point + ": the changes are applied", () -> balancer.log().contains("generation=9"));
             assertEquals(point, 2, discovery.connections.size());
             Socket first = discovery.connections.get(0);
             assertTrue(point, first.isClosed() || BalancerProcess.awaitEnd(first));
@@ -103,45 +100,42 @@
                 .replace("]", "\n  ]\n");
     }
 
-    /** All at once, so that their waits pass together. */
+    /** All points are tested at the same time, so that the timeouts overlap. */
     @Test
-    public void aSilentWatchIsOpenedAnewAtEachPoint() throws Exception {
-        List<Silent> all = new ArrayList<>();
+    public void silentWatchIsReopened() throws Exception {
+        List<SilentDiscovery> discoveries = new ArrayList<>();
         try {
-            all.add(new Silent("before the first head", 0, 0));
-            all.add(new Silent("in the first head", 0, 20));
-            all.add(new Silent("in the first body", 0, 150));
-            all.add(new Silent("before the last byte", 0, 1 << 20));
-            all.add(new Silent("between two answers", 2, 0));
-            all.add(new Silent("in a later head", 1, 20));
-            all.add(new Silent("in a later body", 1, 150));
-            for (Silent one : all) {
-                one.check();
+            discoveries.add(new SilentDiscovery("before the first head", 0, 0));
+            discoveries.add(new SilentDiscovery("in the first head", 0, 20));
+            discoveries.add(new SilentDiscovery("in the first body", 0, 150));
+            discoveries.add(new SilentDiscovery("before the last byte", 0, 1 << 20));
+            discoveries.add(new SilentDiscovery("between two answers", 2, 0));
+            discoveries.add(new SilentDiscovery("in a later head", 1, 20));
+            discoveries.add(new SilentDiscovery("in a later body", 1, 150));
+            for (SilentDiscovery discovery : discoveries) {
+                discovery.check();
             }
         } finally {
             release.countDown();
-            for (Silent one : all) {
-                one.stop();
+            for (SilentDiscovery discovery : discoveries) {
+                discovery.stop();
             }
         }
     }
 
-    /**
-     * A connection that never comes up is no silent watch but a way that is down: it is tried again on a new one, and
-     * backs off.
-     */
+    /** A connection that cannot be established is no silent watch: it is retried with backoff. */
     @Test
-    public void aConnectionThatNeverComesUpIsTriedAgain() throws Exception {
-        List<Socket> crowd = new ArrayList<>();
+    public void failedConnectionIsRetried() throws Exception {
+        List<Socket> queue = new ArrayList<>();
         try (ScriptedServer discovery = ScriptedServer.silent(release);
                 ScriptedServer server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
                 ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             BalancerProcess balancer = new BalancerProcess(discovery, server);
             for (boolean more = true; more; ) {
-                Socket one = new Socket();
-                crowd.add(one);
+                Socket client = new Socket();
+                queue.add(client);
                 try {
-                    one.connect(new InetSocketAddress(full.getInetAddress(), full.getLocalPort()), 200);
+                    client.connect(new InetSocketAddress(full.getInetAddress(), full.getLocalPort()), 200);
                 } catch (SocketTimeoutException e) {
                     more = false;
                 }
@@ -150,7 +144,7 @@
                     balancer.config,
                     Files.readString(balancer.config).replace(discovery.address(), "127.0.0.1:" + full.getLocalPort()));
             balancer.signal("HUP");
-            await("given up twice", () -> balancer.counter("discovery_failures") >= 2);
+            await("two attempts have failed", () -> balancer.counter("discovery_failures") >= 2);
             assertEquals(0, balancer.counter("discovery_reopened"));
             assertEquals(200, balancer.send(session(ID, "view")).status());
             Files.writeString(
@@ -158,17 +152,17 @@
                     Files.readString(balancer.config).replace("127.0.0.1:" + full.getLocalPort(), discovery.address()));
             int before = discovery.requests.size();
             balancer.signal("HUP");
-            await("back", () -> discovery.requests.size() > before);
+            await("discovery is called again", () -> discovery.requests.size() > before);
             release.countDown();
             balancer.stop();
         } finally {
-            for (Socket one : crowd) {
-                one.close();
+            for (Socket client : queue) {
+                client.close();
             }
         }
     }
 
-    /** Where lists are pushed they come on a watch too, and what it has to tell counts from the first moment. */
+    /** With discovery mode {@code pushed} the lists arrive on a watch too, and the first response is applied. */
     @Test
     public void pushedListsAreWatchedFromTheStart() throws Exception {
         try (ScriptedServer server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
@@ -180,27 +174,27 @@
                 })) {
             BalancerProcess balancer = BalancerProcess.withEditedConfig(
                     c -> c.replace("on_request", "pushed").replace("\"ask_every\":1000000,", ""), discovery, server);
-            await("told", () -> balancer.log().contains("generation=2"));
-            await("still watched", () -> discovery.requests.size() == 2);
+            await("the list is applied", () -> balancer.log().contains("generation=2"));
+            await("the watch continues", () -> discovery.requests.size() == 2);
             for (Socket socket : discovery.connections) {
                 socket.close();
             }
-            await("watched again", () -> discovery.requests.size() == 3);
+            await("the watch is reopened", () -> discovery.requests.size() == 3);
             release.countDown();
             balancer.stop();
         }
     }
 
-    /** A discovery that answers at once with nothing, time and again, is not called without an end. */
+    /** A discovery service that responds at once without changes is called at a limited rate. */
     @Test
-    public void answersThatDoNotWaitMakeNoStorm() throws Exception {
+    public void immediateResponsesLimitTheCallRate() throws Exception {
         try (ScriptedServer server = new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
                 ScriptedServer discovery = new ScriptedServer(
                         r -> HttpMessage.response(200, "", "{\"generation\":1,\"reset\":false,\"instances\":[]}"))) {
             BalancerProcess balancer = new BalancerProcess(discovery, server);
-            long begun = System.nanoTime();
-            await("called again and again", () -> discovery.requests.size() >= 12);
-            assertTrue("each a tenth of a second after the last", System.nanoTime() - begun > 500_000_000L);
+            long startNanos = System.nanoTime();
+            await("12 calls", () -> discovery.requests.size() >= 12);
+            assertTrue("calls are at least 0.1 s apart", System.nanoTime() - startNanos > 500_000_000L);
             balancer.stop();
         }
     }
--- a/balancer/src/test/java/calicochute/process/SmallLimitsTest.java
+++ b/balancer/src/test/java/calicochute/process/SmallLimitsTest.java
@@ -13,20 +13,18 @@
 import java.util.regex.Pattern;
 import org.junit.Test;
 
-/**
- * Another customer's limits: few descriptors, a small memory and short deadlines, under the very flags that the deploy
- * file starts the balancer with.
- */
+/** Few descriptors and clients, with the JVM flags of the deploy file. */
 public class SmallLimitsTest extends SingleServerFixture {
     private static final int DESCRIPTORS = 256;
     private static final int CLIENTS = 60;
 
-    /** Without the archive and the place of the log's lines: both are of the built file, not of the flags' sizes. */
+    /** Returns the JVM flags without the class data archive and the log destination, which need the built files. */
     private static String flags() throws Exception {
-        Matcher run = Pattern.compile("(?m)^run = \"exec java (.*) -jar ")
+        Matcher runCommand = Pattern.compile("(?m)^run = \"exec java (.*) -jar ")
                 .matcher(Files.readString(Path.of("../deploy/balancer.toml")));
-        assertTrue(run.find());
-        return run.group(1)
+        assertTrue(runCommand.find());
+        return runCommand
+                .group(1)
                 .replaceAll("-XX:SharedArchiveFile=\\S+|-Xlog:\\S+", "")
                 .trim();
     }
@@ -40,23 +38,23 @@
                 server);
     }
 
-    /** Each client on a connection of its own, all open at once and held open; the second time on kept ones. */
+    /** Each client sends twice on a connection of its own; all connections are open at the same time. */
     @Test
-    public void theDeployedFlagsServeWithFewDescriptors() throws Exception {
+    public void deployedFlagsServeWithFewDescriptors() throws Exception {
         List<Socket> clients = new ArrayList<>();
         try {
             for (int i = 0; i < 2 * CLIENTS; i++) {
                 if (i < CLIENTS) {
-                    // Only now: a connection has its first request within 2.4 s, which those before it may take on a
-                    // loaded machine.
+                    // Opened just before its first request, which is due within 2.4 s; on a loaded machine the
+                    // earlier requests could take longer.
                     clients.add(balancer.connect());
                 }
                 clients.get(i % CLIENTS)
                         .getOutputStream()
                         .write(HttpMessage.encode(session(String.format("%016x", i + 1), "scan"), new byte[1000]));
-                HttpMessage answer = HttpMessage.read(clients.get(i % CLIENTS).getInputStream());
-                assertEquals(200, answer.status());
-                assertEquals("a map", new String(answer.body()));
+                HttpMessage response = HttpMessage.read(clients.get(i % CLIENTS).getInputStream());
+                assertEquals(200, response.status());
+                assertEquals("a map", new String(response.body()));
             }
         } finally {
             for (Socket client : clients) {
--- a/balancer/src/test/java/calicochute/process/SpareConnectionTest.java
+++ b/balancer/src/test/java/calicochute/process/SpareConnectionTest.java
@@ -7,22 +7,24 @@
 import java.net.Socket;
 import org.junit.Test;
 
-/** Connections opened ahead, as backend servers meet them. */
+/** Spare connections to backend servers, opened ahead of need. */
 public class SpareConnectionTest extends SingleServerFixture {
-    /** A connection rests for 5 ms after an answer; and the pause after a spare that failed is 20 s. */
-    private static final long RESTED_MS = 10;
+    /** A connection is not reused for 5 ms after a response; this is longer. */
+    private static final long REUSE_DELAY_MS = 10;
 
+    /** No spare is opened for 20 s after one has failed; this is shorter. */
     private static final long WITHIN_PAUSE_MS = 15_000;
-    private int ids;
+
+    private int sessionNumber;
 
     /**
-     * Pairs of sessions, the second right behind the first, until that meets the connection still at rest and waits:
-     * which opens a spare. None follows then: what becomes of the spare is up to its server alone.
+     * Sends pairs of sessions back to back until the second of a pair waits because the connection may not be reused
+     * yet, which opens a spare. No session follows, so that only the server decides what becomes of the spare.
      */
-    private void sessionsUntilOneWaits() throws Exception {
+    private void sendUntilOneWaits() throws Exception {
         await("a dispatch that waits", () -> {
-            // Not sooner: whatever came before has rested by then, so that the first of the two does not wait.
-            Thread.sleep(RESTED_MS);
+            // After this delay the connection may be reused, so that the first of the pair does not wait.
+            Thread.sleep(REUSE_DELAY_MS);
             try (Socket client = balancer.connect()) {
                 serve(client);
                 serve(client);
@@ -33,13 +35,14 @@
     }
 
     private void serve(Socket client) throws Exception {
-        client.getOutputStream().write(HttpMessage.encode(session(String.format("%016x", ++ids), "view"), new byte[0]));
+        client.getOutputStream()
+                .write(HttpMessage.encode(session(String.format("%016x", ++sessionNumber), "view"), new byte[0]));
         assertEquals(200, HttpMessage.read(client.getInputStream()).status());
     }
 
     @Test
-    public void aWaitOpensASpareThatLaterSessionsUse() throws Exception {
-        sessionsUntilOneWaits();
+    public void waitingSessionOpensSpare() throws Exception {
+        sendUntilOneWaits();
         await("a spare", () -> server.connections.size() >= 2);
         try (Socket client = balancer.connect()) {
             for (int i = 0; i < 20; i++) {
@@ -47,35 +50,35 @@
             }
         }
         assertEquals(0, balancer.counter("spares_failed"));
-        // Nothing was sent twice: a request for each session.
+        // One request per session: none was sent twice.
         assertEquals(
-                ids,
+                sessionNumber,
                 server.requests.stream()
                         .filter(r -> r.firstLine().contains("/api"))
                         .count());
     }
 
     /**
-     * Guards against a server that takes one connection only: the end of a spare must not count as that of a kept
-     * connection (after which none is kept for 20 s), and no spare follows another into the same refusal. The spare
-     * ends unused here; ImmediateCloseTest has the order in which a call went out on it first.
+     * A server that accepts only one connection: the close of a spare must not count as the close of an idle
+     * connection, after which no connection would be reused for 20 s, and no other spare may be opened at once. The
+     * spare is closed unused here; ImmediateCloseTest covers a spare that is closed after a request was sent on it.
      */
     @Test
-    public void aServerThatRefusesSparesIsServedOverWhatItTakes() throws Exception {
+    public void refusedSpareDoesNotAffectPool() throws Exception {
         server.maxConnections = 1;
-        sessionsUntilOneWaits();
-        long since = System.nanoTime();
-        await("a failed spare", () -> balancer.counter("spares_failed") == 1);
-        for (int i = 0; i < 30 && System.nanoTime() - since < WITHIN_PAUSE_MS * 1_000_000; i++) {
+        sendUntilOneWaits();
+        long startNanos = System.nanoTime();
+        await("the spare has failed", () -> balancer.counter("spares_failed") == 1);
+        for (int i = 0; i < 30 && System.nanoTime() - startNanos < WITHIN_PAUSE_MS * 1_000_000; i++) {
             assertEquals(
                     200,
-                    balancer.send(session(String.format("%016x", ++ids), "order"))
+                    balancer.send(session(String.format("%016x", ++sessionNumber), "order"))
                             .status());
         }
         assertEquals(1, balancer.counter("spares_opened"));
         assertEquals(0, balancer.counter("connections_ended_early"));
         assertEquals(
-                ids,
+                sessionNumber,
                 server.requests.stream()
                         .filter(r -> r.firstLine().contains("/api"))
                         .count());
--- a/balancer/src/test/java/calicochute/process/StreamedBodiesTest.java
+++ b/balancer/src/test/java/calicochute/process/StreamedBodiesTest.java
@@ -24,9 +24,13 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 
-/** Messages longer than what is kept whole, and messages cut at any point. */
+/**
+ * Bodies that are too long to be buffered and are forwarded in pieces, and messages that are split or truncated at any
+ * point.
+ */
 public class StreamedBodiesTest extends SingleServerFixture {
-    private static final int LONG = 3_000_000;
+    /** Length of a body that is forwarded in pieces. */
+    private static final int LONG_BODY_BYTES = 3_000_000;
 
     @Override
     BalancerProcess startBalancer() throws Exception {
@@ -40,25 +44,25 @@
     }
 
     private static byte[] chunked(String head, byte[] body, int size) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes((head + "Transfer-Encoding: chunked\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
-        for (int at = 0; at < body.length; at += size) {
-            int length = Math.min(size, body.length - at);
-            out.writeBytes((Integer.toHexString(length) + ";ext=\"a b\"\r\n").getBytes(StandardCharsets.ISO_8859_1));
-            out.write(body, at, length);
-            out.writeBytes("\r\n".getBytes(StandardCharsets.ISO_8859_1));
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        output.writeBytes((head + "Transfer-Encoding: chunked\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
+        for (int start = 0; start < body.length; start += size) {
+            int length = Math.min(size, body.length - start);
+            output.writeBytes((Integer.toHexString(length) + ";ext=\"a b\"\r\n").getBytes(StandardCharsets.ISO_8859_1));
+            output.write(body, start, length);
+            output.writeBytes("\r\n".getBytes(StandardCharsets.ISO_8859_1));
         }
-        out.writeBytes("0\r\nX-Trailer: t\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
-        return out.toByteArray();
+        output.writeBytes("0\r\nX-Trailer: t\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
+        return output.toByteArray();
     }
 
     @Test
     public void longMessagesPassUnchanged() throws Exception {
-        byte[] body = random(LONG);
+        byte[] body = random(LONG_BODY_BYTES);
         server.script = r -> HttpMessage.encode("HTTP/1.1 200 OK\r\n", r.body());
-        HttpMessage answer = balancer.send(session(ID, "scan"), body);
-        assertEquals(200, answer.status());
-        assertArrayEquals(body, answer.body());
+        HttpMessage response = balancer.send(session(ID, "scan"), body);
+        assertEquals(200, response.status());
+        assertArrayEquals(body, response.body());
         assertArrayEquals(body, server.requests.get(0).body());
         server.script = r -> chunked("HTTP/1.1 200 OK\r\n", r.body(), 7001);
         try (Socket socket = balancer.connect()) {
@@ -66,7 +70,7 @@
             assertArrayEquals(body, HttpMessage.read(socket.getInputStream()).body());
             socket.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[3]));
             assertEquals(
-                    "the connection goes on",
+                    "the connection stays open",
                     3,
                     HttpMessage.read(socket.getInputStream()).body().length);
         }
@@ -75,9 +79,12 @@
         assertEquals(3, balancer.stat("upstream_requests"));
     }
 
-    /** Cut at every byte, with chunks, extensions, a trailer and empty lines ahead: the same session. */
+    /**
+     * A request sent byte by byte, with an empty line ahead, chunk extensions and a trailer, is parsed like one sent at
+     * once.
+     */
     @Test
-    public void aRequestCutAtEveryByteIsTheSame() throws Exception {
+    public void requestSentByteByByteIsForwarded() throws Exception {
         byte[] body = random(40);
         try (Socket socket = balancer.connect()) {
             socket.setTcpNoDelay(true);
@@ -92,27 +99,27 @@
     }
 
     /**
-     * An answer without a length ends with the connection's end, and not with its reset, however much has come before
-     * that.
+     * A response without a length is complete when its connection is closed, but not when it is reset, whatever its
+     * length.
      */
     @Test
-    public void aResetIsNoEndOfAnAnswerWithoutALength() throws Exception {
-        BlockingQueue<Socket> called = new LinkedBlockingQueue<>();
+    public void resetDoesNotCompleteResponseWithoutLength() throws Exception {
+        BlockingQueue<Socket> requested = new LinkedBlockingQueue<>();
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            // Which of its connections the balancer calls on is its own affair.
-            CompletableFuture.runAsync(() -> acceptAll(listener, called), task -> new Thread(task).start());
+            // The balancer may open several connections and use any of them.
+            CompletableFuture.runAsync(() -> acceptAll(listener, requested), task -> new Thread(task).start());
             balancer.stop();
             balancer = BalancerProcess.withAdminAndBackend(discovery, "127.0.0.1:" + listener.getLocalPort());
             for (int bytes : new int[] {1000, 100_000}) {
                 for (boolean reset : new boolean[] {false, true}) {
-                    checkUntoldLength(called, bytes, reset, false);
-                    checkUntoldLength(called, bytes, reset, true);
+                    checkWithoutLength(requested, bytes, reset, false);
+                    checkWithoutLength(requested, bytes, reset, true);
                 }
             }
         }
     }
 
-    private static void acceptAll(ServerSocket listener, BlockingQueue<Socket> called) {
+    private static void acceptAll(ServerSocket listener, BlockingQueue<Socket> requested) {
         try {
             while (true) {
                 Socket socket = listener.accept();
@@ -120,10 +127,10 @@
                         () -> {
                             try {
                                 if (HttpMessage.read(socket.getInputStream()) != null) {
-                                    called.add(socket);
+                                    requested.add(socket);
                                 }
                             } catch (IOException e) {
-                                // The balancer ended it.
+                                // The balancer closed the connection.
                             }
                         },
                         task -> new Thread(task).start());
@@ -133,94 +140,96 @@
         }
     }
 
-    private void checkUntoldLength(BlockingQueue<Socket> called, int bytes, boolean reset, boolean together)
+    private void checkWithoutLength(BlockingQueue<Socket> requested, int bytes, boolean reset, boolean atOnce)
             throws Exception {
         try (Socket client = balancer.connect()) {
             client.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
-            Socket socket = called.poll(30, TimeUnit.SECONDS);
-            byte[] answer = Arrays.copyOf("HTTP/1.1 200 OK\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1), 19 + bytes);
-            socket.getOutputStream().write(answer, 0, answer.length - 1);
-            boolean begun = !together && bytes > 50_000;
-            if (begun) {
-                assertEquals(200, head(client.getInputStream()));
+            Socket socket = requested.poll(30, TimeUnit.SECONDS);
+            byte[] response =
+                    Arrays.copyOf("HTTP/1.1 200 OK\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1), 19 + bytes);
+            socket.getOutputStream().write(response, 0, response.length - 1);
+            boolean forwarding = !atOnce && bytes > 50_000;
+            if (forwarding) {
+                assertEquals(200, readHead(client.getInputStream()));
             }
-            socket.getOutputStream().write(answer, answer.length - 1, 1);
+            socket.getOutputStream().write(response, response.length - 1, 1);
             socket.setSoLinger(reset, 0);
             socket.close();
-            String what = bytes + " bytes, reset " + reset + ", together " + together;
-            if (begun) {
+            String what = bytes + " bytes, reset " + reset + ", at once " + atOnce;
+            if (forwarding) {
                 String rest = new String(client.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
                 assertEquals(what, !reset, rest.endsWith("\r\n0\r\n\r\n"));
             } else {
-                assertEquals(what, !reset, wholeFrom(client.getInputStream(), bytes));
+                assertEquals(what, !reset, isComplete(client.getInputStream(), bytes));
             }
         }
-        await("over", () -> balancer.stat("pending") == 0);
+        await("nothing is pending", () -> balancer.stat("pending") == 0);
     }
 
-    private static int head(InputStream in) throws IOException {
+    private static int readHead(InputStream input) throws IOException {
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
-            head.append((char) in.read());
+            head.append((char) input.read());
         }
         return new HttpMessage(head.toString(), null).status();
     }
 
-    private static boolean wholeFrom(InputStream in, int bytes) {
+    private static boolean isComplete(InputStream input, int bytes) {
         try {
-            HttpMessage answer = HttpMessage.read(in);
-            return answer != null && answer.status() == 200 && answer.body().length == bytes;
+            HttpMessage response = HttpMessage.read(input);
+            return response != null && response.status() == 200 && response.body().length == bytes;
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** A long answer's first bytes are with the client before the server has given the last. */
+    /** The first bytes of a long response reach the client before the server has sent the last. */
     @Test
-    public void theFirstPiecesAreNotHeldBack() throws Exception {
+    public void longResponseIsForwardedWhileReceived() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            Socket client = restartBefore(listener);
+            Socket client = restartWithServer(listener);
             try (client;
                     Socket socket = listener.accept()) {
                 HttpMessage.read(socket.getInputStream());
                 socket.getOutputStream()
-                        .write(("HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n")
+                        .write(("HTTP/1.1 200 OK\r\nContent-Length: " + LONG_BODY_BYTES + "\r\n\r\n")
                                 .getBytes(StandardCharsets.ISO_8859_1));
                 socket.getOutputStream().write(new byte[1000]);
-                InputStream in = client.getInputStream();
-                byte[] first = in.readNBytes(1000);
+                InputStream input = client.getInputStream();
+                byte[] first = input.readNBytes(1000);
                 assertEquals(1000, first.length);
-                assertEquals("not ended before its last byte", 1, balancer.stat("pending"));
-                // What there is is passed on, and the end can be seen to be none.
+                assertEquals("pending until the last byte", 1, balancer.stat("pending"));
+                // A truncated response is forwarded as far as it was received, and the client can tell that it is
+                // incomplete.
                 socket.getOutputStream().write(new byte[5000]);
                 socket.getOutputStream().flush();
                 socket.shutdownOutput();
-                int rest = in.readAllBytes().length;
-                assertTrue("rest " + rest, rest > 4500 && rest < LONG - 1000);
+                int rest = input.readAllBytes().length;
+                assertTrue("rest " + rest, rest > 4500 && rest < LONG_BODY_BYTES - 1000);
             }
         }
-        await("it has failed", () -> balancer.stat("failed.view") == 1);
+        await("the session has failed", () -> balancer.stat("failed.view") == 1);
         assertEquals(0, balancer.stat("pending"));
     }
 
     /**
-     * A server that hangs in the midst of a long answer: a planned stop cuts it, where the client can tell, and leaves
-     * it to no kill.
+     * A server that hangs in the middle of a long response: on SIGTERM the balancer truncates the response so that the
+     * client can tell, and exits before SIGKILL.
      */
     @Test
-    public void aStopEndsAnAnswerThatHangs() throws Exception {
+    public void stopTruncatesHangingResponse() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            Socket client = restartBefore(listener);
+            Socket client = restartWithServer(listener);
             try (client;
                     Socket socket = listener.accept()) {
                 HttpMessage.read(socket.getInputStream());
                 socket.getOutputStream()
-                        .write(("HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n")
+                        .write(("HTTP/1.1 200 OK\r\nContent-Length: " + LONG_BODY_BYTES + "\r\n\r\n")
                                 .getBytes(StandardCharsets.ISO_8859_1));
                 socket.getOutputStream().write(new byte[1000]);
                 assertEquals(1000, client.getInputStream().readNBytes(1000).length);
                 balancer.process.destroy();
-                assertTrue(client.getInputStream().readAllBytes().length < LONG);
+                assertTrue(client.getInputStream().readAllBytes().length < LONG_BODY_BYTES);
             }
         }
         assertTrue(balancer.process.waitFor(30, TimeUnit.SECONDS));
@@ -232,11 +241,12 @@
     }
 
     /**
-     * A client that reads its long answer slowly, or not at all: a planned stop cuts it as well, and ends by itself.
+     * A client that reads its long response slowly or not at all: on SIGTERM the balancer truncates the response too,
+     * and exits by itself.
      */
     @Test
-    public void aStopEndsAnAnswerThatIsNotTaken() throws Exception {
-        // Many times what the systems' buffers take.
+    public void stopTruncatesUnreadResponse() throws Exception {
+        // Many times the size of the socket buffers.
         byte[] body = random(30_000_000);
         server.script = r -> r.firstLine().contains("untold")
                 ? ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(body.length) + "\r\n"
@@ -244,15 +254,15 @@
                         .getBytes(StandardCharsets.ISO_8859_1)
                 : HttpMessage.encode("HTTP/1.1 200 OK\r\n", body);
         try (Socket slow = balancer.connect();
-                Socket untold = balancer.connect()) {
+                Socket unread = balancer.connect()) {
             slow.getOutputStream().write(HttpMessage.encode(session(ID, "view"), new byte[0]));
-            untold.getOutputStream()
+            unread.getOutputStream()
                     .write(HttpMessage.encode(
                             session(ID.replace('9', '7'), "view").replace("/api", "/untold"), new byte[0]));
-            await("both have begun", () -> balancer.counter("answers_in_pieces") == 2);
+            await("both responses are being forwarded", () -> balancer.counter("answers_in_pieces") == 2);
             balancer.process.destroy();
-            await("drains", () -> balancer.log().contains("draining"));
-            // Slowly: a byte now and then, until there is an end to the process.
+            await("draining", () -> balancer.log().contains("draining"));
+            // Reads single bytes until the process exits.
             while (!balancer.process.waitFor(20, TimeUnit.MILLISECONDS)) {
                 assertTrue(slow.getInputStream().read() >= 0);
             }
@@ -262,14 +272,18 @@
                     balancer.log().contains("sessions_ended_by_stop 2")
                             && balancer.log().contains("sessions_failed 2"));
             assertEquals(0, balancer.process.exitValue());
-            assertTrue("cut where the client can tell", slow.getInputStream().readAllBytes().length < body.length);
-            String got = new String(untold.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
-            assertTrue("cut where the client can tell", got.length() < body.length && !got.endsWith("\r\n0\r\n\r\n"));
+            assertTrue(
+                    "truncated so that the client can tell",
+                    slow.getInputStream().readAllBytes().length < body.length);
+            String got = new String(unread.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+            assertTrue(
+                    "truncated so that the client can tell",
+                    got.length() < body.length && !got.endsWith("\r\n0\r\n\r\n"));
         }
     }
 
-    /** A balancer whose one server listens there; a session of it is on its way when this returns. */
-    private Socket restartBefore(ServerSocket listener) throws Exception {
+    /** Restarts the balancer with {@code listener} as its only backend server, and sends a session. */
+    private Socket restartWithServer(ServerSocket listener) throws Exception {
         balancer.stop();
         balancer = BalancerProcess.withAdminAndBackend(discovery, "127.0.0.1:" + listener.getLocalPort());
         Socket client = balancer.connect();
@@ -277,51 +291,58 @@
         return client;
     }
 
-    /** A client that goes away in the middle of its body has run nothing: the server never gets the last byte. */
+    /**
+     * A client that disconnects in the middle of its body: the server never gets the last byte, so the request has not
+     * run.
+     */
     @Test
-    public void aClientThatGoesAwayHasRunNothing() throws Exception {
+    public void truncatedUploadIsNotCompleted() throws Exception {
         try (Socket socket = balancer.connect()) {
             socket.getOutputStream()
-                    .write((session(ID, "order") + "Content-Length: " + LONG + "\r\n\r\n")
+                    .write((session(ID, "order") + "Content-Length: " + LONG_BODY_BYTES + "\r\n\r\n")
                             .getBytes(StandardCharsets.ISO_8859_1));
-            socket.getOutputStream().write(new byte[LONG - 1]);
+            socket.getOutputStream().write(new byte[LONG_BODY_BYTES - 1]);
         }
-        await("the dispatch has ended", () -> balancer.counter("dispatches_cancelled") == 1);
+        await("the dispatch is cancelled", () -> balancer.counter("dispatches_cancelled") == 1);
         await("nothing is pending", () -> balancer.stat("pending") == 0);
         assertEquals(0, server.requests.size());
         assertEquals(0, balancer.stat("upstream_requests"));
     }
 
     /**
-     * A server that breaks off before the last byte has run nothing, but what it was given is gone: a deny, and the
-     * client gets to read it though it still writes.
+     * A server that resets the connection before the last byte of the request has not run it, but the forwarded part
+     * cannot be sent again: the session is denied, and the client can read the response while it still writes.
      */
     @Test
-    public void aBrokenUploadIsADeny() throws Exception {
+    public void resetDuringUploadIsADeny() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            Socket first = restartBefore(listener);
+            Socket first = restartWithServer(listener);
             try (first;
                     Socket socket = listener.accept();
                     Socket client = balancer.connect()) {
                 HttpMessage.read(socket.getInputStream());
                 client.getOutputStream()
-                        .write((session(ID.replace('9', '7'), "order") + "Content-Length: " + LONG + "\r\n\r\n")
+                        .write((session(ID.replace('9', '7'), "order") + "Content-Length: " + LONG_BODY_BYTES
+                                        + "\r\n\r\n")
                                 .getBytes(StandardCharsets.ISO_8859_1));
                 client.getOutputStream().write(new byte[200_000]);
                 Socket upload = listener.accept();
                 assertTrue(upload.getInputStream().readNBytes(100_000).length == 100_000);
                 upload.setSoLinger(true, 0);
                 upload.close();
-                await("denied at once", () -> balancer.stat("rejected.order") == 1);
-                client.getOutputStream().write(new byte[LONG - 200_000]);
-                HttpMessage answer = HttpMessage.read(client.getInputStream());
-                assertEquals(503, answer.status());
-                assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
+                await("denied", () -> balancer.stat("rejected.order") == 1);
+                client.getOutputStream().write(new byte[LONG_BODY_BYTES - 200_000]);
+                HttpMessage response = HttpMessage.read(client.getInputStream());
+                assertEquals(503, response.status());
+                assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
             }
         }
     }
 
-    /** Long answers that nobody reads, many times the heap together: they wait at their servers, and all come whole. */
+    /**
+     * Unread long responses, together many times the heap: the balancer stops reading from the servers, and each
+     * response arrives complete once it is read.
+     */
     @Test
     public void memoryIsBounded() throws Exception {
         balancer.stop();
@@ -334,10 +355,10 @@
             client.getOutputStream().write(HttpMessage.encode(session(String.format("%016x", i), "view"), new byte[0]));
             clients.add(client);
         }
-        await("all have begun", () -> balancer.counter("answers_in_pieces") == clients.size());
-        List<CompletableFuture<Boolean>> whole = new ArrayList<>();
+        await("all responses are being forwarded", () -> balancer.counter("answers_in_pieces") == clients.size());
+        List<CompletableFuture<Boolean>> results = new ArrayList<>();
         for (Socket client : clients) {
-            whole.add(CompletableFuture.supplyAsync(() -> {
+            results.add(CompletableFuture.supplyAsync(() -> {
                 try (client) {
                     return Arrays.equals(
                             body, HttpMessage.read(client.getInputStream()).body());
@@ -346,23 +367,23 @@
                 }
             }));
         }
-        for (CompletableFuture<Boolean> one : whole) {
-            assertTrue(one.get(60, TimeUnit.SECONDS));
+        for (CompletableFuture<Boolean> result : results) {
+            assertTrue(result.get(60, TimeUnit.SECONDS));
         }
         assertTrue(balancer.log(), !balancer.log().contains("OutOfMemory"));
     }
 
-    /** A client that stops in the middle of its body is not waited for, and what it had begun is taken back. */
+    /** A client that stalls in the middle of its body is closed, and its dispatch is cancelled. */
     @Test
-    public void aBodyThatStandsStillIsEnded() throws Exception {
+    public void stalledUploadIsClosed() throws Exception {
         try (Socket socket = balancer.connect()) {
-            OutputStream out = socket.getOutputStream();
-            out.write((session(ID, "order") + "Content-Length: " + LONG + "\r\n\r\n")
+            OutputStream output = socket.getOutputStream();
+            output.write((session(ID, "order") + "Content-Length: " + LONG_BODY_BYTES + "\r\n\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1));
-            out.write(new byte[200_000]);
+            output.write(new byte[200_000]);
             assertTrue(BalancerProcess.awaitEnd(socket));
         }
-        await("the dispatch has ended", () -> balancer.counter("dispatches_cancelled") == 1);
+        await("the dispatch is cancelled", () -> balancer.counter("dispatches_cancelled") == 1);
         assertEquals(0, server.requests.size());
         assertEquals(1, balancer.counter("clients_closed_slow"));
     }
--- a/balancer/src/test/java/calicochute/process/UpgradeTest.java
+++ b/balancer/src/test/java/calicochute/process/UpgradeTest.java
@@ -16,13 +16,13 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** A new version beside the old one, on a listening socket that the supervisor holds. */
+/** Two balancer processes, the old and the new version, share a listening socket that the supervisor holds. */
 public class UpgradeTest {
     private final CountDownLatch release = new CountDownLatch(1);
     private ScriptedServer discovery;
     private ScriptedServer server;
     private Supervisor supervisor;
-    private int sent;
+    private int sessionNumber;
 
     @Before
     public void start() throws Exception {
@@ -40,16 +40,17 @@
     }
 
     private String view() {
-        return session(String.format("%016x", ++sent), "view");
+        return session(String.format("%016x", ++sessionNumber), "view");
     }
 
     /**
-     * What the old one has taken it answers; a kept connection ends with an answer; the new one takes all that is new.
+     * The old process answers its accepted sessions and closes persistent connections with a response; the new process
+     * accepts all new connections.
      */
     @Test
-    public void nothingIsLostWhenTheNewOneTakesOver() throws Exception {
+    public void noSessionIsLostDuringUpgrade() throws Exception {
         int old = supervisor.start(freePort(), discovery, server);
-        CountDownLatch answer = new CountDownLatch(1);
+        CountDownLatch respond = new CountDownLatch(1);
         try (Socket kept = supervisor.connect();
                 Socket idle = supervisor.connect();
                 Socket open = supervisor.connect()) {
@@ -58,14 +59,14 @@
                 assertEquals(200, HttpMessage.read(socket.getInputStream()).status());
             }
             server.script = r -> {
-                answer.await();
+                respond.await();
                 return HttpMessage.response(200, "", "late");
             };
             open.getOutputStream().write(HttpMessage.encode(view(), new byte[0]));
-            await("it is with the server", () -> server.requests.size() == 3);
+            await("dispatched", () -> server.requests.size() == 3);
             int next = supervisor.start(freePort(), discovery, server);
             supervisor.signal(old, "TERM");
-            await("the old one leaves", () -> supervisor.log(old).contains("draining"));
+            await("the old process drains", () -> supervisor.log(old).contains("draining"));
             assertTrue(supervisor.log(old), supervisor.log(old).contains("accompanied=true"));
             server.script = r -> HttpMessage.response(200, "", "a map");
             kept.getOutputStream().write(HttpMessage.encode(view(), new byte[0]));
@@ -77,9 +78,9 @@
             }
             assertTrue(BalancerProcess.awaitEnd(idle));
             assertFalse(supervisor.hasExited(old));
-            answer.countDown();
+            respond.countDown();
             assertEquals(200, HttpMessage.read(open.getInputStream()).status());
-            await("the old one ends", () -> supervisor.hasExited(old));
+            await("the old process has exited", () -> supervisor.hasExited(old));
             assertTrue(supervisor.log(old), supervisor.log(old).contains("drained unanswered=0"));
             assertEquals(200, supervisor.send(view()).status());
             assertFalse(supervisor.hasExited(next));
@@ -87,10 +88,11 @@
     }
 
     /**
-     * A ban outlives the process that heard it, is lifted by a call to the other one, and a torn file changes nothing.
+     * A cordon survives the process that received it, is lifted by a call to the other process, and is not affected by
+     * a truncated file.
      */
     @Test
-    public void aBanHoldsAcrossAnUpgrade() throws Exception {
+    public void cordonSurvivesUpgrade() throws Exception {
         int oldAdmin = freePort();
         int newAdmin = freePort();
         int old = supervisor.start(oldAdmin, discovery, server);
@@ -100,7 +102,7 @@
                         .status());
         supervisor.start(newAdmin, discovery, server);
         supervisor.signal(old, "KILL");
-        await("the old one is gone", () -> supervisor.hasExited(old));
+        await("the old process has exited", () -> supervisor.hasExited(old));
         assertEquals(503, supervisor.send(view().replace(": 8000", ": 300")).status());
         assertEquals(0, server.requests.size());
         Files.writeString(supervisor.sharedFolder().resolve("calicochute-n0.out"), "{\"version\":1,\"out\":[{");
@@ -112,38 +114,39 @@
         assertEquals(200, supervisor.send(view()).status());
     }
 
-    /** While both live each hears of a call to the other. */
+    /** While both processes run, each applies the cordon calls that the other receives. */
     @Test
-    public void bothProcessesHearACall() throws Exception {
-        int one = freePort();
-        int two = freePort();
-        supervisor.start(one, discovery, server);
-        supervisor.start(two, discovery, server);
+    public void bothProcessesApplyACall() throws Exception {
+        int firstAdminPort = freePort();
+        int secondAdminPort = freePort();
+        supervisor.start(firstAdminPort, discovery, server);
+        supervisor.start(secondAdminPort, discovery, server);
         assertEquals(
                 200,
-                BalancerProcess.callAdmin(two, "POST cordon", hostBody(server)).status());
-        await("the first one has heard", () -> unavailable(one) == 1);
+                BalancerProcess.callAdmin(secondAdminPort, "POST cordon", hostBody(server))
+                        .status());
+        await("the first process has applied the cordon", () -> unavailable(firstAdminPort) == 1);
         assertEquals(
                 200,
-                BalancerProcess.callAdmin(one, "POST uncordon", hostBody(server))
+                BalancerProcess.callAdmin(firstAdminPort, "POST uncordon", hostBody(server))
                         .status());
-        await("the second one has heard", () -> unavailable(two) == 0);
+        await("the second process has applied the uncordon", () -> unavailable(secondAdminPort) == 0);
     }
 
-    /** The newcomer knows what the old one has learnt; what no module can have learnt is not taken. */
+    /** The new process loads the learned state of the old one; an impossible value in the file is rejected. */
     @Test
-    public void whatWasLearntGoesOver() throws Exception {
+    public void learnedStateIsTransferred() throws Exception {
         supervisor.start(freePort(), discovery, server);
         assertEquals(200, supervisor.send(view()).status());
         await(
-                "it has noted an answer",
+                "the learned state contains a response",
                 () -> Files.readString(supervisor.sharedFolder().resolve("calicochute-n0.learnt"))
                         .contains("\"answers\":1"));
         int next = supervisor.start(freePort(), discovery, server);
         assertTrue(supervisor.log(next), supervisor.log(next).contains("recalled"));
         supervisor.signal(0, "KILL");
         supervisor.signal(next, "KILL");
-        await("both are gone", () -> supervisor.hasExited(0) && supervisor.hasExited(next));
+        await("both processes have exited", () -> supervisor.hasExited(0) && supervisor.hasExited(next));
         Path file = supervisor.sharedFolder().resolve("calicochute-n0.learnt");
         Files.writeString(file, Files.readString(file).replaceFirst("\"typical\":[^,]*", "\"typical\":-1"));
         int third = supervisor.start(freePort(), discovery, server);
@@ -152,23 +155,25 @@
     }
 
     /**
-     * A class of the same name that may not run twice any more is another class: what was learnt of it and around it is
-     * not taken.
+     * Learned state is not loaded if the effect of a class differs, since statistics of a repeatable class do not apply
+     * to one that must not run twice.
      */
     @Test
-    public void whatWasLearntUnderOtherEffectsStaysBehind() throws Exception {
+    public void learnedStateOfOtherEffectsIsRejected() throws Exception {
         supervisor.start(freePort(), discovery, server);
-        await("it has noted", () -> Files.exists(supervisor.sharedFolder().resolve("calicochute-n0.learnt")));
+        await(
+                "the learned state is written",
+                () -> Files.exists(supervisor.sharedFolder().resolve("calicochute-n0.learnt")));
         int next = supervisor.start(
-                text -> text.replace("\"effect\":\"repeatable\"", "\"effect\":\"once\""),
+                config -> config.replace("\"effect\":\"repeatable\"", "\"effect\":\"once\""),
                 freePort(),
                 discovery,
                 server);
         assertTrue(supervisor.log(next), supervisor.log(next).contains("learnt-foreign"));
         assertFalse(supervisor.log(next), supervisor.log(next).contains("recalled"));
-        // Both accept at the one socket, and the first one still takes the class for what it was.
+        // Both processes accept on the shared socket, and the first still has the old effect.
         supervisor.signal(0, "KILL");
-        await("the first is gone", () -> supervisor.hasExited(0));
+        await("the first process has exited", () -> supervisor.hasExited(0));
         assertEquals(200, supervisor.send(view().replace("GET", "POST")).status());
     }
 
