--- a/balancer/src/test/java/calicochute/process/AdminTest.java
+++ b/balancer/src/test/java/calicochute/process/AdminTest.java
@@ -132,7 +132,7 @@
         int before = server.requests.size();
         assertEquals(
                 503,
-                balancer.send(BalancerProcess.session(ID, "view").replace(": 8000", ": 300"))
+                balancer.send(BalancerProcess.session(SESSION_ID, "view").replace(": 8000", ": 300"))
                         .status());
         assertEquals(1, balancer.stat("members_unavailable"));
         assertEquals(1, balancer.stat("members"));
@@ -165,7 +165,7 @@
         await("the full list is applied", () -> balancer.log().contains("generation=2 whole=true"));
         assertEquals(
                 503,
-                balancer.send(BalancerProcess.session(ID, "view").replace(": 8000", ": 300"))
+                balancer.send(BalancerProcess.session(SESSION_ID, "view").replace(": 8000", ": 300"))
                         .status());
         assertEquals(0, server.requests.size());
         assertEquals(200, callAdmin("POST uncordon", hostBody(server)));
--- a/balancer/src/test/java/calicochute/process/BackendConnectionFaultTest.java
+++ b/balancer/src/test/java/calicochute/process/BackendConnectionFaultTest.java
@@ -23,8 +23,8 @@
  * stays open.
  */
 public class BackendConnectionFaultTest {
-    private static final String GOOD = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na map";
-    private final AtomicInteger ids = new AtomicInteger(0x100);
+    private static final String VALID_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na map";
+    private final AtomicInteger sessionNumber = new AtomicInteger(0x100);
     private final List<Socket> accepted = new CopyOnWriteArrayList<>();
     private final Semaphore pendingUpdates = new Semaphore(0);
     private volatile int generation = 1;
@@ -92,7 +92,7 @@
                     BalancerProcess.discoveryList(generation, "Ready", addresses())
                             .replace("startedAtMs\":0", "startedAtMs\":" + generation));
         });
-        healthy = new ScriptedServer(r -> GOOD.getBytes(StandardCharsets.US_ASCII));
+        healthy = new ScriptedServer(r -> VALID_RESPONSE.getBytes(StandardCharsets.US_ASCII));
         faulty = new FaultyServer();
         balancer = BalancerProcess.withBackends(discovery, addresses());
     }
@@ -111,7 +111,7 @@
 
     private HttpMessage send(String lane, int waitMs) throws Exception {
         return balancer.send(
-                session(String.format("%016x", ids.incrementAndGet()), lane)
+                session(String.format("%016x", sessionNumber.incrementAndGet()), lane)
                         .replace("X-Remaining-Ms: 8000", "X-Remaining-Ms: " + waitMs),
                 lane.equals("view") ? new byte[0] : new byte[1]);
     }
@@ -191,7 +191,7 @@
     @Test
     public void resetInResponseBody() throws Exception {
         checkEach("reset", socket -> {
-            write(socket, GOOD.substring(0, GOOD.length() - 2));
+            write(socket, VALID_RESPONSE.substring(0, VALID_RESPONSE.length() - 2));
             reset(socket);
         });
     }
@@ -199,7 +199,7 @@
     @Test
     public void halfClosedInResponseBody() throws Exception {
         checkEach("reset", socket -> {
-            write(socket, GOOD.substring(0, GOOD.length() - 2));
+            write(socket, VALID_RESPONSE.substring(0, VALID_RESPONSE.length() - 2));
             socket.shutdownOutput();
         });
     }
@@ -243,7 +243,7 @@
     @Test
     public void closedRightAfterResponse() throws Exception {
         faulty.handler = socket -> {
-            write(socket, GOOD);
+            write(socket, VALID_RESPONSE);
             socket.close();
         };
         for (int i = 0; i < 5; i++) {
@@ -255,7 +255,7 @@
     /** The server resets an idle connection in the pool: the next session gets another connection and does not fail. */
     @Test
     public void resetWhileIdle() throws Exception {
-        faulty.handler = socket -> write(socket, GOOD);
+        faulty.handler = socket -> write(socket, VALID_RESPONSE);
         assertEquals(200, statusAtFaultyServer("order", 8000));
         for (Socket socket : accepted) {
             reset(socket);
--- a/balancer/src/test/java/calicochute/process/BadClientTest.java
+++ b/balancer/src/test/java/calicochute/process/BadClientTest.java
@@ -18,8 +18,8 @@
 /** Clients that send malformed requests, too much, too slowly or nothing. */
 public class BadClientTest extends SingleServerFixture {
     private static final int DESCRIPTORS = 100;
-    private static final String VIEW = session(ID, "view");
-    private static final String SCAN = session(ID, "scan");
+    private static final String VIEW = session(SESSION_ID, "view");
+    private static final String SCAN = session(SESSION_ID, "scan");
 
     @Override
     BalancerProcess startBalancer() throws Exception {
@@ -30,7 +30,9 @@
     @After
     public void nextClientIsServed() throws Exception {
         int before = server.requests.size();
-        assertEquals(200, balancer.send(session("0" + ID.substring(1), "view")).status());
+        assertEquals(
+                200,
+                balancer.send(session("0" + SESSION_ID.substring(1), "view")).status());
         assertEquals(before + 1, server.requests.size());
     }
 
@@ -212,16 +214,16 @@
             waiting.getOutputStream().write(HttpMessage.encode(VIEW, new byte[0]));
             half.getOutputStream().write("GET /api HTT".getBytes(StandardCharsets.US_ASCII));
             await("slow clients are closed, in the head and in the body", () -> {
-                boolean all = true;
-                for (Socket one : List.of(slowHead, slowBody)) {
+                boolean allClosed = true;
+                for (Socket slow : List.of(slowHead, slowBody)) {
                     try {
-                        one.getOutputStream().write('G');
-                        all = false;
+                        slow.getOutputStream().write('G');
+                        allClosed = false;
                     } catch (IOException e) {
                         // This connection was closed.
                     }
                 }
-                return all;
+                return allClosed;
             });
             assertTrue(BalancerProcess.awaitEnd(silent));
             assertTrue(BalancerProcess.awaitEnd(half));
@@ -258,7 +260,9 @@
                     () -> limited.callAdmin("GET health", "").status() == 200);
             await(
                     "a session is served",
-                    () -> limited.send(session("1" + ID.substring(1), "view")).status() == 200);
+                    () -> limited.send(session("1" + SESSION_ID.substring(1), "view"))
+                                    .status()
+                            == 200);
             assertTrue(limited.counter("acceptor_waits") > 0);
         } finally {
             limited.stop();
@@ -328,7 +332,9 @@
             }
             int calls = discovery.requests.size();
             assertEquals(
-                    "backend connection", 200, limited.send(session(ID, "view")).status());
+                    "backend connection",
+                    200,
+                    limited.send(session(SESSION_ID, "view")).status());
             assertEquals(
                     "admin address", 200, limited.callAdmin("GET health", "").status());
             await("discovery is called", () -> discovery.requests.size() > calls);
--- a/balancer/src/test/java/calicochute/process/BadServerTest.java
+++ b/balancer/src/test/java/calicochute/process/BadServerTest.java
@@ -19,11 +19,11 @@
 
 /** Backend servers that send malformed, truncated or excess responses, or close connections early. */
 public class BadServerTest extends SingleServerFixture {
-    private static final String VALID = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na map";
+    private static final String VALID_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na map";
 
     private HttpMessage order(String response) throws Exception {
         server.script = r -> response.getBytes(StandardCharsets.ISO_8859_1);
-        return balancer.send(session(ID, "order"), new byte[1]);
+        return balancer.send(session(SESSION_ID, "order"), new byte[1]);
     }
 
     /**
@@ -35,13 +35,15 @@
         List<String> malformed = List.of(
                 "noise\r\n\r\n",
                 "ICY 200 OK\r\n\r\n",
-                VALID.replace("200 OK", "2x0"),
-                VALID.replace("OK\r\n", "OK\r\nno colon\r\n"),
-                VALID.replace(": 5", ": -1"),
-                VALID.replace("\r\n\r\n", "\r\nContent-Length: 3\r\n\r\n"),
-                VALID.replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n"),
-                VALID.replace("Content-Length: 5", "Transfer-Encoding: chunked").replace("a map", "1\r\na\r\nzz\r\n"),
-                VALID.replace(": 5", ": 3000000000"),
+                VALID_RESPONSE.replace("200 OK", "2x0"),
+                VALID_RESPONSE.replace("OK\r\n", "OK\r\nno colon\r\n"),
+                VALID_RESPONSE.replace(": 5", ": -1"),
+                VALID_RESPONSE.replace("\r\n\r\n", "\r\nContent-Length: 3\r\n\r\n"),
+                VALID_RESPONSE.replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n"),
+                VALID_RESPONSE
+                        .replace("Content-Length: 5", "Transfer-Encoding: chunked")
+                        .replace("a map", "1\r\na\r\nzz\r\n"),
+                VALID_RESPONSE.replace(": 5", ": 3000000000"),
                 "HTTP/1.1 200 OK\r\n" + "X-Pad: p\r\n".repeat(1000),
                 "HTTP/1.1 102 Processing\r\n\r\n".repeat(100));
         for (String response : malformed) {
@@ -57,23 +59,23 @@
      */
     @Test
     public void validResponsesWithExtrasAreServed() throws Exception {
-        String report = VALID.replace("\r\n\r\n", "\r\nX-Pressure: inflight=NaN,qps=-1\r\n\r\n");
+        String report = VALID_RESPONSE.replace("\r\n\r\n", "\r\nX-Pressure: inflight=NaN,qps=-1\r\n\r\n");
         for (String response : List.of(
-                "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + VALID,
+                "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + VALID_RESPONSE,
                 report,
-                VALID + VALID,
-                VALID + "noise without an end")) {
+                VALID_RESPONSE + VALID_RESPONSE,
+                VALID_RESPONSE + "noise without an end")) {
             int ended = server.endedConnections.size();
             HttpMessage served = order(response);
             assertEquals(200, served.status());
             assertEquals("a map", new String(served.body(), StandardCharsets.US_ASCII));
-            if (response.length() > VALID.length() && response.startsWith(VALID)) {
+            if (response.length() > VALID_RESPONSE.length() && response.startsWith(VALID_RESPONSE)) {
                 await("closed", () -> server.endedConnections.size() == ended + 1);
             }
             assertEquals(
                     "next",
                     new String(
-                            order(VALID.replace("a map", "next").replace(": 5", ": 4"))
+                            order(VALID_RESPONSE.replace("a map", "next").replace(": 5", ": 4"))
                                     .body(),
                             StandardCharsets.US_ASCII));
         }
@@ -100,7 +102,7 @@
     public void closedIdleConnectionsAreReplaced() throws Exception {
         for (int i = 0; i < 5; i++) {
             int count = i + 1;
-            assertEquals(200, order(VALID).status());
+            assertEquals(200, order(VALID_RESPONSE).status());
             server.connections.get(i).close();
             await("the close is detected", () -> balancer.counter("connections_ended_early") == count);
             assertEquals(count, server.connections.size());
@@ -188,12 +190,12 @@
             if (!resets) {
                 await("all connections are read to the end", () -> closing.accepted.get() == closing.finished.get());
                 for (int i = 0; i < statuses.size(); i++) {
-                    String id = String.format("%016x", i);
+                    String sessionId = String.format("%016x", i);
                     assertEquals(
                             "session " + i,
                             statuses.get(i) == 502 ? 1 : 0,
                             closing.requests.stream()
-                                    .filter(r -> id.equals(r.header("X-Txn")))
+                                    .filter(r -> sessionId.equals(r.header("X-Txn")))
                                     .count());
                 }
             }
@@ -213,7 +215,7 @@
     /** The connections of a removed instance are closed; another instance at its address gets new connections. */
     @Test
     public void connectionsOfRemovedServerAreClosed() throws Exception {
-        assertEquals(200, order(VALID).status());
+        assertEquals(200, order(VALID_RESPONSE).status());
         discovery.script = r -> {
             if (r.firstLine().contains("since=2")) {
                 release.await();
@@ -235,7 +237,7 @@
         }
         await("the list is applied", () -> balancer.log().contains("generation=2"));
         await("its connection is closed", () -> server.endedConnections.size() == 1);
-        assertEquals(200, order(VALID).status());
+        assertEquals(200, order(VALID_RESPONSE).status());
         assertEquals(2, server.connections.size());
     }
 
@@ -243,16 +245,17 @@
     @Test
     public void truncatedResponseIsAFailure() throws Exception {
         server.closesAfterResponse = true;
-        for (int bytes = 1; bytes < VALID.length(); bytes++) {
+        for (int bytes = 1; bytes < VALID_RESPONSE.length(); bytes++) {
             assertEquals(
                     "truncated after byte " + bytes,
                     502,
-                    order(VALID.substring(0, bytes)).status());
+                    order(VALID_RESPONSE.substring(0, bytes)).status());
         }
-        assertEquals(200, order(VALID).status());
+        assertEquals(200, order(VALID_RESPONSE).status());
         // A chunk size may have leading zeros; one that is truncated after them must not be taken for the last
         // chunk.
-        String chunked = VALID.replace("Content-Length: 5", "Transfer-Encoding: chunked")
+        String chunked = VALID_RESPONSE
+                .replace("Content-Length: 5", "Transfer-Encoding: chunked")
                 .replace("a map", "02\r\na \r\n003;x=y\r\nmap\r\n0\r\nX-T: y\r\n\r\n");
         for (int bytes = chunked.indexOf("02"); bytes < chunked.length(); bytes++) {
             assertEquals(
--- a/balancer/src/test/java/calicochute/process/ClientEndTest.java
+++ b/balancer/src/test/java/calicochute/process/ClientEndTest.java
@@ -15,7 +15,7 @@
 
 /** Clients that disconnect before the response, and connections that end while bytes are in transit. */
 public class ClientEndTest extends SingleServerFixture {
-    private static final String VIEW = session(ID, "view") + "\r\n";
+    private static final String VIEW = session(SESSION_ID, "view") + "\r\n";
 
     /** The server responds only after {@link #release}, so a session that ends earlier ends for another reason. */
     private void holdResponses() {
@@ -26,7 +26,7 @@
     }
 
     private static String numberedView(int number) {
-        return VIEW.replace(ID, String.format("%016x", number + 1));
+        return VIEW.replace(SESSION_ID, String.format("%016x", number + 1));
     }
 
     /**
@@ -118,7 +118,7 @@
             assertEquals("closed without a reset", -1, socket.getInputStream().read());
             // Rejected by its head, while the client sends its body.
             tooLong.getOutputStream()
-                    .write((session(ID, "scan") + "Content-Length: 60000000\r\n\r\n")
+                    .write((session(SESSION_ID, "scan") + "Content-Length: 60000000\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
             tooLong.getOutputStream().write(new byte[300_000]);
             assertEquals(413, HttpMessage.read(tooLong.getInputStream()).status());
--- a/balancer/src/test/java/calicochute/process/ClientGoneTest.java
+++ b/balancer/src/test/java/calicochute/process/ClientGoneTest.java
@@ -62,7 +62,7 @@
     public void dispatchWaitingForConnectionIsNotSent() throws Exception {
         withUnreachableServer(c -> c, () -> {
             try (Socket client = balancer.connect()) {
-                client.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
+                client.getOutputStream().write(HttpMessage.encode(session(SESSION_ID, "order"), new byte[1]));
                 await("the connection is being opened", () -> balancer.counter("connections_opened") == 1);
             }
             await("the disconnect is detected", () -> balancer.counter("sessions_client_gone") == 1);
@@ -73,8 +73,8 @@
     }
 
     /**
-     * The same for clients that send more than the receive window before they disconnect, with a complete or truncated
-     * body, closing or resetting.
+     * A dispatch is also held back if its client sends more than the receive window before it disconnects, with a
+     * complete or truncated body, by a close or a reset.
      */
     @Test
     public void disconnectAfterLongBodyIsDetected() throws Exception {
@@ -106,8 +106,8 @@
     }
 
     /**
-     * The same if there is no memory left to read the body to its end: the reset is detected, and the other clients are
-     * not affected.
+     * A dispatch is also held back if no memory is left to read the body to its end: the reset is detected without
+     * reading, and the other clients are not affected.
      */
     @Test
     public void resetIsDetectedWithoutReading() throws Exception {
@@ -144,7 +144,7 @@
             return HttpMessage.response(200, "", "a map");
         };
         try (Socket client = balancer.connect()) {
-            client.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
+            client.getOutputStream().write(HttpMessage.encode(session(SESSION_ID, "order"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
         }
         await("the disconnect is detected", () -> balancer.counter("sessions_client_gone") == 1);
@@ -161,7 +161,8 @@
     @Test
     public void truncatedUploadIsCancelled() throws Exception {
         try (Socket client = balancer.connect()) {
-            client.getOutputStream().write((session(ID, "order") + "Content-Length: 30000000\r\n\r\n").getBytes());
+            client.getOutputStream()
+                    .write((session(SESSION_ID, "order") + "Content-Length: 30000000\r\n\r\n").getBytes());
             // More than the balancer reads ahead and the socket buffers hold, so that part of it goes to the server.
             client.getOutputStream().write(new byte[20_000_000]);
         }
--- a/balancer/src/test/java/calicochute/process/CustomerSettingsTest.java
+++ b/balancer/src/test/java/calicochute/process/CustomerSettingsTest.java
@@ -28,10 +28,10 @@
     }
 
     private void checkServes(UnaryOperator<String> settings, int remainingMs, String... lanes) throws Exception {
-        AtomicInteger taken = new AtomicInteger();
+        AtomicInteger requestCount = new AtomicInteger();
         try (ScriptedServer discovery = ScriptedServer.silent(release);
                 ScriptedServer server = new ScriptedServer(r -> {
-                    if (taken.incrementAndGet() % 3 == 0) {
+                    if (requestCount.incrementAndGet() % 3 == 0) {
                         release.await();
                     }
                     return HttpMessage.response(200, "", "a map");
--- a/balancer/src/test/java/calicochute/process/DiscoveryListTest.java
+++ b/balancer/src/test/java/calicochute/process/DiscoveryListTest.java
@@ -12,7 +12,10 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** Lists from discovery that are large, outdated, malformed or contain duplicates. */
+/**
+ * Lists from discovery that are large, outdated, malformed or contain duplicates; docs/oncall.md states the rule for
+ * each case.
+ */
 public class DiscoveryListTest {
     private final BlockingQueue<String> responses = new LinkedBlockingQueue<>();
     private ScriptedServer discovery;
@@ -90,7 +93,7 @@
     public void olderChangesAreRejected() throws Exception {
         report(7, true, entry("one", server, "Ready"), entry("two", other, "Terminating"));
         responses.add(listText(3, false, entry("one", server, "Terminating"), entry("two", other, "Ready")));
-        await("refused", () -> balancer.counter("discovery_older") == 1);
+        await("the list is rejected", () -> balancer.counter("discovery_older") == 1);
         assertEquals("200a map", sendSession());
         int requestCount = discovery.requests.size();
         await("discovery is called again", () -> discovery.requests.size() > requestCount || requestCount > 2);
@@ -163,10 +166,10 @@
                 true,
                 entry("two", other, "Ready"),
                 entry("three", other, "Ready").replace("\"a\"", "null")));
-        await("refused", () -> balancer.counter("discovery_malformed") == 1);
+        await("the list is rejected", () -> balancer.counter("discovery_malformed") == 1);
         assertEquals("200a map", sendSession());
         responses.add(discoveryList(4, "Terminating", "s1:80"));
-        await("refused", () -> balancer.counter("discovery_malformed") == 2);
+        await("the list is rejected", () -> balancer.counter("discovery_malformed") == 2);
         report(5, true, entry("two", other, "Ready"));
         assertEquals("200another", sendSession());
     }
--- a/balancer/src/test/java/calicochute/process/ReadyTable.java
+++ b/balancer/src/test/java/calicochute/process/ReadyTable.java
@@ -23,9 +23,13 @@
  * {@code ReadyTable PROCESSES CORES}, for example {@code 24 2,3}.
  */
 final class ReadyTable {
+    /** Limit of the column "ready within 10 s". */
     private static final long READY_LIMIT_MS = 10_000;
+    /** Processes that are not ready after this time are given up. */
     private static final long READY_TIMEOUT_MS = 40_000;
+    /** Time for which the clients continue after the last readiness probe has ended. */
     private static final long EXTRA_LOAD_MS = 3000;
+
     private static final Pattern RUN_COMMAND = Pattern.compile("(?m)^run = \"(.*)\"$");
     private final int processes;
     private final String cores;
@@ -228,7 +232,7 @@
                     socket.getOutputStream().write(HttpMessage.encode(head, new byte[0]));
                     HttpMessage response = HttpMessage.read(socket.getInputStream());
                     if (response == null) {
-                        throw new EOFException("no answer");
+                        throw new EOFException("connection closed without a response");
                     }
                     return response;
                 } catch (IOException e) {
--- a/balancer/src/test/java/calicochute/process/ReadyTest.java
+++ b/balancer/src/test/java/calicochute/process/ReadyTest.java
@@ -22,7 +22,7 @@
  * What a process waits for before it is ready, and sessions that arrive earlier. {@link ReadyTable} measures the time.
  */
 public class ReadyTest {
-    private static final String ID = "9b1f03aa5c7e2d41";
+    private static final String SESSION_ID = "9b1f03aa5c7e2d41";
     private final CountDownLatch release = new CountDownLatch(1);
     private final CountDownLatch finished = new CountDownLatch(1);
     /** Response to a session that a client tries to send from before the process starts. */
@@ -50,7 +50,7 @@
                         new Socket(InetAddress.getLoopbackAddress(), port, InetAddress.getByName("127.0.0.2"), 0)) {
                     socket.setSoTimeout(30_000);
                     try {
-                        socket.getOutputStream().write(HttpMessage.encode(session(ID, "view"), new byte[0]));
+                        socket.getOutputStream().write(HttpMessage.encode(session(SESSION_ID, "view"), new byte[0]));
                         earlyResponse.complete(HttpMessage.read(socket.getInputStream()));
                     } catch (IOException e) {
                         earlyResponse.completeExceptionally(e);
@@ -151,7 +151,7 @@
             int listenPort = port.get(30, TimeUnit.SECONDS);
             await("not ready", () -> status(listenPort, "GET /ready HTTP/1.1\r\nHost: a\r\n") == 503);
             await("discovery is called", () -> !discovery.requests.isEmpty());
-            assertEquals(503, status(listenPort, session(ID, "view").replace(": 8000", ": 300")));
+            assertEquals(503, status(listenPort, session(SESSION_ID, "view").replace(": 8000", ": 300")));
             assertFalse(starting.isDone());
             release.countDown();
             balancer = starting.get(30, TimeUnit.SECONDS);
--- a/balancer/src/test/java/calicochute/process/ServeTest.java
+++ b/balancer/src/test/java/calicochute/process/ServeTest.java
@@ -23,7 +23,7 @@
     private static final long ACCEPT_AFTER_SIGTERM_NANOS = 550_000_000;
 
     private HttpMessage send(String lane) throws Exception {
-        return balancer.send(session(ID, lane), lane.equals("view") ? new byte[0] : new byte[] {1, 2, 3});
+        return balancer.send(session(SESSION_ID, lane), lane.equals("view") ? new byte[0] : new byte[] {1, 2, 3});
     }
 
     @Test
@@ -31,10 +31,10 @@
         byte[] body = new byte[1 << 16];
         new Random(7).nextBytes(body);
         server.script = r -> HttpMessage.encode("HTTP/1.1 200 OK\r\n", r.body());
-        HttpMessage response = balancer.send(session(ID, "scan"), body);
+        HttpMessage response = balancer.send(session(SESSION_ID, "scan"), body);
         HttpMessage forwarded = server.requests.get(0);
         assertEquals("POST /api?q=1 HTTP/1.1", forwarded.firstLine());
-        assertEquals(ID, forwarded.header("X-Txn"));
+        assertEquals(SESSION_ID, forwarded.header("X-Txn"));
         assertEquals("k1", forwarded.header("Idempotency-Key"));
         assertTrue(Integer.parseInt(forwarded.header("X-Remaining-Ms")) <= 8000);
         assertArrayEquals(body, forwarded.body());
@@ -44,7 +44,7 @@
 
     @Test
     public void denyHasRetryAfter() throws Exception {
-        HttpMessage response = balancer.send(session(ID, "view").replace(": 8000", ": 0"));
+        HttpMessage response = balancer.send(session(SESSION_ID, "view").replace(": 8000", ": 0"));
         assertEquals(503, response.status());
         assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
         assertEquals(0, server.requests.size());
@@ -82,7 +82,7 @@
             release.await();
             return HttpMessage.response(200, "", "too late");
         };
-        HttpMessage response = balancer.send(session(ID, "order").replace(": 8000", ": 900"), new byte[1]);
+        HttpMessage response = balancer.send(session(SESSION_ID, "order").replace(": 8000", ": 900"), new byte[1]);
         assertEquals(504, response.status());
         assertEquals(1, balancer.counter("dispatches_timed_out"));
         assertEquals(1, server.requests.size());
@@ -134,7 +134,7 @@
     /** On SIGTERM idle connections are closed, but not one with a partial head: its request is answered. */
     @Test
     public void connectionWithPartialHeadIsNotIdle() throws Exception {
-        byte[] view = HttpMessage.encode(session(ID, "view"), new byte[0]);
+        byte[] view = HttpMessage.encode(session(SESSION_ID, "view"), new byte[0]);
         try (Socket half = balancer.connect();
                 Socket silent = balancer.connect()) {
             half.getOutputStream().write(view, 0, 50);
@@ -172,7 +172,7 @@
     public void backendConnectionsAreReused() throws Exception {
         try (Socket socket = balancer.connect()) {
             for (int i = 0; i < 3; i++) {
-                socket.getOutputStream().write(HttpMessage.encode(session(ID, "view"), new byte[0]));
+                socket.getOutputStream().write(HttpMessage.encode(session(SESSION_ID, "view"), new byte[0]));
                 assertEquals(200, HttpMessage.read(socket.getInputStream()).status());
             }
         }
@@ -209,7 +209,7 @@
             return null;
         };
         try (Socket socket = balancer.connect()) {
-            socket.getOutputStream().write(HttpMessage.encode(session(ID, "view"), new byte[0]));
+            socket.getOutputStream().write(HttpMessage.encode(session(SESSION_ID, "view"), new byte[0]));
             await("dispatched", () -> server.requests.size() == 1);
         }
         await("cancelled", () -> balancer.counter("dispatches_cancelled") == 1);
@@ -231,7 +231,8 @@
         await("the list is applied", () -> balancer.log().contains("generation=2"));
         assertEquals(
                 503,
-                balancer.send(session(ID, "view").replace(": 8000", ": 500")).status());
+                balancer.send(session(SESSION_ID, "view").replace(": 8000", ": 500"))
+                        .status());
         assertEquals(1, server.requests.size());
         assertTrue(discovery.requests.get(0).firstLine().contains("since=1"));
     }
@@ -249,11 +250,11 @@
 
     @Test
     public void invalidRequestsAreRejected() throws Exception {
-        String view = session(ID, "view");
-        String scan = session(ID, "scan");
-        assertEquals(400, balancer.send(view.replace(ID, "9b1f")).status());
+        String view = session(SESSION_ID, "view");
+        String scan = session(SESSION_ID, "scan");
+        assertEquals(400, balancer.send(view.replace(SESSION_ID, "9b1f")).status());
         assertEquals(400, balancer.send(view.replace("X-Txn", "X-Other")).status());
-        assertEquals(400, balancer.send(view + "X-Txn: " + ID + "\r\n").status());
+        assertEquals(400, balancer.send(view + "X-Txn: " + SESSION_ID + "\r\n").status());
         assertEquals(
                 400, balancer.send(view.replace("Lane: view", "Lane: none")).status());
         assertEquals(400, balancer.send(view.replace("library", "nobody")).status());
@@ -278,7 +279,7 @@
                 Socket idle = balancer.connect()) {
             idle.getOutputStream().write(HttpMessage.encode("GET /ready HTTP/1.1\r\nHost: a\r\n", new byte[0]));
             assertEquals(200, HttpMessage.read(idle.getInputStream()).status());
-            accepted.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
+            accepted.getOutputStream().write(HttpMessage.encode(session(SESSION_ID, "order"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
             // Opened just before its first request, which is due within 2.4 s; on a loaded machine the first dispatch
             // of a process could take longer.
@@ -286,7 +287,8 @@
                 long signalNanos = System.nanoTime();
                 balancer.process.destroy();
                 await("draining", () -> balancer.log().contains("draining"));
-                later.getOutputStream().write(HttpMessage.encode(session("0" + ID.substring(1), "order"), new byte[1]));
+                later.getOutputStream()
+                        .write(HttpMessage.encode(session("0" + SESSION_ID.substring(1), "order"), new byte[1]));
                 // On a slow machine the request may be sent after that time; the balancer may then have closed the idle
                 // connection.
                 boolean inTime = System.nanoTime() - signalNanos < ACCEPT_AFTER_SIGTERM_NANOS;
@@ -320,7 +322,7 @@
         };
         try (Socket before = balancer.connect()) {
             before.getOutputStream()
-                    .write(HttpMessage.encode(session(ID, "order").replace(": 8000", ": 60000"), new byte[1]));
+                    .write(HttpMessage.encode(session(SESSION_ID, "order").replace(": 8000", ": 60000"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
             // Opened just before its first request: on a loaded machine it would be closed as idle during the first
             // dispatch.
@@ -329,7 +331,8 @@
                 await("draining", () -> balancer.log().contains("draining"));
                 after.getOutputStream()
                         .write(HttpMessage.encode(
-                                session("0" + ID.substring(1), "view").replace(": 8000", ": 60000"), new byte[0]));
+                                session("0" + SESSION_ID.substring(1), "view").replace(": 8000", ": 60000"),
+                                new byte[0]));
                 assertEquals(502, HttpMessage.read(before.getInputStream()).status());
                 assertEquals(502, HttpMessage.read(after.getInputStream()).status());
             }
@@ -350,7 +353,7 @@
         };
         try (ScriptedServer moved = new ScriptedServer(discovery.script);
                 Socket accepted = balancer.connect()) {
-            accepted.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
+            accepted.getOutputStream().write(HttpMessage.encode(session(SESSION_ID, "order"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
             await("the watch is open", () -> discovery.requests.size() == 1);
             String valid = Files.readString(balancer.config);
@@ -380,7 +383,7 @@
             return HttpMessage.response(500, "", "");
         };
         try (Socket accepted = balancer.connect()) {
-            accepted.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
+            accepted.getOutputStream().write(HttpMessage.encode(session(SESSION_ID, "order"), new byte[1]));
             await("dispatched", () -> server.requests.size() == 1);
             String valid = Files.readString(balancer.config);
             String order = "\"effect\":\"once\",\"key_scope\":\"all\",\"name\":\"order\"";
@@ -402,7 +405,7 @@
             }
             assertEquals(
                     405,
-                    balancer.send(session(ID.replace('9', '8'), "order").replace("POST", "GET"))
+                    balancer.send(session(SESSION_ID.replace('9', '8'), "order").replace("POST", "GET"))
                             .status());
             Files.writeString(balancer.config, changed);
             balancer.signal("HUP");
@@ -417,16 +420,17 @@
             assertEquals(
                     "new effect: repeatable",
                     200,
-                    balancer.send(session(ID, "order").replace("POST", "GET")).status());
+                    balancer.send(session(SESSION_ID, "order").replace("POST", "GET"))
+                            .status());
             assertEquals(3, server.requests.size());
             assertEquals(
                     200,
-                    balancer.send(session(ID, "scan").replace("X-Lane: scan", "X-Lane: sheet"))
+                    balancer.send(session(SESSION_ID, "scan").replace("X-Lane: scan", "X-Lane: sheet"))
                             .status());
             assertEquals(
                     "a removed class is still served, since clients may not know yet",
                     200,
-                    balancer.send(session(ID, "scan")).status());
+                    balancer.send(session(SESSION_ID, "scan")).status());
         }
     }
 
--- a/balancer/src/test/java/calicochute/process/SilentWatchTest.java
+++ b/balancer/src/test/java/calicochute/process/SilentWatchTest.java
@@ -24,7 +24,7 @@
  * {@code WatchScheduleTest} covers the time until then.
  */
 public class SilentWatchTest {
-    private static final String ID = "9b1f03aa5c7e2d41";
+    private static final String SESSION_ID = "9b1f03aa5c7e2d41";
     /** How long a call without changes is held; the balancer waits for at least 3.1 s. */
     private static final long HOLD_MS = 500;
 
@@ -81,7 +81,7 @@
             assertEquals(
                     point,
                     503,
-                    balancer.send(session(ID, "view").replace(": 8000", ": 300"))
+                    balancer.send(session(SESSION_ID, "view").replace(": 8000", ": 300"))
                             .status());
             assertEquals(point, before, server.requests.size());
         }
@@ -146,7 +146,7 @@
             balancer.signal("HUP");
             await("two attempts have failed", () -> balancer.counter("discovery_failures") >= 2);
             assertEquals(0, balancer.counter("discovery_reopened"));
-            assertEquals(200, balancer.send(session(ID, "view")).status());
+            assertEquals(200, balancer.send(session(SESSION_ID, "view")).status());
             Files.writeString(
                     balancer.config,
                     Files.readString(balancer.config).replace("127.0.0.1:" + full.getLocalPort(), discovery.address()));
--- a/balancer/src/test/java/calicochute/process/SingleServerFixture.java
+++ b/balancer/src/test/java/calicochute/process/SingleServerFixture.java
@@ -6,7 +6,7 @@
 
 /** Base of tests with one balancer, one backend server and a discovery service without changes to report. */
 abstract class SingleServerFixture {
-    static final String ID = "9b1f03aa5c7e2d41";
+    static final String SESSION_ID = "9b1f03aa5c7e2d41";
     /** Releases the scripts that hold back a response; counted down at the end of each test at the latest. */
     final CountDownLatch release = new CountDownLatch(1);
 
--- a/balancer/src/test/java/calicochute/process/SmallLimitsTest.java
+++ b/balancer/src/test/java/calicochute/process/SmallLimitsTest.java
@@ -13,12 +13,15 @@
 import java.util.regex.Pattern;
 import org.junit.Test;
 
-/** Few descriptors and clients, with the JVM flags of the deploy file. */
+/** A balancer with few descriptors and the JVM flags of the deploy file, which set a small heap. */
 public class SmallLimitsTest extends SingleServerFixture {
     private static final int DESCRIPTORS = 256;
     private static final int CLIENTS = 60;
 
-    /** Returns the JVM flags without the class data archive and the log destination, which need the built files. */
+    /**
+     * Returns the JVM flags without the class data archive and the log options, which belong to the built files and not
+     * to the memory limits.
+     */
     private static String flags() throws Exception {
         Matcher runCommand = Pattern.compile("(?m)^run = \"exec java (.*) -jar ")
                 .matcher(Files.readString(Path.of("../deploy/balancer.toml")));
--- a/balancer/src/test/java/calicochute/process/SpareConnectionTest.java
+++ b/balancer/src/test/java/calicochute/process/SpareConnectionTest.java
@@ -13,7 +13,7 @@
     private static final long REUSE_DELAY_MS = 10;
 
     /** No spare is opened for 20 s after one has failed; this is shorter. */
-    private static final long WITHIN_PAUSE_MS = 15_000;
+    private static final long BEFORE_NEXT_SPARE_MS = 15_000;
 
     private int sessionNumber;
 
@@ -69,7 +69,7 @@
         sendUntilOneWaits();
         long startNanos = System.nanoTime();
         await("the spare has failed", () -> balancer.counter("spares_failed") == 1);
-        for (int i = 0; i < 30 && System.nanoTime() - startNanos < WITHIN_PAUSE_MS * 1_000_000; i++) {
+        for (int i = 0; i < 30 && System.nanoTime() - startNanos < BEFORE_NEXT_SPARE_MS * 1_000_000; i++) {
             assertEquals(
                     200,
                     balancer.send(session(String.format("%016x", ++sessionNumber), "order"))
--- a/balancer/src/test/java/calicochute/process/StreamedBodiesTest.java
+++ b/balancer/src/test/java/calicochute/process/StreamedBodiesTest.java
@@ -60,15 +60,15 @@
     public void longMessagesPassUnchanged() throws Exception {
         byte[] body = random(LONG_BODY_BYTES);
         server.script = r -> HttpMessage.encode("HTTP/1.1 200 OK\r\n", r.body());
-        HttpMessage response = balancer.send(session(ID, "scan"), body);
+        HttpMessage response = balancer.send(session(SESSION_ID, "scan"), body);
         assertEquals(200, response.status());
         assertArrayEquals(body, response.body());
         assertArrayEquals(body, server.requests.get(0).body());
         server.script = r -> chunked("HTTP/1.1 200 OK\r\n", r.body(), 7001);
         try (Socket socket = balancer.connect()) {
-            socket.getOutputStream().write(chunked(session(ID, "order"), body, 5003));
+            socket.getOutputStream().write(chunked(session(SESSION_ID, "order"), body, 5003));
             assertArrayEquals(body, HttpMessage.read(socket.getInputStream()).body());
-            socket.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[3]));
+            socket.getOutputStream().write(HttpMessage.encode(session(SESSION_ID, "order"), new byte[3]));
             assertEquals(
                     "the connection stays open",
                     3,
@@ -88,7 +88,8 @@
         byte[] body = random(40);
         try (Socket socket = balancer.connect()) {
             socket.setTcpNoDelay(true);
-            for (byte b : ("\r\n" + new String(chunked(session(ID, "order"), body, 9), StandardCharsets.ISO_8859_1))
+            for (byte b : ("\r\n"
+                            + new String(chunked(session(SESSION_ID, "order"), body, 9), StandardCharsets.ISO_8859_1))
                     .getBytes(StandardCharsets.ISO_8859_1)) {
                 socket.getOutputStream().write(b);
                 socket.getOutputStream().flush();
@@ -143,7 +144,7 @@
     private void checkWithoutLength(BlockingQueue<Socket> requested, int bytes, boolean reset, boolean atOnce)
             throws Exception {
         try (Socket client = balancer.connect()) {
-            client.getOutputStream().write(HttpMessage.encode(session(ID, "order"), new byte[1]));
+            client.getOutputStream().write(HttpMessage.encode(session(SESSION_ID, "order"), new byte[1]));
             Socket socket = requested.poll(30, TimeUnit.SECONDS);
             byte[] response =
                     Arrays.copyOf("HTTP/1.1 200 OK\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1), 19 + bytes);
@@ -255,10 +256,10 @@
                 : HttpMessage.encode("HTTP/1.1 200 OK\r\n", body);
         try (Socket slow = balancer.connect();
                 Socket unread = balancer.connect()) {
-            slow.getOutputStream().write(HttpMessage.encode(session(ID, "view"), new byte[0]));
+            slow.getOutputStream().write(HttpMessage.encode(session(SESSION_ID, "view"), new byte[0]));
             unread.getOutputStream()
                     .write(HttpMessage.encode(
-                            session(ID.replace('9', '7'), "view").replace("/api", "/untold"), new byte[0]));
+                            session(SESSION_ID.replace('9', '7'), "view").replace("/api", "/untold"), new byte[0]));
             await("both responses are being forwarded", () -> balancer.counter("answers_in_pieces") == 2);
             balancer.process.destroy();
             await("draining", () -> balancer.log().contains("draining"));
@@ -287,7 +288,7 @@
         balancer.stop();
         balancer = BalancerProcess.withAdminAndBackend(discovery, "127.0.0.1:" + listener.getLocalPort());
         Socket client = balancer.connect();
-        client.getOutputStream().write(HttpMessage.encode(session(ID, "view"), new byte[0]));
+        client.getOutputStream().write(HttpMessage.encode(session(SESSION_ID, "view"), new byte[0]));
         return client;
     }
 
@@ -299,7 +300,7 @@
     public void truncatedUploadIsNotCompleted() throws Exception {
         try (Socket socket = balancer.connect()) {
             socket.getOutputStream()
-                    .write((session(ID, "order") + "Content-Length: " + LONG_BODY_BYTES + "\r\n\r\n")
+                    .write((session(SESSION_ID, "order") + "Content-Length: " + LONG_BODY_BYTES + "\r\n\r\n")
                             .getBytes(StandardCharsets.ISO_8859_1));
             socket.getOutputStream().write(new byte[LONG_BODY_BYTES - 1]);
         }
@@ -322,7 +323,7 @@
                     Socket client = balancer.connect()) {
                 HttpMessage.read(socket.getInputStream());
                 client.getOutputStream()
-                        .write((session(ID.replace('9', '7'), "order") + "Content-Length: " + LONG_BODY_BYTES
+                        .write((session(SESSION_ID.replace('9', '7'), "order") + "Content-Length: " + LONG_BODY_BYTES
                                         + "\r\n\r\n")
                                 .getBytes(StandardCharsets.ISO_8859_1));
                 client.getOutputStream().write(new byte[200_000]);
@@ -378,7 +379,7 @@
     public void stalledUploadIsClosed() throws Exception {
         try (Socket socket = balancer.connect()) {
             OutputStream output = socket.getOutputStream();
-            output.write((session(ID, "order") + "Content-Length: " + LONG_BODY_BYTES + "\r\n\r\n")
+            output.write((session(SESSION_ID, "order") + "Content-Length: " + LONG_BODY_BYTES + "\r\n\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1));
             output.write(new byte[200_000]);
             assertTrue(BalancerProcess.awaitEnd(socket));
--- a/balancer/src/test/java/calicochute/process/UpgradeTest.java
+++ b/balancer/src/test/java/calicochute/process/UpgradeTest.java
@@ -155,8 +155,8 @@
     }
 
     /**
-     * Learned state is not loaded if the effect of a class differs, since statistics of a repeatable class do not apply
-     * to one that must not run twice.
+     * A class that may be repeated and one of the same name that must not run twice count as different classes: learned
+     * state is not loaded if an effect differs.
      */
     @Test
     public void learnedStateOfOtherEffectsIsRejected() throws Exception {
