--- a/balancer/src/test/java/calicochute/process/ServeTest.java
+++ b/balancer/src/test/java/calicochute/process/ServeTest.java
@@ -19,7 +19,7 @@
 
 /** Basic behavior of the balancer towards clients, backend servers, discovery and operators' signals. */
 public class ServeTest extends SingleServerFixture {
-    /** Requests are still accepted for this long after SIGTERM ({@code Presence}). */
+    /** Requests are still accepted for this long after SIGTERM ({@code Lifecycle}). */
     private static final long ACCEPT_AFTER_SIGTERM_NANOS = 550_000_000;
 
     private HttpMessage send(String lane) throws Exception {
