--- a/balancer/src/test/java/calicochute/process/ReadyTest.java
+++ b/balancer/src/test/java/calicochute/process/ReadyTest.java
@@ -1,8 +1,8 @@
 package calicochute.process;
 
-import static calicochute.process.Program.await;
-import static calicochute.process.Program.list;
-import static calicochute.process.Program.session;
+import static calicochute.process.BalancerProcess.await;
+import static calicochute.process.BalancerProcess.discoveryList;
+import static calicochute.process.BalancerProcess.session;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
@@ -19,41 +19,41 @@
 import org.junit.Test;
 
 /**
- * What a process waits for before it is ready, and what comes to it before. How long it takes is measured by
- * {@link ReadyTable}.
+ * What a process waits for before it is ready, and sessions that arrive earlier. {@link ReadyTable} measures the time.
  */
 public class ReadyTest {
-    private static final String ID = "9b1f03aa5c7e2d41";
+    private static final String SESSION_ID = "9b1f03aa5c7e2d41";
     private final CountDownLatch release = new CountDownLatch(1);
-    private final CountDownLatch over = new CountDownLatch(1);
-    /** The answer to a session that a client tries to send from before the process starts. */
-    private final CompletableFuture<Http> early = new CompletableFuture<>();
+    private final CountDownLatch finished = new CountDownLatch(1);
+    /** Response to a session that a client tries to send from before the process starts. */
+    private final CompletableFuture<HttpMessage> earlyResponse = new CompletableFuture<>();
 
-    private Program program;
+    private BalancerProcess balancer;
 
     @After
-    public void letGo() {
+    public void releaseAll() {
         release.countDown();
-        over.countDown();
-        if (program != null) {
-            program.process.destroyForcibly();
+        finished.countDown();
+        if (balancer != null) {
+            balancer.process.destroyForcibly();
         }
     }
 
-    /** Has a client try to connect from now on, whose session comes as soon as the process listens. */
-    private String withAnEarlyClient(String configuration) {
+    /** Starts a client that tries to connect until the process listens, and then sends a session. */
+    private String startEarlyClient(String configuration) {
         int port = Integer.parseInt(configuration.replaceAll("(?s).*\"listen\":\"127.0.0.1:(\\d+)\".*", "$1"));
         Thread client = new Thread(() -> {
-            while (over.getCount() > 0) {
-                // From another address: one that tries on could be given the port itself, and meet itself there.
+            while (finished.getCount() > 0) {
+                // From another address: repeated attempts from the same one could get the port as local port and
+                // connect to themselves.
                 try (Socket socket =
                         new Socket(InetAddress.getLoopbackAddress(), port, InetAddress.getByName("127.0.0.2"), 0)) {
                     socket.setSoTimeout(30_000);
                     try {
-                        socket.getOutputStream().write(Http.message(session(ID, "view"), new byte[0]));
-                        early.complete(Http.read(socket.getInputStream()));
+                        socket.getOutputStream().write(HttpMessage.encode(session(SESSION_ID, "view"), new byte[0]));
+                        earlyResponse.complete(HttpMessage.read(socket.getInputStream()));
                     } catch (IOException e) {
-                        early.completeExceptionally(e);
+                        earlyResponse.completeExceptionally(e);
                     }
                     return;
                 } catch (IOException e) {
@@ -66,77 +66,77 @@
         return configuration;
     }
 
-    private void answeredAtOnce() throws Exception {
-        assertEquals(200, early.get(30, TimeUnit.SECONDS).status());
+    private void assertEarlySessionServed() throws Exception {
+        assertEquals(200, earlyResponse.get(30, TimeUnit.SECONDS).status());
     }
 
-    private static Peer server() throws IOException {
-        return new Peer(r -> Http.answer(200, "", "a map"));
+    private static ScriptedServer server() throws IOException {
+        return new ScriptedServer(r -> HttpMessage.response(200, "", "a map"));
     }
 
     @Test
-    public void readyDoesNotWaitForADiscoveryThatRefuses() throws Exception {
-        try (Peer server = server();
-                Peer none = Peer.silent(release);
+    public void readyDoesNotWaitForRefusedDiscovery() throws Exception {
+        try (ScriptedServer server = server();
+                ScriptedServer unused = ScriptedServer.silent(release);
                 Socket bound = new Socket()) {
-            // Bound and not listening: whoever calls is refused, and nobody else gets the port.
+            // Bound but not listening: connections are refused, and no other socket gets the port.
             bound.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            UnaryOperator<String> refused = c -> c.replace(none.address(), "127.0.0.1:" + bound.getLocalPort());
-            program = Program.edited(c -> withAnEarlyClient(refused.apply(c)), none, server);
-            answeredAtOnce();
-            await("refused", () -> program.counter("discovery_failures") > 0);
-            assertTrue(none.connections.isEmpty());
-            program.stop();
+            UnaryOperator<String> refused = c -> c.replace(unused.address(), "127.0.0.1:" + bound.getLocalPort());
+            balancer = BalancerProcess.withEditedConfig(c -> startEarlyClient(refused.apply(c)), unused, server);
+            assertEarlySessionServed();
+            await("the connection to discovery is refused", () -> balancer.counter("discovery_failures") > 0);
+            assertTrue(unused.connections.isEmpty());
+            balancer.stop();
         }
     }
 
     @Test
-    public void readyDoesNotWaitForASilentDiscovery() throws Exception {
-        try (Peer server = server();
-                Peer discovery = Peer.silent(release)) {
-            program = Program.edited(this::withAnEarlyClient, discovery, server);
-            answeredAtOnce();
-            await("asked", () -> !discovery.requests.isEmpty());
-            program.stop();
+    public void readyDoesNotWaitForSilentDiscovery() throws Exception {
+        try (ScriptedServer server = server();
+                ScriptedServer discovery = ScriptedServer.silent(release)) {
+            balancer = BalancerProcess.withEditedConfig(this::startEarlyClient, discovery, server);
+            assertEarlySessionServed();
+            await("discovery is called", () -> !discovery.requests.isEmpty());
+            balancer.stop();
         }
     }
 
-    /** The first answer is on its way until after the yes, and then counts. */
+    /** The first response of discovery arrives after the process is ready, and is then applied. */
     @Test
-    public void readyDoesNotWaitForASlowDiscovery() throws Exception {
-        try (Peer server = server();
-                Peer discovery = new Peer(r -> {
+    public void readyDoesNotWaitForSlowDiscovery() throws Exception {
+        try (ScriptedServer server = server();
+                ScriptedServer discovery = new ScriptedServer(r -> {
                     release.await();
                     if (r.firstLine().contains("since=9&")) {
-                        over.await();
+                        finished.await();
                     }
-                    return Http.answer(200, "", list(9, "Terminating", server));
+                    return HttpMessage.response(200, "", discoveryList(9, "Terminating", server));
                 })) {
-            program = Program.edited(this::withAnEarlyClient, discovery, server);
-            answeredAtOnce();
-            assertFalse(program.log().contains("generation=9"));
+            balancer = BalancerProcess.withEditedConfig(this::startEarlyClient, discovery, server);
+            assertEarlySessionServed();
+            assertFalse(balancer.log().contains("generation=9"));
             release.countDown();
-            await("told", () -> program.log().contains("generation=9"));
-            over.countDown();
-            program.stop();
+            await("the list is applied", () -> balancer.log().contains("generation=9"));
+            finished.countDown();
+            balancer.stop();
         }
     }
 
-    /** Without a list from before there is nobody to send to: only here the yes comes with discovery's first list. */
+    /** Without a known list there are no backend servers: the process is ready only after discovery's first list. */
     @Test
-    public void withoutAListReadyComesWithTheFirst() throws Exception {
-        try (Peer server = server();
-                Peer discovery = new Peer(r -> {
+    public void withoutKnownListReadyWaitsForDiscovery() throws Exception {
+        try (ScriptedServer server = server();
+                ScriptedServer discovery = new ScriptedServer(r -> {
                     release.await();
                     if (!r.firstLine().contains("since=0&")) {
-                        over.await();
+                        finished.await();
                     }
-                    return Http.answer(200, "", list(1, "Ready", server));
+                    return HttpMessage.response(200, "", discoveryList(1, "Ready", server));
                 })) {
             CompletableFuture<Integer> port = new CompletableFuture<>();
-            CompletableFuture<Program> starting = CompletableFuture.supplyAsync(() -> {
+            CompletableFuture<BalancerProcess> starting = CompletableFuture.supplyAsync(() -> {
                 try {
-                    return Program.edited(
+                    return BalancerProcess.withEditedConfig(
                             c -> {
                                 port.complete(Integer.parseInt(
                                         c.replaceAll("(?s).*\"listen\":\"127.0.0.1:(\\d+)\".*", "$1")));
@@ -148,24 +148,24 @@
                     throw new IllegalStateException(e);
                 }
             });
-            int at = port.get(30, TimeUnit.SECONDS);
-            await("no, and that is said", () -> status(at, "GET /ready HTTP/1.1\r\nHost: a\r\n") == 503);
-            await("asked", () -> !discovery.requests.isEmpty());
-            assertEquals(503, status(at, session(ID, "view").replace(": 8000", ": 300")));
+            int listenPort = port.get(30, TimeUnit.SECONDS);
+            await("not ready", () -> status(listenPort, "GET /ready HTTP/1.1\r\nHost: a\r\n") == 503);
+            await("discovery is called", () -> !discovery.requests.isEmpty());
+            assertEquals(503, status(listenPort, session(SESSION_ID, "view").replace(": 8000", ": 300")));
             assertFalse(starting.isDone());
             release.countDown();
-            program = starting.get(30, TimeUnit.SECONDS);
-            assertEquals(200, program.send(session("9b1f03aa5c7e2d42", "view")).status());
-            over.countDown();
-            program.stop();
+            balancer = starting.get(30, TimeUnit.SECONDS);
+            assertEquals(200, balancer.send(session("9b1f03aa5c7e2d42", "view")).status());
+            finished.countDown();
+            balancer.stop();
         }
     }
 
     private static int status(int port, String head) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(30_000);
-            socket.getOutputStream().write(Http.message(head, new byte[0]));
-            return Http.read(socket.getInputStream()).status();
+            socket.getOutputStream().write(HttpMessage.encode(head, new byte[0]));
+            return HttpMessage.read(socket.getInputStream()).status();
         }
     }
 }
