--- a/balancer/src/test/java/calicochute/process/ClientEndTest.java
+++ b/balancer/src/test/java/calicochute/process/ClientEndTest.java
@@ -80,7 +80,7 @@
         assertTrue(balancer.log(), balancer.log().contains("sessions_ended_by_stop 0"));
     }
 
-    /** A client that keeps sending after its request is closed. */
+    /** The balancer closes the connection of a client that keeps sending after its request. */
     @Test
     public void floodAfterRequestIsClosed() throws Exception {
         holdResponses();
