--- a/balancer/src/main/java/calicochute/admin/AdminServer.java
+++ b/balancer/src/main/java/calicochute/admin/AdminServer.java
@@ -35,7 +35,7 @@
         ConnectionAcceptor acceptor = ConnectionAcceptor.bind(
                 address,
                 BACKLOG,
-                Bounds.ADMIN_CONNECTIONS + Bounds.AHEAD,
+                Bounds.ADMIN_CONNECTIONS + Bounds.EXTRA_ACCEPTED_CONNECTIONS,
                 "admin",
                 (session, attachment) -> AdminConnection.handler(session, this, onException),
                 onException,
--- a/balancer/src/main/java/calicochute/backend/BackendServers.java
+++ b/balancer/src/main/java/calicochute/backend/BackendServers.java
@@ -82,7 +82,7 @@
         this.counters = counters;
         connections = new ConnectionManager(connector, queue, counters, bounds.serverConnections(), servers::values);
         connections.updateTimeouts(connectTimeoutMicros, connectionIdleMicros);
-        windowBytes = bounds.window();
+        windowBytes = bounds.windowBytes();
         this.listener = listener;
         nextSweep = queue.schedule(sweepIntervalMicros(), this::sweep);
     }
